--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -11,7 +11,7 @@
 
 /// What a caller saw of one request that it sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct CallRecord {
     /// The caller's own number for the request.
     pub call: u64,
     /// Request id, once an answer named one.
@@ -19,18 +19,18 @@
     /// Key, if the request had one.
     pub key: Option<Key>,
     /// Final words that arrived; one is right.
-    pub ends: Vec<Outcome>,
+    pub outcomes: Vec<Outcome>,
     /// Whether the connection broke before a final word.
     pub broken: bool,
     /// Text that arrived.
     pub text: String,
     /// Text that the request should get if complete.
-    pub want: String,
+    pub expected_text: String,
 }
 
 /// One run at a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ran {
+pub struct StepRun {
     /// Request id.
     pub request: Name,
     /// Step.
@@ -56,15 +56,15 @@
     /// call {0} got no final word though its connection held
     Lost(u64),
     /// call {0} got {1} final words
-    Doubled(u64, usize),
+    DuplicateOutcome(u64, usize),
     /// call {0} is complete, but its text is not its own or not whole
     WrongText(u64),
     /// call {0} got text that is no beginning of its own answer
     ForeignText(u64),
     /// request {0} is complete, but step {1} never ran to its end
-    Unfounded(Name, Name),
+    StepNotRun(Name, Name),
     /// request {0} is said not to have run, but step {1} did
-    UntrulyNotRun(Name, Name),
+    FalseNotRun(Name, Name),
     /// key {0}: step {1} ran {2} times
     RanTwice(Key, Name, usize),
     /// request {0} ran step {1} without holding its key
@@ -75,9 +75,9 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Record {
     /// By callers.
-    pub seen: Vec<Seen>,
+    pub calls: Vec<CallRecord>,
     /// By targets.
-    pub ran: Vec<Ran>,
+    pub runs: Vec<StepRun>,
     /// By the store: every claim object.
     pub claims: Vec<Claims>,
     /// Declared.
@@ -88,34 +88,34 @@
     /// Every broken promise.
     pub fn audit(&self) -> Vec<Finding> {
         let mut out = Vec::new();
-        let mut runs: BTreeMap<&Name, Vec<&Ran>> = BTreeMap::new();
-        for r in &self.ran {
+        let mut runs: BTreeMap<&Name, Vec<&StepRun>> = BTreeMap::new();
+        for r in &self.runs {
             runs.entry(&r.request).or_default().push(r);
         }
-        for s in &self.seen {
-            check_words(s, &mut out);
+        for s in &self.calls {
+            check_outcomes(s, &mut out);
             let empty = Vec::new();
             let own = s.request.as_ref().and_then(|id| runs.get(id)).unwrap_or(&empty);
             self.check_runs(s, own, &mut out);
         }
-        self.check_once(&runs, &mut out);
+        self.check_single_runs(&runs, &mut out);
         out
     }
 
-    fn check_runs(&self, s: &Seen, own: &[&Ran], out: &mut Vec<Finding>) {
+    fn check_runs(&self, s: &CallRecord, own: &[&StepRun], out: &mut Vec<Finding>) {
         let Some(request) = &s.request else {
             return;
         };
-        match s.ends.first() {
+        match s.outcomes.first() {
             Some(Outcome::NotRun) => {
                 let steps =
-                    own.iter().map(|r| Finding::UntrulyNotRun(request.clone(), r.step.clone()));
+                    own.iter().map(|r| Finding::FalseNotRun(request.clone(), r.step.clone()));
                 out.extend(steps);
             }
             Some(Outcome::Complete) => {
                 for step in &self.rules.steps {
                     if !own.iter().any(|r| r.step == *step && r.done) {
-                        out.push(Finding::Unfounded(request.clone(), step.clone()));
+                        out.push(Finding::StepNotRun(request.clone(), step.clone()));
                     }
                 }
             }
@@ -124,7 +124,7 @@
     }
 
     /// Over all requests of one key together.
-    fn check_once(&self, runs: &BTreeMap<&Name, Vec<&Ran>>, out: &mut Vec<Finding>) {
+    fn check_single_runs(&self, runs: &BTreeMap<&Name, Vec<&StepRun>>, out: &mut Vec<Finding>) {
         let mut holder: BTreeMap<&Key, &Name> = BTreeMap::new();
         for c in &self.claims {
             holder.extend(c.keys.iter());
@@ -144,17 +144,17 @@
     }
 }
 
-fn check_words(s: &Seen, out: &mut Vec<Finding>) {
-    match s.ends.len() {
+fn check_outcomes(s: &CallRecord, out: &mut Vec<Finding>) {
+    match s.outcomes.len() {
         0 if !s.broken => out.push(Finding::Lost(s.call)),
         0 | 1 => {}
-        n => out.push(Finding::Doubled(s.call, n)),
+        n => out.push(Finding::DuplicateOutcome(s.call, n)),
     }
-    if s.ends.first() == Some(&Outcome::Complete) {
-        if s.text != s.want {
+    if s.outcomes.first() == Some(&Outcome::Complete) {
+        if s.text != s.expected_text {
             out.push(Finding::WrongText(s.call));
         }
-    } else if !s.want.starts_with(&s.text) {
+    } else if !s.expected_text.starts_with(&s.text) {
         out.push(Finding::ForeignText(s.call));
     }
 }
--- a/crates/audit/tests/planted.rs
+++ b/crates/audit/tests/planted.rs
@@ -1,6 +1,6 @@
 //! The auditor finds one planted fault of each kind, and nothing in a clean record.
 
-use audit::{Finding, Ran, Record, Rules, Seen};
+use audit::{CallRecord, Finding, Record, Rules, StepRun};
 use model::claim::Claims;
 use model::key::Key;
 use model::outcome::Outcome;
@@ -9,20 +9,20 @@
     Key::new(1_700_000_000_000, n << 40)
 }
 
-fn seen(call: u64, end: Outcome, text: &str) -> Seen {
-    Seen {
+fn seen(call: u64, end: Outcome, text: &str) -> CallRecord {
+    CallRecord {
         call,
         request: Some(format!("r{call}").into()),
         key: Some(key(call.into())),
-        ends: vec![end],
+        outcomes: vec![end],
         broken: false,
         text: text.into(),
-        want: "the answer".into(),
+        expected_text: "the answer".into(),
     }
 }
 
-fn ran(request: &str, step: &str) -> Ran {
-    Ran { request: request.into(), step: step.into(), resumed: false, done: true }
+fn ran(request: &str, step: &str) -> StepRun {
+    StepRun { request: request.into(), step: step.into(), resumed: false, done: true }
 }
 
 /// Two complete requests, one refused, one failed half way.
@@ -32,13 +32,13 @@
         claims.keys.insert(key(n.into()), format!("r{n}").into());
     }
     Record {
-        seen: vec![
+        calls: vec![
             seen(1, Outcome::Complete, "the answer"),
             seen(2, Outcome::Complete, "the answer"),
             seen(3, Outcome::NotRun, ""),
             seen(4, Outcome::Failed, "the an"),
         ],
-        ran: vec![
+        runs: vec![
             ran("r1", "look"),
             ran("r1", "pay"),
             ran("r2", "look"),
@@ -59,25 +59,33 @@
 fn each_planted_fault_is_found() {
     type Plant = fn(&mut Record);
     let cases: [(&str, Plant, Finding); 9] = [
-        ("lost", |r| r.seen[0].ends.clear(), Finding::Lost(1)),
-        ("doubled", |r| r.seen[0].ends.push(Outcome::Complete), Finding::Doubled(1, 2)),
-        ("misdelivered", |r| r.seen[1].text = "another answer".into(), Finding::WrongText(2)),
-        ("cut short", |r| r.seen[1].text = "the an".into(), Finding::WrongText(2)),
-        ("spliced", |r| r.seen[3].text = "the xx".into(), Finding::ForeignText(4)),
+        ("lost", |r| r.calls[0].outcomes.clear(), Finding::Lost(1)),
+        (
+            "doubled",
+            |r| r.calls[0].outcomes.push(Outcome::Complete),
+            Finding::DuplicateOutcome(1, 2),
+        ),
+        ("misdelivered", |r| r.calls[1].text = "another answer".into(), Finding::WrongText(2)),
+        ("cut short", |r| r.calls[1].text = "the an".into(), Finding::WrongText(2)),
+        ("spliced", |r| r.calls[3].text = "the xx".into(), Finding::ForeignText(4)),
         (
             "unfounded",
-            |r| r.ran.retain(|x| !(&*x.request == "r1" && &*x.step == "look")),
-            Finding::Unfounded("r1".into(), "look".into()),
+            |r| r.runs.retain(|x| !(&*x.request == "r1" && &*x.step == "look")),
+            Finding::StepNotRun("r1".into(), "look".into()),
         ),
         (
             "untruly not run",
-            |r| r.ran.push(ran("r3", "look")),
-            Finding::UntrulyNotRun("r3".into(), "look".into()),
+            |r| r.runs.push(ran("r3", "look")),
+            Finding::FalseNotRun("r3".into(), "look".into()),
+        ),
+        (
+            "run twice",
+            |r| r.runs.push(ran("r2", "pay")),
+            Finding::RanTwice(key(2), "pay".into(), 2),
         ),
-        ("run twice", |r| r.ran.push(ran("r2", "pay")), Finding::RanTwice(key(2), "pay".into(), 2)),
         (
             "run without the claim",
-            |r| r.ran.push(ran("r9", "pay")),
+            |r| r.runs.push(ran("r9", "pay")),
             Finding::Unclaimed("r9".into(), "pay".into()),
         ),
     ];
@@ -91,14 +99,14 @@
 #[test]
 fn reading_the_rest_of_a_stream_is_no_second_run() {
     let mut record = clean();
-    record.ran.push(Ran { resumed: true, ..ran("r2", "pay") });
+    record.runs.push(StepRun { resumed: true, ..ran("r2", "pay") });
     assert_eq!(record.audit(), vec![]);
 }
 
 #[test]
 fn a_broken_connection_is_not_a_lost_request() {
     let mut record = clean();
-    record.seen[3].ends.clear();
-    record.seen[3].broken = true;
+    record.calls[3].outcomes.clear();
+    record.calls[3].broken = true;
     assert_eq!(record.audit(), vec![]);
 }
--- a/crates/bench/benches/decide.rs
+++ b/crates/bench/benches/decide.rs
@@ -18,7 +18,7 @@
                 b.iter(|| {
                     let now = Time::from_millis(5);
                     let ask =
-                        Ask { now, prefix: rng.draw(), model: None, budget: 500.0, tried: &[] };
+                        Ask { now, prefix: rng.next_u64(), model: None, budget: 500.0, tried: &[] };
                     policy.pick(&ask, &t)
                 });
             });
@@ -31,11 +31,11 @@
     let attempt = Attempt { request: "r".into(), step: 0, number: 0 };
     c.bench_function("assemble 100 frames", |b| {
         b.iter(|| {
-            let mut a = decide::request::Assembly::new(attempt.clone(), 0);
+            let mut a = decide::request::Reassembler::new(attempt.clone(), 0);
             for seq in 0..100 {
-                a.take(Frame::Chunk { attempt: attempt.clone(), seq, text: "word ".into() });
+                a.receive(Frame::Chunk { attempt: attempt.clone(), seq, text: "word ".into() });
             }
-            a.next()
+            a.next_seq()
         });
     });
 }
--- a/crates/bench/src/experiment/work.rs
+++ b/crates/bench/src/experiment/work.rs
@@ -59,7 +59,7 @@
 
     fn draw(&self, rng: &mut Rng) -> usize {
         let total = self.cumulative.last().copied().unwrap_or(1.0);
-        let x = rng.unit() * total;
+        let x = rng.next_f64() * total;
         self.cumulative.partition_point(|c| *c < x).min(self.cumulative.len() - 1)
     }
 
@@ -68,10 +68,10 @@
         let mut own = Rng::new(self.seed ^ (session as u64) << 20);
         let mut text = String::with_capacity((self.prefix + TURN) * 7);
         for _ in 0..self.prefix {
-            text.push_str(&format!("{:05x} ", own.draw() & 0xf_ffff));
+            text.push_str(&format!("{:05x} ", own.next_u64() & 0xf_ffff));
         }
         for _ in 0..TURN {
-            text.push_str(&format!("{:05x} ", rng.draw() & 0xf_ffff));
+            text.push_str(&format!("{:05x} ", rng.next_u64() & 0xf_ffff));
         }
         text
     }
@@ -114,7 +114,7 @@
 fn burst(plan: &Plan, cell: &Cell, rng: &mut Rng, at: f64) -> usize {
     let third = plan.seconds / 3.0;
     let within = at >= plan.warmup + third && at < plan.warmup + 2.0 * third;
-    let long = cell.fault == Fault::Burst && within && rng.unit() < BURST_SHARE;
+    let long = cell.fault == Fault::Burst && within && rng.next_f64() < BURST_SHARE;
     if long { plan.words * BURST_LENGTH } else { plan.words }
 }
 
@@ -134,7 +134,7 @@
     }
     let mut at = 0.0;
     loop {
-        at += -(1.0 - rng.unit()).ln() / rate;
+        at += -(1.0 - rng.next_f64()).ln() / rate;
         if at >= end {
             return;
         }
--- a/crates/bench/src/slopes/claims.rs
+++ b/crates/bench/src/slopes/claims.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use decide::claim::{Action, Committer, Event, ReadBack, WriteEnd};
+use decide::claim::{Action, Committer, Event, ReadOutcome, WriteOutcome};
 use model::claim::{ClaimAsk, Claims};
 use model::key::Key;
 use model::{Name, Time};
@@ -37,8 +37,8 @@
             Action::Read(object) => {
                 self.reads += 1;
                 let found = match self.objects.get(&object).cloned() {
-                    Some((version, claims)) => ReadBack::Found { version, claims },
-                    None => ReadBack::Never,
+                    Some((version, claims)) => ReadOutcome::Found { version, claims },
+                    None => ReadOutcome::NeverWritten,
                 };
                 Some(Event::Read { object, found })
             }
@@ -46,7 +46,7 @@
                 self.writes += 1;
                 self.bytes += serde_json::to_vec(&claims).map_or(0, |b| b.len() as u64);
                 self.objects.insert(object.clone(), (expect + 1, claims));
-                Some(Event::Wrote { object, end: WriteEnd::Done(expect + 1) })
+                Some(Event::Written { object, end: WriteOutcome::Done(expect + 1) })
             }
         }
     }
@@ -62,12 +62,12 @@
         let unix_ms = UNIX_MS + at.0 / 1000;
         let key = Key::new(unix_ms, u128::from(i) * 0x9e37_79b9_7f4a_7c15);
         let ask = ClaimAsk { key, request: format!("hall-a-1-0a1b2c3d-{i}").into() };
-        let until = at + Duration::from_secs(2);
-        todo.insert((at, i), Event::Ask { ask, ticket: i, unix_ms, until });
+        let expires = at + Duration::from_secs(2);
+        todo.insert((at, i), Event::Claim { ask, ticket: i, unix_ms, expires });
     }
     let mut seq = total;
     while let Some(((at, _), event)) = todo.pop_first() {
-        for action in committer.on(at, event) {
+        for action in committer.handle_event(at, event) {
             if let Some(event) = store.act(action) {
                 seq += 1;
                 todo.insert((at + CALL, seq), event);
--- a/crates/bench/src/slopes/config.rs
+++ b/crates/bench/src/slopes/config.rs
@@ -5,7 +5,7 @@
 
 use decide::config::{
     Declared, Follower, FollowerAction, FollowerEvent, Publisher, PublisherAction, PublisherEvent,
-    PutEnd, Source,
+    PutOutcome, Source,
 };
 use model::manifest::Manifest;
 use model::object::{Limit, Pipeline, Pool, Role, Spec, Stage, Target, Workspace};
@@ -84,7 +84,7 @@
     fn publish(&mut self, event: PublisherEvent) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            for action in self.publisher.on(event) {
+            for action in self.publisher.handle_event(event) {
                 match action {
                     PublisherAction::ReadBase => {
                         let manifest = self.manifests.last().cloned().unwrap_or_default();
@@ -96,12 +96,12 @@
                         self.put += 1;
                         self.put_bytes += text.len();
                         self.chunks.insert(hash.clone(), text);
-                        events.push(PublisherEvent::Chunk(hash, PutEnd::Done));
+                        events.push(PublisherEvent::Chunk(hash, PutOutcome::Done));
                     }
                     PublisherAction::PutManifest { manifest, .. } => {
                         let nonce = manifest.nonce;
                         self.manifests.push(manifest);
-                        events.push(PublisherEvent::Manifest(nonce, PutEnd::Done));
+                        events.push(PublisherEvent::Manifest(nonce, PutOutcome::Done));
                     }
                     PublisherAction::PutStatus(_) => {}
                 }
@@ -113,16 +113,16 @@
     fn follow(&mut self, neighbour: &Follower) -> usize {
         let from = Source::Peer("n".into());
         let number = neighbour.number();
-        let heard = FollowerEvent::Heard { number, from: from.clone() };
+        let heard = FollowerEvent::Announced { number, from: from.clone() };
         let mut bytes = 0;
-        let mut actions = self.follower.on(Time::ZERO, heard);
+        let mut actions = self.follower.handle_event(Time::ZERO, heard);
         while let Some(action) = actions.pop() {
             match action {
                 FollowerAction::FetchDelta { have, .. } => {
                     let delta = neighbour.delta(have);
                     bytes += encoded(&delta);
                     let event = FollowerEvent::Delta { delta, from: from.clone() };
-                    actions.extend(self.follower.on(Time::ZERO, event));
+                    actions.extend(self.follower.handle_event(Time::ZERO, event));
                 }
                 FollowerAction::FetchChunks { hashes, .. } => {
                     let texts: Vec<Arc<str>> =
@@ -130,7 +130,7 @@
                     bytes += encoded(&Chunks { texts: texts.clone() });
                     for (hash, text) in hashes.into_iter().zip(texts) {
                         let event = FollowerEvent::Chunk { hash, text };
-                        actions.extend(self.follower.on(Time::ZERO, event));
+                        actions.extend(self.follower.handle_event(Time::ZERO, event));
                     }
                 }
                 FollowerAction::Applied(_) => {}
@@ -143,10 +143,10 @@
     fn neighbour(&self, at: &mut Follower) {
         let manifest = self.manifests.last().cloned().unwrap_or_default();
         let slots = manifest.slots.clone();
-        at.on(Time::ZERO, FollowerEvent::Manifest(manifest));
+        at.handle_event(Time::ZERO, FollowerEvent::Manifest(manifest));
         for hash in slots {
             let text = self.chunks[&hash].clone();
-            at.on(Time::ZERO, FollowerEvent::Chunk { hash, text });
+            at.handle_event(Time::ZERO, FollowerEvent::Chunk { hash, text });
         }
     }
 }
--- a/crates/bench/src/slopes/leases.rs
+++ b/crates/bench/src/slopes/leases.rs
@@ -1,7 +1,7 @@
 //! Store calls of the leases, by failure domains: three candidates a domain
 //! watch the manifest's lease and their own domain's.
 
-use decide::lease::{Action, Event, Holder, PERIOD};
+use decide::lease::{Action, Event, LeaseClient, PERIOD};
 use model::Time;
 use model::lease::Lease;
 
@@ -18,8 +18,8 @@
 
 /// Reads and writes a second of `n` candidates for one lease.
 fn calls(n: usize) -> (f64, f64) {
-    let mut holders: Vec<Holder> =
-        (0..n).map(|i| Holder::new(format!("n{i}").into(), PERIOD, i as u64)).collect();
+    let mut holders: Vec<LeaseClient> =
+        (0..n).map(|i| LeaseClient::new(format!("n{i}").into(), PERIOD, i as u64)).collect();
     let mut stored: Option<(u64, Lease)> = None;
     let (mut reads, mut writes) = (0u64, 0u64);
     for ms in (0..SECONDS * 1000).step_by(STEP as usize) {
@@ -30,7 +30,7 @@
             }
             let mut events = vec![Event::Tick];
             while let Some(event) = events.pop() {
-                for action in h.on(now, event) {
+                for action in h.handle_event(now, event) {
                     match action {
                         Action::Read => {
                             reads += 1;
@@ -43,12 +43,12 @@
                             let version = stored.as_ref().map_or(0, |(v, _)| *v);
                             if version == expect {
                                 stored = Some((version + 1, lease));
-                                events.push(Event::Wrote(version + 1));
+                                events.push(Event::Written(version + 1));
                             } else {
                                 events.push(Event::Conflict);
                             }
                         }
-                        Action::Taken(_) | Action::Dropped => {}
+                        Action::Acquired(_) | Action::Lost => {}
                     }
                 }
             }
--- a/crates/bench/src/slopes/members.rs
+++ b/crates/bench/src/slopes/members.rs
@@ -43,7 +43,7 @@
             dead: Vec::new(),
         };
         for i in 0..n {
-            let start = d.wire.rng.draw().max(1);
+            let start = d.wire.rng.next_u64().max(1);
             let id = NodeId { name: format!("hall-a-{i}").into(), start };
             let node = Node {
                 id,
@@ -52,7 +52,7 @@
                 domain: "a".into(),
                 capacity: 0,
             };
-            let mut m = Member::new(node, Tuning::default(), d.wire.rng.draw());
+            let mut m = Member::new(node, Tuning::default(), d.wire.rng.next_u64());
             m.on(Time::ZERO, Event::Seeds((0..3.min(n)).map(address).collect()));
             d.nodes.push(Some(m));
             let at = Time(d.wire.rng.below(1_000_000) as u64);
@@ -65,7 +65,7 @@
     fn with_loads(mut self) -> Self {
         let targets = (self.nodes.len() as f64 * TARGETS) as u32;
         for t in 0..targets {
-            let at = Time((self.wire.rng.unit() * CHANGE_EVERY * 1e6) as u64);
+            let at = Time((self.wire.rng.next_f64() * CHANGE_EVERY * 1e6) as u64);
             self.wire.at(at, Todo::Own(Change(t)));
         }
         self
@@ -99,8 +99,8 @@
         let load = LoadRumor { target: t, wait, seq, flags: 1 };
         self.loads[poller].insert(t, seq);
         self.feed(poller, Event::Load(load));
-        let next =
-            self.wire.now + Duration::from_secs_f64(CHANGE_EVERY * (0.5 + self.wire.rng.unit()));
+        let next = self.wire.now
+            + Duration::from_secs_f64(CHANGE_EVERY * (0.5 + self.wire.rng.next_f64()));
         self.wire.at(next, Todo::Own(Change(t)));
     }
 
--- a/crates/bench/src/slopes/routes.rs
+++ b/crates/bench/src/slopes/routes.rs
@@ -38,7 +38,7 @@
         for _ in 0..DECISIONS / n as u64 * 20 {
             let ask = Ask {
                 now: Time::from_millis(5),
-                prefix: rng.draw(),
+                prefix: rng.next_u64(),
                 model: None,
                 budget: 500.0,
                 tried: &[],
--- a/crates/bench/src/slopes/starts.rs
+++ b/crates/bench/src/slopes/starts.rs
@@ -43,7 +43,7 @@
     }
 
     fn start(&mut self, i: usize) {
-        let start = self.wire.rng.draw().max(1);
+        let start = self.wire.rng.next_u64().max(1);
         let node = Node {
             id: NodeId { name: format!("node-{i}").into(), start },
             address: address(i),
@@ -51,7 +51,7 @@
             domain: format!("d{}", i % DOMAINS).into(),
             capacity: u8::from((i / DOMAINS).is_multiple_of(HUB_EVERY)),
         };
-        let mut member = Member::new(node, Tuning::of_nodes(), self.wire.rng.draw());
+        let mut member = Member::new(node, Tuning::of_nodes(), self.wire.rng.next_u64());
         self.born[i] = self.wire.now;
         member.on(Time::ZERO, Event::Seeds((1..4).map(address).collect()));
         self.nodes[i] = Some(member);
--- a/crates/bench/src/slopes/wire.rs
+++ b/crates/bench/src/slopes/wire.rs
@@ -73,7 +73,7 @@
     pub fn send(&mut self, from: usize, to: SocketAddr, packet: Packet, bytes: usize) {
         self.packets += 1;
         self.bytes += (bytes + HEADERS) as u64;
-        if self.loss > 0.0 && self.rng.unit() < self.loss {
+        if self.loss > 0.0 && self.rng.next_f64() < self.loss {
             return;
         }
         let SocketAddr::V4(v4) = to else {
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -95,7 +95,7 @@
     type Reply = ();
 
     async fn handle(&mut self, h: Happened, ctx: &mut Context<Self, ()>) {
-        for action in self.machine.on(self.shared.clock.now(), h.0) {
+        for action in self.machine.handle_event(self.shared.clock.now(), h.0) {
             match action {
                 FollowerAction::Applied(change) => self.applied(change).await,
                 fetch => {
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use decide::lease::{Action, Event, Holder};
+use decide::lease::{Action, Event, LeaseClient};
 use kameo::Actor;
 use kameo::actor::ActorRef;
 use kameo::message::{Context, Message};
@@ -30,11 +30,11 @@
     pub epoch: watch::Sender<Option<u64>>,
 }
 
-/// Wraps [`Holder`].
+/// Wraps [`LeaseClient`].
 pub struct Lease {
     shared: Arc<Shared>,
     name: Name,
-    machine: Holder,
+    machine: LeaseClient,
     epoch: watch::Sender<Option<u64>>,
     tick: Option<Time>,
 }
@@ -45,7 +45,7 @@
 
     async fn on_start(args: Args, me: ActorRef<Self>) -> Result<Self, Infallible> {
         let period = Duration::from_millis(args.shared.settings.lease_period);
-        let machine = Holder::new(args.holder, period, rand::random());
+        let machine = LeaseClient::new(args.holder, period, rand::random());
         let mut actor =
             Lease { shared: args.shared, name: args.name, machine, epoch: args.epoch, tick: None };
         actor.wake(&me);
@@ -78,7 +78,7 @@
                 return self.idle(&me);
             }
         }
-        for action in self.machine.on(self.shared.clock.now(), h.0) {
+        for action in self.machine.handle_event(self.shared.clock.now(), h.0) {
             self.act(action, &me);
         }
         self.wake(&me);
@@ -88,11 +88,11 @@
 impl Lease {
     fn act(&mut self, action: Action, me: &ActorRef<Self>) {
         match action {
-            Action::Taken(epoch) => {
+            Action::Acquired(epoch) => {
                 log::info!("lease: {} taken with epoch {epoch}.", self.name);
                 self.epoch.send_replace(Some(epoch));
             }
-            Action::Dropped => {
+            Action::Lost => {
                 log::warn!("lease: {} is no longer held.", self.name);
                 self.epoch.send_replace(None);
             }
@@ -143,14 +143,14 @@
         Action::Write { expect, lease } => {
             let value = serde_json::to_value(&lease).expect("leases encode");
             match store.put(kind::LEASE, name, expect, Some(value)).await {
-                Ok(version) => Event::Wrote(version),
+                Ok(version) => Event::Written(version),
                 Err(e) if e.kind == ErrorKind::Conflict => Event::Conflict,
                 Err(e) => {
                     log::debug!("lease: {e}");
-                    Event::Lost
+                    Event::WriteLost
                 }
             }
         }
-        Action::Taken(_) | Action::Dropped => Event::Tick,
+        Action::Acquired(_) | Action::Lost => Event::Tick,
     }
 }
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -101,7 +101,7 @@
             }
             Action::Heard(number, from) => {
                 let from = Source::Peer(from.to_string().into());
-                let heard = FollowerEvent::Heard { number, from };
+                let heard = FollowerEvent::Announced { number, from };
                 let _ = self.config.tell(crate::config::Happened(heard)).await;
                 None
             }
--- a/crates/control/src/publish.rs
+++ b/crates/control/src/publish.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use decide::claim::{Sweep, SweepAction};
-use decide::config::{Declared, Publisher, PublisherAction, PublisherEvent, PutEnd};
+use decide::config::{Declared, Publisher, PublisherAction, PublisherEvent, PutOutcome};
 use follow::{read_chunk, read_manifest};
 use kameo::actor::ActorRef;
 use model::Name;
@@ -193,7 +193,7 @@
     async fn step(&mut self, event: PublisherEvent) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            for action in self.machine.on(event) {
+            for action in self.machine.handle_event(event) {
                 events.extend(self.perform(action).await);
             }
         }
@@ -268,7 +268,7 @@
             Some(SweepAction::Raise(floor)) => {
                 let raised = raise(&self.shared, &floor).await;
                 let now = self.shared.clock.now();
-                raised.into_iter().for_each(|()| self.sweep.raised(now, floor.bucket));
+                raised.into_iter().for_each(|()| self.sweep.floor_raised(now, floor.bucket));
             }
             Some(SweepAction::DeleteBelow(bucket)) => delete_below(&self.shared, bucket).await,
             None => {}
@@ -276,22 +276,22 @@
     }
 }
 
-fn put_end(result: Result<u64, StoreError>) -> PutEnd {
+fn put_end(result: Result<u64, StoreError>) -> PutOutcome {
     match result {
-        Ok(_) => PutEnd::Done,
-        Err(e) if e.kind == ErrorKind::Conflict => PutEnd::Conflict,
-        Err(_) => PutEnd::Lost,
+        Ok(_) => PutOutcome::Done,
+        Err(e) if e.kind == ErrorKind::Conflict => PutOutcome::Conflict,
+        Err(_) => PutOutcome::Lost,
     }
 }
 
 /// Writes a content-addressed chunk; one that is already there is as good.
-async fn put_chunk(shared: &Shared, hash: &str, text: &str) -> PutEnd {
+async fn put_chunk(shared: &Shared, hash: &str, text: &str) -> PutOutcome {
     let store = shared.store.with(Reason::Config);
     let Ok(old) = store.get(kind::CHUNK, hash).await else {
-        return PutEnd::Lost;
+        return PutOutcome::Lost;
     };
     if old.value.is_some() {
-        return PutEnd::Done;
+        return PutOutcome::Done;
     }
     put_end(store.put(kind::CHUNK, hash, old.version, Some(text.into())).await)
 }
--- a/crates/decide/src/claim/committer.rs
+++ b/crates/decide/src/claim/committer.rs
@@ -7,22 +7,22 @@
 use model::key::{BUCKET_MS, Key};
 use model::{Name, Time};
 
-use super::{CLOCK_ERROR_MS, WINDOW_MS};
+use super::{CLAIM_WINDOW_MS, MAX_CLOCK_ERROR_MS};
 
 /// Least time between the starts of two writes of one object.
-const SPACING: Duration = Duration::from_millis(50);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(50);
 /// Wait after a failed call before the next one.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Most keys that one write adds.
-const BATCH_MAX: usize = 1000;
+const MAX_BATCH: usize = 1000;
 /// How long an idle object's content is kept.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TTL: Duration = Duration::from_secs(20);
 
 /// What a read of a claim object found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ReadBack {
+pub enum ReadOutcome {
     /// Never written, as far as the store says.
-    Never,
+    NeverWritten,
     /// Deleted: its keys are too old.
     Deleted,
     /// Content at a version.
@@ -38,7 +38,7 @@
 
 /// How a write ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// Accepted at this version.
     Done(u64),
     /// The version did not match.
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A request wants a key; `ticket` comes back with the answer.
-    Ask {
+    Claim {
         /// The claim.
         ask: ClaimAsk,
         /// Comes back in [`Action::Answer`].
@@ -61,23 +61,23 @@
         /// The node's wall clock, milliseconds.
         unix_ms: u64,
         /// When nobody waits any longer.
-        until: Time,
+        expires: Time,
     },
     /// A read ended.
     Read {
         /// Object.
         object: Name,
         /// What it found.
-        found: ReadBack,
+        found: ReadOutcome,
     },
     /// The floor was read; `None` if that failed.
     Floor(Option<u64>),
     /// A write ended.
-    Wrote {
+    Written {
         /// Object.
         object: Name,
         /// How.
-        end: WriteEnd,
+        end: WriteOutcome,
     },
     /// Time passed.
     Tick,
@@ -101,7 +101,7 @@
     },
     /// Answer a claim.
     Answer {
-        /// From [`Event::Ask`].
+        /// From [`Event::Claim`].
         ticket: u64,
         /// How it ended.
         end: ClaimEnd,
@@ -109,17 +109,17 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingClaim {
     ask: ClaimAsk,
     ticket: u64,
-    until: Time,
+    expires: Time,
     /// A write that carried it may have landed.
-    doubt: bool,
+    maybe_written: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Busy {
-    No,
+enum Io {
+    Idle,
     Reading,
     Writing,
 }
@@ -127,12 +127,12 @@
 #[derive(Debug)]
 struct Shard {
     bucket: u64,
-    known: Option<(u64, Claims)>,
-    waiting: Vec<Waiting>,
-    flying: Vec<Key>,
-    busy: Busy,
-    next: Time,
-    used: Time,
+    cached: Option<(u64, Claims)>,
+    pending: Vec<PendingClaim>,
+    in_flight: Vec<Key>,
+    io: Io,
+    next_call: Time,
+    last_used: Time,
 }
 
 /// The claims of one node.
@@ -140,23 +140,23 @@
 pub struct Committer {
     shards: BTreeMap<Name, Shard>,
     floor: Option<u64>,
-    floor_asked: bool,
+    floor_requested: bool,
 }
 
 impl Committer {
     /// Takes one event; returns what is to be done.
-    pub fn on(&mut self, now: Time, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         match event {
-            Event::Ask { ask, ticket, unix_ms, until } => {
-                self.ask(now, ask, ticket, unix_ms, until, &mut out);
+            Event::Claim { ask, ticket, unix_ms, expires } => {
+                self.enqueue(now, ask, ticket, unix_ms, expires, &mut out);
             }
-            Event::Read { object, found } => self.read(now, &object, found, &mut out),
+            Event::Read { object, found } => self.handle_read(now, &object, found, &mut out),
             Event::Floor(floor) => {
-                self.floor_asked = false;
+                self.floor_requested = false;
                 self.floor = floor.or(self.floor);
             }
-            Event::Wrote { object, end } => self.wrote(now, &object, end, &mut out),
+            Event::Written { object, end } => self.handle_write(now, &object, end, &mut out),
             Event::Tick => {}
         }
         self.advance(now, &mut out);
@@ -166,82 +166,82 @@
     /// When [`Event::Tick`] is wanted next.
     pub fn next_tick(&self) -> Option<Time> {
         let shard = |s: &Shard| {
-            let give_up = s.waiting.iter().map(|w| w.until).min();
-            let write = (s.busy == Busy::No && !s.waiting.is_empty()).then_some(s.next);
+            let give_up = s.pending.iter().map(|w| w.expires).min();
+            let write = (s.io == Io::Idle && !s.pending.is_empty()).then_some(s.next_call);
             give_up.into_iter().chain(write).min()
         };
         self.shards.values().filter_map(shard).min()
     }
 
-    fn ask(
+    fn enqueue(
         &mut self,
         now: Time,
         ask: ClaimAsk,
         ticket: u64,
         unix_ms: u64,
-        until: Time,
+        expires: Time,
         out: &mut Vec<Action>,
     ) {
         let at = ask.key.unix_ms();
-        if at + WINDOW_MS < unix_ms {
+        if at + CLAIM_WINDOW_MS < unix_ms {
             return out.push(Action::Answer { ticket, end: ClaimEnd::Old });
         }
-        if at > unix_ms + CLOCK_ERROR_MS {
+        if at > unix_ms + MAX_CLOCK_ERROR_MS {
             return out.push(Action::Answer { ticket, end: ClaimEnd::Future });
         }
         let shard = self.shards.entry(ask.key.object()).or_insert_with(|| Shard {
             bucket: ask.key.bucket(),
-            known: None,
-            waiting: Vec::new(),
-            flying: Vec::new(),
-            busy: Busy::No,
-            next: now,
-            used: now,
+            cached: None,
+            pending: Vec::new(),
+            in_flight: Vec::new(),
+            io: Io::Idle,
+            next_call: now,
+            last_used: now,
         });
-        shard.used = now;
-        shard.waiting.push(Waiting { ask, ticket, until, doubt: false });
+        shard.last_used = now;
+        shard.pending.push(PendingClaim { ask, ticket, expires, maybe_written: false });
     }
 
-    fn read(&mut self, now: Time, object: &Name, found: ReadBack, out: &mut Vec<Action>) {
+    fn handle_read(&mut self, now: Time, object: &Name, found: ReadOutcome, out: &mut Vec<Action>) {
         let Some(s) = self.shards.get_mut(object) else {
             return;
         };
-        s.busy = Busy::No;
+        s.io = Io::Idle;
         match found {
-            ReadBack::Found { version, claims } => {
-                s.known = Some((version, claims));
-                s.settle(out);
+            ReadOutcome::Found { version, claims } => {
+                s.cached = Some((version, claims));
+                s.answer_cached(out);
             }
-            ReadBack::Never => s.known = Some((0, Claims::default())),
-            ReadBack::Deleted => s.answer_all(&ClaimEnd::Old, out),
-            ReadBack::Failed => s.next = s.next.max(now + PAUSE),
+            ReadOutcome::NeverWritten => s.cached = Some((0, Claims::default())),
+            ReadOutcome::Deleted => s.answer_all(&ClaimEnd::Old, out),
+            ReadOutcome::Failed => s.next_call = s.next_call.max(now + RETRY_DELAY),
         }
     }
 
-    fn wrote(&mut self, now: Time, object: &Name, end: WriteEnd, out: &mut Vec<Action>) {
+    fn handle_write(&mut self, now: Time, object: &Name, end: WriteOutcome, out: &mut Vec<Action>) {
         let Some(s) = self.shards.get_mut(object) else {
             return;
         };
-        s.busy = Busy::No;
-        let flying = std::mem::take(&mut s.flying);
+        s.io = Io::Idle;
+        let in_flight = std::mem::take(&mut s.in_flight);
         match end {
-            WriteEnd::Done(version) => {
-                if let Some((v, claims)) = &mut s.known {
+            WriteOutcome::Done(version) => {
+                if let Some((v, claims)) = &mut s.cached {
                     *v = version;
-                    for w in s.waiting.iter().filter(|w| flying.contains(&w.ask.key)) {
+                    for w in s.pending.iter().filter(|w| in_flight.contains(&w.ask.key)) {
                         claims.keys.entry(w.ask.key).or_insert_with(|| w.ask.request.clone());
                     }
                 }
-                s.settle(out);
+                s.answer_cached(out);
             }
             // Somebody else wrote, or an earlier write of ours landed late: read.
-            WriteEnd::Conflict => s.known = None,
-            WriteEnd::NotSent => s.next = s.next.max(now + PAUSE),
-            WriteEnd::Lost => {
-                s.known = None;
-                s.next = s.next.max(now + PAUSE);
-                for w in s.waiting.iter_mut().filter(|w| flying.contains(&w.ask.key)) {
-                    w.doubt = true;
+            WriteOutcome::Conflict => s.cached = None,
+            WriteOutcome::NotSent => s.next_call = s.next_call.max(now + RETRY_DELAY),
+            WriteOutcome::Lost => {
+                s.cached = None;
+                s.next_call = s.next_call.max(now + RETRY_DELAY);
+                for w in s.pending.iter_mut().filter(|w| in_flight.contains(&w.ask.key)) {
+                    w.maybe_written = true;
                 }
             }
         }
@@ -251,15 +251,16 @@
         for s in self.shards.values_mut() {
             s.expire(now, out);
         }
-        self.shards
-            .retain(|_, s| !s.waiting.is_empty() || s.busy != Busy::No || now.since(s.used) < IDLE);
+        self.shards.retain(|_, s| {
+            !s.pending.is_empty() || s.io != Io::Idle || now.since(s.last_used) < IDLE_TTL
+        });
         let mut need_floor = false;
         for (object, s) in &mut self.shards {
-            if s.busy != Busy::No || s.waiting.is_empty() || now < s.next {
+            if s.io != Io::Idle || s.pending.is_empty() || now < s.next_call {
                 continue;
             }
-            let Some((version, claims)) = &s.known else {
-                s.busy = Busy::Reading;
+            let Some((version, claims)) = &s.cached else {
+                s.io = Io::Reading;
                 out.push(Action::Read(object.clone()));
                 continue;
             };
@@ -268,7 +269,7 @@
                 match self.floor {
                     None => {
                         need_floor = true;
-                        s.next = now + PAUSE;
+                        s.next_call = now + RETRY_DELAY;
                         continue;
                     }
                     Some(f) if s.bucket < f => {
@@ -279,34 +280,35 @@
                 }
             }
             let mut claims = claims.clone();
-            for w in s.waiting.iter().take(BATCH_MAX) {
+            for w in s.pending.iter().take(MAX_BATCH) {
                 claims.keys.entry(w.ask.key).or_insert_with(|| w.ask.request.clone());
-                s.flying.push(w.ask.key);
+                s.in_flight.push(w.ask.key);
             }
-            s.busy = Busy::Writing;
-            s.next = now + SPACING;
-            s.used = now;
+            s.io = Io::Writing;
+            s.next_call = now + MIN_WRITE_INTERVAL;
+            s.last_used = now;
             out.push(Action::Write { object: object.clone(), expect: *version, claims });
         }
-        if need_floor && !self.floor_asked {
-            self.floor_asked = true;
+        if need_floor && !self.floor_requested {
+            self.floor_requested = true;
             out.push(Action::ReadFloor);
         }
     }
 
     /// Lowest bucket that is certainly still in use at this wall clock.
     pub fn oldest_bucket(unix_ms: u64) -> u64 {
-        unix_ms.saturating_sub(WINDOW_MS + 2 * CLOCK_ERROR_MS + super::MARGIN_MS) / BUCKET_MS
+        unix_ms.saturating_sub(CLAIM_WINDOW_MS + 2 * MAX_CLOCK_ERROR_MS + super::DELETE_MARGIN_MS)
+            / BUCKET_MS
     }
 }
 
 impl Shard {
     /// Answers every waiting key that the known content holds.
-    fn settle(&mut self, out: &mut Vec<Action>) {
-        let Some((_, claims)) = &self.known else {
+    fn answer_cached(&mut self, out: &mut Vec<Action>) {
+        let Some((_, claims)) = &self.cached else {
             return;
         };
-        self.waiting.retain(|w| {
+        self.pending.retain(|w| {
             let Some(holder) = claims.keys.get(&w.ask.key) else {
                 return true;
             };
@@ -318,20 +320,20 @@
     }
 
     fn answer_all(&mut self, end: &ClaimEnd, out: &mut Vec<Action>) {
-        for w in self.waiting.drain(..) {
+        for w in self.pending.drain(..) {
             out.push(Action::Answer { ticket: w.ticket, end: end.clone() });
         }
     }
 
     /// Gives up those whose time is over.
     fn expire(&mut self, now: Time, out: &mut Vec<Action>) {
-        let flying = &self.flying;
-        self.waiting.retain(|w| {
-            if now < w.until {
+        let in_flight = &self.in_flight;
+        self.pending.retain(|w| {
+            if now < w.expires {
                 return true;
             }
-            let doubt = w.doubt || flying.contains(&w.ask.key);
-            let end = if doubt { ClaimEnd::Doubt } else { ClaimEnd::Failed };
+            let maybe_written = w.maybe_written || in_flight.contains(&w.ask.key);
+            let end = if maybe_written { ClaimEnd::Doubt } else { ClaimEnd::Failed };
             out.push(Action::Answer { ticket: w.ticket, end });
             false
         });
--- a/crates/decide/src/claim/mod.rs
+++ b/crates/decide/src/claim/mod.rs
@@ -11,12 +11,12 @@
 mod committer;
 mod sweep;
 
-pub use committer::{Action, Committer, Event, ReadBack, WriteEnd};
+pub use committer::{Action, Committer, Event, ReadOutcome, WriteOutcome};
 pub use sweep::{Sweep, SweepAction};
 
 /// How long a key can be claimed after its time, milliseconds.
-pub const WINDOW_MS: u64 = 600_000;
+pub const CLAIM_WINDOW_MS: u64 = 600_000;
 /// Stated bound on the error of any node's wall clock, milliseconds.
-pub const CLOCK_ERROR_MS: u64 = 30_000;
+pub const MAX_CLOCK_ERROR_MS: u64 = 30_000;
 /// Margin between refusing keys of a bucket and deleting it, milliseconds.
-pub const MARGIN_MS: u64 = 60_000;
+pub const DELETE_MARGIN_MS: u64 = 60_000;
--- a/crates/decide/src/claim/sweep.rs
+++ b/crates/decide/src/claim/sweep.rs
@@ -7,10 +7,10 @@
 use model::Time;
 use model::claim::Floor;
 
-use super::{Committer, MARGIN_MS};
+use super::{Committer, DELETE_MARGIN_MS};
 
 /// How often the floor moves.
-const EVERY: Duration = Duration::from_secs(60);
+const INTERVAL: Duration = Duration::from_secs(60);
 
 /// What the sweep wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,27 +25,27 @@
 #[derive(Debug, Default)]
 pub struct Sweep {
     raised: Option<(u64, Time)>,
-    next: Time,
+    next_raise: Time,
 }
 
 impl Sweep {
     /// What is due now, by this wall clock.
     pub fn tick(&mut self, now: Time, unix_ms: u64) -> Option<SweepAction> {
         if let Some((bucket, at)) = self.raised
-            && now.since(at) >= Duration::from_millis(MARGIN_MS)
+            && now.since(at) >= Duration::from_millis(DELETE_MARGIN_MS)
         {
             self.raised = None;
             return Some(SweepAction::DeleteBelow(bucket));
         }
-        if self.raised.is_some() || now < self.next {
+        if self.raised.is_some() || now < self.next_raise {
             return None;
         }
-        self.next = now + EVERY;
+        self.next_raise = now + INTERVAL;
         Some(SweepAction::Raise(Floor { bucket: Committer::oldest_bucket(unix_ms) }))
     }
 
     /// The store took the floor.
-    pub fn raised(&mut self, now: Time, bucket: u64) {
+    pub fn floor_raised(&mut self, now: Time, bucket: u64) {
         self.raised = Some((bucket, now));
     }
 }
--- a/crates/decide/src/config/accept.rs
+++ b/crates/decide/src/config/accept.rs
@@ -28,7 +28,7 @@
             let spec = d.spec.clone().and_then(Result::ok);
             items.insert(d.key.clone(), Item { key: d.key.clone(), version: d.version, spec });
         }
-        let faults = object::check(&set_of(&items));
+        let faults = object::check(&to_set(&items));
         if faults.is_empty() {
             return (items, refused);
         }
@@ -43,12 +43,12 @@
         }
         // An object that did not change is at fault, so one that it needs did.
         let why = format!("would break {}", faults[0]);
-        let open = newer.iter().filter(|d| !refused.contains_key(&d.key));
-        let guilty: Vec<Name> = match open.clone().find(|d| d.spec.is_none()) {
-            Some(_) => open.filter(|d| d.spec.is_none()).map(|d| d.key.clone()).collect(),
-            None => open.map(|d| d.key.clone()).collect(),
+        let remaining = newer.iter().filter(|d| !refused.contains_key(&d.key));
+        let blamed: Vec<Name> = match remaining.clone().find(|d| d.spec.is_none()) {
+            Some(_) => remaining.filter(|d| d.spec.is_none()).map(|d| d.key.clone()).collect(),
+            None => remaining.map(|d| d.key.clone()).collect(),
         };
-        refused.extend(guilty.into_iter().map(|k| (k, why.clone())));
+        refused.extend(blamed.into_iter().map(|k| (k, why.clone())));
         if refused.len() == before {
             // The published set itself is at fault; leave it as it is.
             return (base.clone(), refused);
@@ -56,7 +56,7 @@
     }
 }
 
-fn set_of(items: &BTreeMap<Name, Item>) -> Set {
+fn to_set(items: &BTreeMap<Name, Item>) -> Set {
     let mut set = Set::default();
     for item in items.values() {
         if let Some(spec) = &item.spec {
--- a/crates/decide/src/config/cut.rs
+++ b/crates/decide/src/config/cut.rs
@@ -8,14 +8,18 @@
 
 /// Cuts items into slots of a few KB; `had` keeps the count while it still fits,
 /// so that one change moves one chunk.
-pub(super) fn cut(
+pub(super) fn split_chunks(
     items: &BTreeMap<Name, Item>,
-    had: usize,
+    old_count: usize,
 ) -> (Vec<Name>, BTreeMap<Name, Arc<str>>) {
     let bytes: usize =
         items.values().map(|i| serde_json::to_vec(i).map_or(0, |v| v.len() + 1)).sum();
-    let wanted = bytes.div_ceil(CHUNK_BYTES).next_power_of_two();
-    let count = if wanted > had * 2 || wanted * 8 < had || had == 0 { wanted } else { had };
+    let wanted_count = bytes.div_ceil(CHUNK_BYTES).next_power_of_two();
+    let count = if wanted_count > old_count * 2 || wanted_count * 8 < old_count || old_count == 0 {
+        wanted_count
+    } else {
+        old_count
+    };
     let mut chunks: Vec<Vec<&Item>> = vec![Vec::new(); count];
     for item in items.values() {
         chunks[slot(&item.key, count)].push(item);
--- a/crates/decide/src/config/follower.rs
+++ b/crates/decide/src/config/follower.rs
@@ -9,9 +9,9 @@
 use model::{Name, Time, hash};
 
 /// Manifests whose slots are remembered, to answer neighbours with a delta.
-const HISTORY: usize = 32;
+const MAX_HISTORY: usize = 32;
 /// A fetch that was not answered by then is given up.
-const PATIENCE: Duration = Duration::from_millis(800);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Where to fetch from.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowerEvent {
     /// Somebody has this manifest in force.
-    Heard {
+    Announced {
         /// Number.
         number: u64,
         /// Who.
@@ -49,7 +49,7 @@
         text: Arc<str>,
     },
     /// A fetch failed.
-    Failed(Source),
+    FetchFailed(Source),
     /// Time passed.
     Tick,
 }
@@ -115,8 +115,8 @@
     chunks: BTreeMap<Name, Arc<str>>,
     history: VecDeque<(u64, Vec<Name>)>,
     pending: Option<Pending>,
-    asked: Option<(Source, Time)>,
-    best: Option<(u64, Source)>,
+    fetching: Option<(Source, Time)>,
+    newest: Option<(u64, Source)>,
     items: BTreeMap<Name, Spec>,
 }
 
@@ -165,39 +165,39 @@
     }
 
     /// Takes one event; returns what is to be done.
-    pub fn on(&mut self, now: Time, event: FollowerEvent) -> Vec<FollowerAction> {
+    pub fn handle_event(&mut self, now: Time, event: FollowerEvent) -> Vec<FollowerAction> {
         let mut out = Vec::new();
         match event {
-            FollowerEvent::Heard { number, from } => self.heard(number, from),
+            FollowerEvent::Announced { number, from } => self.handle_announcement(number, from),
             FollowerEvent::Manifest(m) => {
-                self.aim(now, m.number, m.slots, Source::Store, &mut out);
+                self.start_fetch(now, m.number, m.slots, Source::Store, &mut out);
             }
-            FollowerEvent::Delta { delta, from } => self.delta_came(now, delta, from, &mut out),
-            FollowerEvent::Chunk { hash, text } => self.chunk_came(&hash, text),
-            FollowerEvent::Failed(from) => self.failed(&from),
+            FollowerEvent::Delta { delta, from } => self.handle_delta(now, delta, from, &mut out),
+            FollowerEvent::Chunk { hash, text } => self.handle_chunk(&hash, text),
+            FollowerEvent::FetchFailed(from) => self.handle_failure(&from),
             FollowerEvent::Tick => {}
         }
         self.advance(now, &mut out);
         out
     }
 
-    fn heard(&mut self, number: u64, from: Source) {
-        if number > self.number && self.best.as_ref().is_none_or(|(n, _)| number >= *n) {
-            self.best = Some((number, from));
+    fn handle_announcement(&mut self, number: u64, from: Source) {
+        if number > self.number && self.newest.as_ref().is_none_or(|(n, _)| number >= *n) {
+            self.newest = Some((number, from));
         }
     }
 
-    fn failed(&mut self, from: &Source) {
-        self.asked.take_if(|(s, _)| s == from);
+    fn handle_failure(&mut self, from: &Source) {
+        self.fetching.take_if(|(s, _)| s == from);
         self.pending.take_if(|p| p.from == *from);
-        self.best.take_if(|(_, s)| s == from);
+        self.newest.take_if(|(_, s)| s == from);
     }
 
-    fn delta_came(&mut self, now: Time, d: Delta, from: Source, out: &mut Vec<FollowerAction>) {
-        self.asked.take_if(|(s, _)| *s == from);
+    fn handle_delta(&mut self, now: Time, d: Delta, from: Source, out: &mut Vec<FollowerAction>) {
+        self.fetching.take_if(|(s, _)| *s == from);
         if d.number <= self.number {
             // The neighbour has nothing newer after all.
-            self.best.take_if(|(_, s)| *s == from);
+            self.newest.take_if(|(_, s)| *s == from);
             return;
         }
         let mut slots = match d.base {
@@ -215,11 +215,11 @@
         if slots.iter().any(|s| s.is_empty()) {
             return;
         }
-        self.aim(now, d.number, slots, from, out);
+        self.start_fetch(now, d.number, slots, from, out);
     }
 
     /// Sets out for a manifest, if it is higher than any before.
-    fn aim(
+    fn start_fetch(
         &mut self,
         now: Time,
         number: u64,
@@ -240,7 +240,7 @@
         self.pending = Some(Pending { number, slots, missing, from, since: now });
     }
 
-    fn chunk_came(&mut self, hash: &Name, text: Arc<str>) {
+    fn handle_chunk(&mut self, hash: &Name, text: Arc<str>) {
         let Some(p) = &mut self.pending else {
             return;
         };
@@ -250,7 +250,7 @@
         let parses = serde_json::from_str::<Chunk>(&text).is_ok();
         if hash::address(text.as_bytes()) != **hash || !parses {
             let from = p.from.clone();
-            return self.failed(&from);
+            return self.handle_failure(&from);
         }
         p.missing.remove(at);
         self.chunks.insert(hash.clone(), text);
@@ -262,22 +262,22 @@
         {
             out.push(FollowerAction::Applied(self.apply(p)));
         }
-        self.pending.take_if(|p| now.since(p.since) >= PATIENCE);
-        self.asked.take_if(|(_, at)| now.since(*at) >= PATIENCE);
-        self.best.take_if(|(n, _)| *n <= self.number);
-        let aimed = self.pending.as_ref().map_or(0, |p| p.number);
-        if let Some((n, from)) = &self.best
-            && *n > aimed
-            && self.asked.is_none()
+        self.pending.take_if(|p| now.since(p.since) >= FETCH_TIMEOUT);
+        self.fetching.take_if(|(_, at)| now.since(*at) >= FETCH_TIMEOUT);
+        self.newest.take_if(|(n, _)| *n <= self.number);
+        let pending_number = self.pending.as_ref().map_or(0, |p| p.number);
+        if let Some((n, from)) = &self.newest
+            && *n > pending_number
+            && self.fetching.is_none()
         {
-            self.asked = Some((from.clone(), now));
+            self.fetching = Some((from.clone(), now));
             out.push(FollowerAction::FetchDelta { from: from.clone(), have: self.number });
         }
     }
 
     fn apply(&mut self, p: Pending) -> Change {
-        let old_items = self.items_of(&p.slots, false);
-        let new_items = self.items_of(&p.slots, true);
+        let old_items = self.changed_items(&p.slots, false);
+        let new_items = self.changed_items(&p.slots, true);
         let mut change = Change { number: p.number, upserts: Vec::new(), removed: Vec::new() };
         for key in old_items.keys() {
             if !new_items.contains_key(key) && self.items.remove(key).is_some() {
@@ -293,7 +293,7 @@
         self.number = p.number;
         self.slots = p.slots;
         self.history.push_back((self.number, self.slots.clone()));
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
         let live: std::collections::BTreeSet<_> = self.slots.iter().cloned().collect();
@@ -303,11 +303,11 @@
 
     /// Items of the slots that differ between the manifest in force and `slots`:
     /// the new ones, or the old ones.
-    fn items_of(&self, slots: &[Name], new: bool) -> BTreeMap<Name, Spec> {
-        let (take, other) = if new { (slots, &self.slots[..]) } else { (&self.slots[..], slots) };
-        let same_shape = take.len() == other.len();
+    fn changed_items(&self, slots: &[Name], new: bool) -> BTreeMap<Name, Spec> {
+        let (ours, other) = if new { (slots, &self.slots[..]) } else { (&self.slots[..], slots) };
+        let same_shape = ours.len() == other.len();
         let mut items = BTreeMap::new();
-        for (i, hash) in take.iter().enumerate() {
+        for (i, hash) in ours.iter().enumerate() {
             if same_shape && other[i] == *hash {
                 continue;
             }
--- a/crates/decide/src/config/mod.rs
+++ b/crates/decide/src/config/mod.rs
@@ -11,4 +11,4 @@
 mod publisher;
 
 pub use follower::{Change, Follower, FollowerAction, FollowerEvent, Source};
-pub use publisher::{Declared, Publisher, PublisherAction, PublisherEvent, PutEnd};
+pub use publisher::{Declared, Publisher, PublisherAction, PublisherEvent, PutOutcome};
--- a/crates/decide/src/config/publisher.rs
+++ b/crates/decide/src/config/publisher.rs
@@ -13,7 +13,7 @@
 use model::status::Status;
 
 use super::accept::accept;
-use super::cut::cut;
+use super::cut::split_chunks;
 use crate::rng::Rng;
 
 /// A declared object as read from the Object API.
@@ -29,7 +29,7 @@
 
 /// How a write ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PutEnd {
+pub enum PutOutcome {
     /// Accepted.
     Done,
     /// The version did not match.
@@ -59,9 +59,9 @@
     /// Reading the manifest failed.
     BaseFailed,
     /// A chunk was written, or not.
-    Chunk(Name, PutEnd),
+    Chunk(Name, PutOutcome),
     /// The manifest with this nonce was written, or not.
-    Manifest(u64, PutEnd),
+    Manifest(u64, PutOutcome),
     /// Time passed.
     Tick,
 }
@@ -110,13 +110,13 @@
     reading: bool,
     draft: Option<Draft>,
     /// A read failed; the next waits for a tick.
-    paused: bool,
+    read_failed: bool,
     /// Versions whose status is written, as far as is known.
-    told: BTreeMap<Name, u64>,
+    reported: BTreeMap<Name, u64>,
     /// The former holder may have stopped between a manifest and its statuses.
-    retell: bool,
+    resync_statuses: bool,
     /// Statuses of manifest writes whose answers were lost, until a read settles them.
-    doubt: Vec<Status>,
+    unconfirmed: Vec<Status>,
     refused: BTreeMap<Name, (u64, String)>,
     rng: Rng,
 }
@@ -130,10 +130,10 @@
             base: None,
             reading: false,
             draft: None,
-            paused: false,
-            told: BTreeMap::new(),
-            retell: false,
-            doubt: Vec::new(),
+            read_failed: false,
+            reported: BTreeMap::new(),
+            resync_statuses: false,
+            unconfirmed: Vec::new(),
             refused: BTreeMap::new(),
             rng: Rng::new(seed),
         }
@@ -145,25 +145,27 @@
     }
 
     /// Takes one event; returns what is to be done.
-    pub fn on(&mut self, event: PublisherEvent) -> Vec<PublisherAction> {
+    pub fn handle_event(&mut self, event: PublisherEvent) -> Vec<PublisherAction> {
         let mut out = Vec::new();
         match event {
-            PublisherEvent::Lease(epoch) => self.lease(epoch),
-            PublisherEvent::Objects(objects) => self.objects(objects),
+            PublisherEvent::Lease(epoch) => self.set_lease(epoch),
+            PublisherEvent::Objects(objects) => self.handle_objects(objects),
             PublisherEvent::Statuses(list) => {
-                self.told = list.into_iter().map(|s| (s.object, s.version)).collect();
+                self.reported = list.into_iter().map(|s| (s.object, s.version)).collect();
             }
             PublisherEvent::Base { version, manifest, chunks } => {
-                self.based(version, manifest, &chunks, &mut out);
+                self.handle_base(version, manifest, &chunks, &mut out);
             }
             PublisherEvent::BaseFailed => {
                 self.reading = false;
-                self.paused = true;
+                self.read_failed = true;
+            }
+            PublisherEvent::Chunk(hash, end) => self.handle_chunk_write(&hash, end),
+            PublisherEvent::Manifest(nonce, end) => {
+                self.handle_manifest_write(nonce, end, &mut out)
             }
-            PublisherEvent::Chunk(hash, end) => self.chunk(&hash, end),
-            PublisherEvent::Manifest(nonce, end) => self.wrote(nonce, end, &mut out),
             PublisherEvent::Tick => {
-                self.paused = false;
+                self.read_failed = false;
                 // Chunks whose write failed are written again.
                 if let Some(d) = &self.draft {
                     out.extend(d.put_missing());
@@ -174,22 +176,22 @@
         out
     }
 
-    fn lease(&mut self, epoch: Option<u64>) {
+    fn set_lease(&mut self, epoch: Option<u64>) {
         if self.epoch == epoch {
             return;
         }
         self.epoch = epoch;
         self.base = None;
         if let Some(d) = self.draft.take_if(|d| d.writing) {
-            self.doubt.extend(d.status);
+            self.unconfirmed.extend(d.status);
         }
         self.draft = None;
         self.reading = false;
         self.refused.clear();
-        self.retell = epoch.is_some();
+        self.resync_statuses = epoch.is_some();
     }
 
-    fn objects(&mut self, objects: Vec<Declared>) {
+    fn handle_objects(&mut self, objects: Vec<Declared>) {
         for d in objects {
             let newer = self.declared.get(&d.key).is_none_or(|old| d.version > old.version);
             if newer {
@@ -206,7 +208,7 @@
         self.draft.take_if(|d| !d.writing);
     }
 
-    fn based(
+    fn handle_base(
         &mut self,
         version: u64,
         manifest: Manifest,
@@ -224,41 +226,45 @@
             };
             items.extend(chunk.into_iter().map(|i| (i.key.clone(), i)));
         }
-        self.settle(&items, out);
-        if std::mem::take(&mut self.retell) {
-            self.retell(manifest.number, &items, out);
+        self.resolve_unconfirmed(&items, out);
+        if std::mem::take(&mut self.resync_statuses) {
+            self.resync_statuses(manifest.number, &items, out);
         }
         self.base = Some(Base { version, manifest, items });
         self.draft = None;
     }
 
     /// Tells what became of objects whose manifest write was in doubt.
-    fn settle(&mut self, items: &BTreeMap<Name, Item>, out: &mut Vec<PublisherAction>) {
+    fn resolve_unconfirmed(
+        &mut self,
+        items: &BTreeMap<Name, Item>,
+        out: &mut Vec<PublisherAction>,
+    ) {
         let published = |s: &Status| items.get(&s.object).map_or(0, |i| i.version);
-        let (known, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.doubt)
+        let (confirmed, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unconfirmed)
             .into_iter()
             .partition(|s| !s.accepted || published(s) >= s.version);
-        self.doubt = open;
-        self.tell(known, out);
+        self.unconfirmed = open;
+        self.put_statuses(confirmed, out);
     }
 
     /// Writes statuses, but none of an older version after a newer one.
-    fn tell(&mut self, mut list: Vec<Status>, out: &mut Vec<PublisherAction>) {
-        list.retain(|s| self.told.get(&s.object).is_none_or(|v| *v <= s.version));
-        self.told.extend(list.iter().map(|s| (s.object.clone(), s.version)));
+    fn put_statuses(&mut self, mut list: Vec<Status>, out: &mut Vec<PublisherAction>) {
+        list.retain(|s| self.reported.get(&s.object).is_none_or(|v| *v <= s.version));
+        self.reported.extend(list.iter().map(|s| (s.object.clone(), s.version)));
         if !list.is_empty() {
             out.push(PublisherAction::PutStatus(list));
         }
     }
 
     /// Writes the statuses of objects in force that the former holder did not.
-    fn retell(
+    fn resync_statuses(
         &mut self,
         number: u64,
         items: &BTreeMap<Name, Item>,
         out: &mut Vec<PublisherAction>,
     ) {
-        let untold = |i: &&Item| self.told.get(&i.key).is_none_or(|v| *v < i.version);
+        let unreported = |i: &&Item| self.reported.get(&i.key).is_none_or(|v| *v < i.version);
         let status = |i: &Item| Status {
             object: i.key.clone(),
             version: i.version,
@@ -266,31 +272,36 @@
             reason: String::new(),
             number,
         };
-        let list: Vec<Status> = items.values().filter(untold).map(status).collect();
-        self.tell(list, out);
+        let list: Vec<Status> = items.values().filter(unreported).map(status).collect();
+        self.put_statuses(list, out);
     }
 
-    fn chunk(&mut self, hash: &Name, end: PutEnd) {
+    fn handle_chunk_write(&mut self, hash: &Name, end: PutOutcome) {
         if let Some(d) = &mut self.draft
-            && end == PutEnd::Done
+            && end == PutOutcome::Done
         {
             d.missing.remove(hash);
         }
     }
 
-    fn wrote(&mut self, nonce: u64, end: PutEnd, out: &mut Vec<PublisherAction>) {
+    fn handle_manifest_write(
+        &mut self,
+        nonce: u64,
+        end: PutOutcome,
+        out: &mut Vec<PublisherAction>,
+    ) {
         // An answer to a write before the lease changed hands says nothing of this draft.
         let Some(d) = self.draft.take_if(|d| d.writing && d.manifest.nonce == nonce) else {
             return;
         };
         match end {
-            PutEnd::Done => {
+            PutOutcome::Done => {
                 // The version is not assumed; the next draft reads it.
-                self.tell(d.status, out);
+                self.put_statuses(d.status, out);
             }
             // Whoever wrote tells of what it took; refusals are weighed anew.
-            PutEnd::Conflict => self.refused.clear(),
-            PutEnd::Lost => self.doubt.extend(d.status),
+            PutOutcome::Conflict => self.refused.clear(),
+            PutOutcome::Lost => self.unconfirmed.extend(d.status),
         }
         self.base = None;
     }
@@ -300,14 +311,14 @@
             return;
         };
         if self.base.is_none() {
-            if !self.reading && !self.paused {
+            if !self.reading && !self.read_failed {
                 self.reading = true;
                 out.push(PublisherAction::ReadBase);
             }
             return;
         }
         if self.draft.is_none() {
-            self.draft = self.make(epoch, out);
+            self.draft = self.next_draft(epoch, out);
             if let Some(d) = &self.draft {
                 out.extend(d.put_missing());
             }
@@ -323,7 +334,7 @@
     }
 
     /// The next manifest, if anything newer was declared.
-    fn make(&mut self, epoch: u64, out: &mut Vec<PublisherAction>) -> Option<Draft> {
+    fn next_draft(&mut self, epoch: u64, out: &mut Vec<PublisherAction>) -> Option<Draft> {
         let base = self.base.as_ref()?;
         let newer: Vec<&Declared> =
             self.declared.values().filter(|d| self.is_newer(base, d)).collect();
@@ -349,10 +360,10 @@
             }
             return None;
         }
-        let (slots, texts) = cut(&items, base.manifest.slots.len());
+        let (slots, texts) = split_chunks(&items, base.manifest.slots.len());
         let old: BTreeSet<&Name> = base.manifest.slots.iter().collect();
         let chunks: BTreeMap<_, _> = texts.into_iter().filter(|(h, _)| !old.contains(h)).collect();
-        let nonce = self.rng.draw();
+        let nonce = self.rng.next_u64();
         let manifest = Manifest { number, epoch, nonce, slots };
         let missing = chunks.keys().cloned().collect();
         Some(Draft { manifest, missing, chunks, status, items, writing: false })
@@ -366,7 +377,7 @@
     }
 
     /// Objects in the manifest being written, for tests and logs.
-    pub fn drafted(&self) -> usize {
+    pub fn draft_len(&self) -> usize {
         self.draft.as_ref().map_or(0, |d| d.items.len())
     }
 }
--- a/crates/decide/src/limit/concurrency.rs
+++ b/crates/decide/src/limit/concurrency.rs
@@ -6,60 +6,60 @@
 use model::Time;
 
 /// Start width.
-const START: f64 = 32.0;
+const INITIAL_LIMIT: f64 = 32.0;
 /// Least width: a target is never closed by its own slowness.
-const LEAST: f64 = 4.0;
+const MIN_LIMIT: f64 = 4.0;
 /// Most width.
-const MOST: f64 = 1024.0;
+const MAX_LIMIT: f64 = 1024.0;
 /// Latency over this many times the usual means a queue at the target.
-const QUEUEING: f64 = 4.0;
+const QUEUEING_RATIO: f64 = 4.0;
 /// Weight of a new sample in the usual latency; slow, so that a sudden queue shows.
-const USUAL: f64 = 0.02;
+const BASELINE_WEIGHT: f64 = 0.02;
 /// Factor of a decrease.
-const DECREASE: f64 = 0.85;
+const DECREASE_FACTOR: f64 = 0.85;
 /// Least time between two decreases.
-const PAUSE: Duration = Duration::from_millis(200);
+const DECREASE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Width for attempts in flight at one target.
 #[derive(Debug, Clone)]
-pub struct Concurrency {
-    width: f64,
-    usual: Option<f64>,
-    cut: Time,
+pub struct ConcurrencyLimit {
+    limit: f64,
+    baseline_ms: Option<f64>,
+    last_decrease: Time,
 }
 
-impl Default for Concurrency {
+impl Default for ConcurrencyLimit {
     fn default() -> Self {
-        Concurrency { width: START, usual: None, cut: Time::ZERO }
+        ConcurrencyLimit { limit: INITIAL_LIMIT, baseline_ms: None, last_decrease: Time::ZERO }
     }
 }
 
-impl Concurrency {
+impl ConcurrencyLimit {
     /// Most attempts in flight.
     #[inline]
-    pub fn width(&self) -> u32 {
-        self.width as u32
+    pub fn max_in_flight(&self) -> u32 {
+        self.limit as u32
     }
 
     /// An attempt took `ms` milliseconds while `flying` others ran.
-    pub fn sample(&mut self, now: Time, ms: f64, flying: u32) {
-        let usual = self.usual.unwrap_or(ms);
-        self.usual = Some(usual + USUAL * (ms - usual));
-        if ms > usual * QUEUEING {
-            return self.drop_back(now);
+    pub fn record_latency(&mut self, now: Time, ms: f64, in_flight: u32) {
+        let baseline_ms = self.baseline_ms.unwrap_or(ms);
+        self.baseline_ms = Some(baseline_ms + BASELINE_WEIGHT * (ms - baseline_ms));
+        if ms > baseline_ms * QUEUEING_RATIO {
+            return self.decrease(now);
         }
         // Only a width that is in use may grow.
-        if f64::from(flying) * 2.0 >= self.width {
-            self.width = (self.width + 1.0 / self.width.max(1.0)).min(MOST);
+        if f64::from(in_flight) * 2.0 >= self.limit {
+            self.limit = (self.limit + 1.0 / self.limit.max(1.0)).min(MAX_LIMIT);
         }
     }
 
     /// Narrows after a failure or a slow answer.
-    pub fn drop_back(&mut self, now: Time) {
-        if self.cut != Time::ZERO && now.since(self.cut) < PAUSE {
+    pub fn decrease(&mut self, now: Time) {
+        if self.last_decrease != Time::ZERO && now.since(self.last_decrease) < DECREASE_INTERVAL {
             return;
         }
-        self.cut = now;
-        self.width = (self.width * DECREASE).max(LEAST);
+        self.last_decrease = now;
+        self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 }
--- a/crates/decide/src/limit/mod.rs
+++ b/crates/decide/src/limit/mod.rs
@@ -4,5 +4,7 @@
 mod concurrency;
 mod rate;
 
-pub use concurrency::Concurrency;
-pub use rate::{Bucket, Home as RateHome, LEASE as SLICE_LEASE, Lend, Slice};
+pub use concurrency::ConcurrencyLimit;
+pub use rate::{
+    LEASE_PERIOD as SLICE_LEASE, Lender as RateLender, LentSlice, RateSlice, TokenBucket,
+};
--- a/crates/decide/src/member/gossip.rs
+++ b/crates/decide/src/member/gossip.rs
@@ -109,7 +109,7 @@
         }
         if rumor.health >= Health::Dead {
             // Buried while paused or cut off: come back as a new member.
-            self.me.id.start = self.rng.draw().max(1);
+            self.me.id.start = self.rng.next_u64().max(1);
             self.incarnation = 0;
             self.outbox.push(self.own_rumor());
         } else if rumor.health == Health::Suspect && rumor.incarnation >= self.incarnation {
--- a/crates/decide/src/request/assembly.rs
+++ b/crates/decide/src/request/assembly.rs
@@ -7,15 +7,15 @@
 use model::outcome::Reason;
 
 /// Most chunks held back behind a gap.
-const HELD_MAX: usize = 4096;
+const MAX_BUFFERED_CHUNKS: usize = 4096;
 
 /// What a frame led to.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum FrameResult {
     /// Text that is now contiguous, oldest first; may be empty.
     Text(Vec<String>),
     /// The same, and the answer is whole and checked.
-    Whole(Vec<String>),
+    Complete(Vec<String>),
     /// A frame of another attempt, or one seen before: dropped.
     Stray,
     /// The frames contradict each other.
@@ -24,10 +24,10 @@
 
 /// The answer of one attempt as far as it has arrived.
 #[derive(Debug)]
-pub struct Assembly {
+pub struct Reassembler {
     attempt: Attempt,
-    next: u64,
-    held: BTreeMap<u64, String>,
+    next_seq: u64,
+    buffered: BTreeMap<u64, String>,
     digest: Digest,
     end: Option<End>,
 }
@@ -36,16 +36,16 @@
 struct End {
     count: u64,
     digest: u64,
-    busy: u64,
+    busy_us: u64,
 }
 
-impl Assembly {
+impl Reassembler {
     /// An empty answer of `attempt` that starts at frame `from`.
-    pub fn new(attempt: Attempt, from: u64) -> Self {
-        Assembly {
+    pub fn new(attempt: Attempt, first_seq: u64) -> Self {
+        Reassembler {
             attempt,
-            next: from,
-            held: BTreeMap::new(),
+            next_seq: first_seq,
+            buffered: BTreeMap::new(),
             digest: Digest::default(),
             end: None,
         }
@@ -57,53 +57,55 @@
     }
 
     /// Number of the first frame still missing.
-    pub fn next(&self) -> u64 {
-        self.next
+    pub fn next_seq(&self) -> u64 {
+        self.next_seq
     }
 
     /// Microseconds of the target's time, once the end has arrived.
-    pub fn busy(&self) -> Option<u64> {
-        self.end.map(|e| e.busy)
+    pub fn busy_us(&self) -> Option<u64> {
+        self.end.map(|e| e.busy_us)
     }
 
     /// Takes one frame.
-    pub fn take(&mut self, frame: Frame) -> Taken {
+    pub fn receive(&mut self, frame: Frame) -> FrameResult {
         if *frame.attempt() != self.attempt {
-            return Taken::Stray;
+            return FrameResult::Stray;
         }
         match frame {
-            Frame::Chunk { seq, text, .. } => self.chunk(seq, text),
-            Frame::End { count, digest, busy, .. } => self.finish(End { count, digest, busy }),
+            Frame::Chunk { seq, text, .. } => self.receive_chunk(seq, text),
+            Frame::End { count, digest, busy, .. } => {
+                self.receive_end(End { count, digest, busy_us: busy })
+            }
         }
     }
 
-    fn chunk(&mut self, seq: u64, text: String) -> Taken {
+    fn receive_chunk(&mut self, seq: u64, text: String) -> FrameResult {
         if self.end.is_some_and(|e| seq >= e.count) {
             return corrupt(format!("chunk {seq} behind the end"));
         }
-        if seq < self.next {
-            return Taken::Stray;
+        if seq < self.next_seq {
+            return FrameResult::Stray;
         }
-        if let Some(held) = self.held.get(&seq) {
-            if *held != text {
+        if let Some(buffered) = self.buffered.get(&seq) {
+            if *buffered != text {
                 return corrupt(format!("two texts for chunk {seq}"));
             }
-            return Taken::Stray;
+            return FrameResult::Stray;
         }
-        if self.held.len() >= HELD_MAX {
-            return corrupt(format!("more than {HELD_MAX} chunks behind a gap"));
+        if self.buffered.len() >= MAX_BUFFERED_CHUNKS {
+            return corrupt(format!("more than {MAX_BUFFERED_CHUNKS} chunks behind a gap"));
         }
-        self.held.insert(seq, text);
+        self.buffered.insert(seq, text);
         self.advance()
     }
 
-    fn finish(&mut self, end: End) -> Taken {
+    fn receive_end(&mut self, end: End) -> FrameResult {
         match self.end {
-            Some(e) if e == end => return Taken::Stray,
+            Some(e) if e == end => return FrameResult::Stray,
             Some(_) => return corrupt("two ends".into()),
             None => {}
         }
-        let last = self.held.keys().next_back().map_or(self.next, |s| s + 1);
+        let last = self.buffered.keys().next_back().map_or(self.next_seq, |s| s + 1);
         if end.count < last {
             return corrupt(format!("end at {} after chunk {}", end.count, last - 1));
         }
@@ -111,21 +113,23 @@
         self.advance()
     }
 
-    fn advance(&mut self) -> Taken {
+    fn advance(&mut self) -> FrameResult {
         let mut out = Vec::new();
-        while let Some(text) = self.held.remove(&self.next) {
+        while let Some(text) = self.buffered.remove(&self.next_seq) {
             self.digest.push(&text);
-            self.next += 1;
+            self.next_seq += 1;
             out.push(text);
         }
         match self.end {
-            Some(e) if e.count == self.next && e.digest == self.digest.value() => Taken::Whole(out),
-            Some(e) if e.count == self.next => corrupt("digest differs".into()),
-            _ => Taken::Text(out),
+            Some(e) if e.count == self.next_seq && e.digest == self.digest.value() => {
+                FrameResult::Complete(out)
+            }
+            Some(e) if e.count == self.next_seq => corrupt("digest differs".into()),
+            _ => FrameResult::Text(out),
         }
     }
 }
 
-fn corrupt(why: String) -> Taken {
-    Taken::Corrupt(Reason::Corrupt(why))
+fn corrupt(why: String) -> FrameResult {
+    FrameResult::Corrupt(Reason::Corrupt(why))
 }
--- a/crates/decide/src/request/failures.rs
+++ b/crates/decide/src/request/failures.rs
@@ -5,131 +5,146 @@
 use model::attempt::Attempt;
 use model::outcome::{Outcome, Reason};
 
-use super::run::{ATTEMPTS_MAX, FLIGHTS_MAX, Flight, Run, State};
-use super::types::{Action, Permit};
+use super::run::{InFlight, MAX_ATTEMPTS, MAX_CONCURRENT, RequestMachine, State};
+use super::types::{Action, RetryPolicy};
 use crate::retry::backoff;
 
-impl Run {
+impl RequestMachine {
     /// An attempt ended without its whole answer.
-    pub(super) fn broken(
+    pub(super) fn attempt_failed(
         &mut self,
         now: Time,
         attempt: &Attempt,
         reason: Reason,
         sent: bool,
-        permit: &mut dyn Permit,
+        retry_policy: &mut dyn RetryPolicy,
         out: &mut Vec<Action>,
     ) {
-        let Some(i) = self.flights.iter().position(|f| f.answer.attempt() == attempt) else {
+        let Some(i) = self.in_flight.iter().position(|f| f.answer.attempt() == attempt) else {
             return;
         };
-        let flight = self.flights.remove(i);
+        let flight = self.in_flight.remove(i);
         if sent {
             self.sent = true;
-            self.spend(now, &flight);
+            self.add_cost(now, &flight);
         }
         let error = self.error(Some(flight.target.clone()), reason);
-        self.last = Some(error.clone());
+        self.last_error = Some(error.clone());
         let step = &self.plan.steps[self.step];
-        let (repeatable, continues) = (step.repeatable, step.continues);
-        let started = self.resume.take_if(|(_, a)| a == attempt).is_some();
+        let (repeatable, continues) = (step.repeatable, step.continuable);
+        let was_resuming = self.resume.take_if(|(_, a)| a == attempt).is_some();
         // Reading the rest of a stream is no second run, so it is safe for any step.
-        if sent && continues && !started && self.pieces > 0 && self.number < ATTEMPTS_MAX {
+        if sent && continues && !was_resuming && self.pieces > 0 && self.attempts < MAX_ATTEMPTS {
             let target = flight.target.clone();
-            let next = Attempt { number: self.number, ..attempt.clone() };
+            let next = Attempt { number: self.attempts, ..attempt.clone() };
             self.resume = Some((target.clone(), next));
             self.tried.push(target.clone());
             return self.send(now, target, Some(attempt.clone()), out);
         }
         self.tried.push(flight.target);
-        if !self.flights.is_empty() {
+        if !self.in_flight.is_empty() {
             return;
         }
-        if !repeatable && (sent || started) {
+        if !repeatable && (sent || was_resuming) {
             return self.finish(now, Outcome::Unknown, Some(error), None, out);
         }
-        let stuck = self.pieces > 0 && !continues && self.plan.streamed && self.is_last();
-        if stuck {
+        let already_emitted = self.pieces > 0 && !continues && self.plan.streamed && self.is_last();
+        if already_emitted {
             return self.finish(now, Outcome::Failed, Some(error), None, out);
         }
         if !continues {
             self.text.clear();
             self.pieces = 0;
         }
-        self.retry(now, permit, out);
+        self.schedule_retry(now, retry_policy, out);
     }
 
-    pub(super) fn retry(&mut self, now: Time, permit: &mut dyn Permit, out: &mut Vec<Action>) {
-        if self.number >= ATTEMPTS_MAX || !permit.retry(self.step) {
-            let error = self.last.clone();
+    pub(super) fn schedule_retry(
+        &mut self,
+        now: Time,
+        retry_policy: &mut dyn RetryPolicy,
+        out: &mut Vec<Action>,
+    ) {
+        if self.attempts >= MAX_ATTEMPTS || !retry_policy.allow_retry(self.step) {
+            let error = self.last_error.clone();
             let outcome = if self.sent { Outcome::Failed } else { Outcome::NotRun };
             return self.finish(now, outcome, error, None, out);
         }
-        let until = now + backoff(self.number, &mut self.rng);
-        self.state = State::Waiting { until };
-        out.push(Action::Wake(until));
+        let until = now + backoff(self.attempts, &mut self.rng);
+        self.state = State::BackingOff { until };
+        out.push(Action::WakeAt(until));
     }
 
     /// What arrived cannot be trusted: start again if nothing was given out, else end.
-    pub(super) fn corrupt(
+    pub(super) fn attempt_corrupt(
         &mut self,
         now: Time,
         attempt: &Attempt,
         reason: Reason,
-        permit: &mut dyn Permit,
+        retry_policy: &mut dyn RetryPolicy,
         out: &mut Vec<Action>,
     ) {
-        let given = self.plan.streamed && self.is_last() && self.pieces > 0;
-        if let Some(f) = self.flights.iter().find(|f| f.answer.attempt() == attempt) {
+        let already_emitted = self.plan.streamed && self.is_last() && self.pieces > 0;
+        if let Some(f) = self.in_flight.iter().find(|f| f.answer.attempt() == attempt) {
             out.push(Action::Cancel { attempt: attempt.clone(), target: f.target.clone() });
         }
-        if given {
-            let peer = self.flights.first().map(|f| f.target.clone());
+        if already_emitted {
+            let peer = self.in_flight.first().map(|f| f.target.clone());
             let error = self.error(peer, reason);
-            let outcome = self.doubt(Outcome::Failed);
+            let outcome = self.outcome_in_flight(Outcome::Failed);
             return self.finish(now, outcome, Some(error), None, out);
         }
         self.text.clear();
         self.pieces = 0;
-        self.broken(now, attempt, reason, true, permit, out);
+        self.attempt_failed(now, attempt, reason, true, retry_policy, out);
     }
 
-    pub(super) fn tick(&mut self, now: Time, permit: &mut dyn Permit, out: &mut Vec<Action>) {
-        if now >= self.plan.until {
-            return self.give_up(now, Reason::Deadline, out);
+    pub(super) fn handle_tick(
+        &mut self,
+        now: Time,
+        retry_policy: &mut dyn RetryPolicy,
+        out: &mut Vec<Action>,
+    ) {
+        if now >= self.plan.expires {
+            return self.abort(now, Reason::Deadline, out);
         }
-        if let State::Waiting { until } = self.state {
+        if let State::BackingOff { until } = self.state {
             if now >= until {
-                self.pick(false, out);
+                self.request_target(false, out);
             }
             return;
         }
-        if self.state != State::Flying {
+        if self.state != State::Running {
             return;
         }
-        self.time_out(now, permit, out);
-        if self.state == State::Flying
-            && self.flights.len() < FLIGHTS_MAX
+        self.check_timeouts(now, retry_policy, out);
+        if self.state == State::Running
+            && self.in_flight.len() < MAX_CONCURRENT
             && self.hedge_at().is_some_and(|at| now >= at)
         {
             self.hedged = true;
-            if permit.retry(self.step) {
-                self.tried = self.flights.iter().map(|f| f.target.clone()).collect();
-                self.pick(true, out);
+            if retry_policy.allow_retry(self.step) {
+                self.tried = self.in_flight.iter().map(|f| f.target.clone()).collect();
+                self.request_target(true, out);
             }
         }
     }
 
-    fn time_out(&mut self, now: Time, permit: &mut dyn Permit, out: &mut Vec<Action>) {
+    fn check_timeouts(
+        &mut self,
+        now: Time,
+        retry_policy: &mut dyn RetryPolicy,
+        out: &mut Vec<Action>,
+    ) {
         let step = &self.plan.steps[self.step];
         if !step.repeatable {
             return;
         }
         let timeout = step.timeout;
-        let silent = |f: &&Flight| now >= f.heard + timeout;
-        let Some(f) = self.flights.iter().find(silent) else {
-            if let Some(at) = self.flights.iter().map(|f| f.heard + timeout).min() {
-                out.push(Action::Wake(at));
+        let silent = |f: &&InFlight| now >= f.last_frame + timeout;
+        let Some(f) = self.in_flight.iter().find(silent) else {
+            if let Some(at) = self.in_flight.iter().map(|f| f.last_frame + timeout).min() {
+                out.push(Action::WakeAt(at));
             }
             return;
         };
@@ -138,23 +153,23 @@
         let reason = Reason::Broken("silent".into());
         // A silent target is not asked to resume.
         self.resume = Some((f.target.clone(), attempt.clone()));
-        self.broken(now, &attempt, reason, true, permit, out);
+        self.attempt_failed(now, &attempt, reason, true, retry_policy, out);
     }
 
-    pub(super) fn give_up(&mut self, now: Time, reason: Reason, out: &mut Vec<Action>) {
-        let peer = self.flights.first().map(|f| f.target.clone());
+    pub(super) fn abort(&mut self, now: Time, reason: Reason, out: &mut Vec<Action>) {
+        let peer = self.in_flight.first().map(|f| f.target.clone());
         let error = self.error(peer, reason);
-        let outcome = match (self.flights.is_empty(), self.sent) {
+        let outcome = match (self.in_flight.is_empty(), self.sent) {
             // A claim may still be on its way, but no step was sent.
             (true, false) => Outcome::NotRun,
             (true, true) => Outcome::Failed,
-            (false, _) => self.doubt(Outcome::Failed),
+            (false, _) => self.outcome_in_flight(Outcome::Failed),
         };
         self.finish(now, outcome, Some(error), None, out);
     }
 
     /// The outcome with an attempt in flight: unknown if it may not be repeated.
-    fn doubt(&self, otherwise: Outcome) -> Outcome {
+    fn outcome_in_flight(&self, otherwise: Outcome) -> Outcome {
         if self.plan.steps[self.step].repeatable { otherwise } else { Outcome::Unknown }
     }
 }
--- a/crates/decide/src/request/mod.rs
+++ b/crates/decide/src/request/mod.rs
@@ -1,6 +1,6 @@
 //! One request on its way through the steps of its pipeline.
 //!
-//! [`Run`] claims the key where a step may not be repeated, sends attempts,
+//! [`RequestMachine`] claims the key where a step may not be repeated, sends attempts,
 //! puts late, doubled and reordered frames right, retries where that is safe,
 //! resumes or continues a broken stream, and ends with one typed outcome.
 
@@ -9,6 +9,6 @@
 mod run;
 mod types;
 
-pub use assembly::{Assembly, Taken};
-pub use run::Run;
-pub use types::{Action, Event, Permit, Plan, StepPlan};
+pub use assembly::{FrameResult, Reassembler};
+pub use run::RequestMachine;
+pub use types::{Action, Event, Plan, RetryPolicy, StepPlan};
--- a/crates/decide/src/request/run.rs
+++ b/crates/decide/src/request/run.rs
@@ -8,20 +8,20 @@
 use model::outcome::{Final, Outcome, Reason, StepError, StepReport};
 use model::{Name, Time};
 
-use super::assembly::{Assembly, Taken};
-use super::types::{Action, Event, Permit, Plan};
+use super::assembly::{FrameResult, Reassembler};
+use super::types::{Action, Event, Plan, RetryPolicy};
 use crate::rng::Rng;
 
 /// Most attempts at one step, resumed streams included.
-pub(super) const ATTEMPTS_MAX: u16 = 4;
+pub(super) const MAX_ATTEMPTS: u16 = 4;
 /// Attempts at one step that run at the same time: one and its hedge.
-pub(super) const FLIGHTS_MAX: usize = 2;
+pub(super) const MAX_CONCURRENT: usize = 2;
 
 #[derive(Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlight {
     pub(super) target: Name,
-    pub(super) answer: Assembly,
-    pub(super) heard: Time,
+    pub(super) answer: Reassembler,
+    pub(super) last_frame: Time,
 }
 
 #[derive(Debug, PartialEq)]
@@ -29,57 +29,57 @@
     New,
     Claiming,
     Picking { hedge: bool },
-    Waiting { until: Time },
-    Flying,
+    BackingOff { until: Time },
+    Running,
     Ended,
 }
 
 /// One request.
 #[derive(Debug)]
-pub struct Run {
+pub struct RequestMachine {
     pub(super) plan: Plan,
     pub(super) state: State,
     pub(super) step: usize,
-    pub(super) number: u16,
-    pub(super) flights: Vec<Flight>,
+    pub(super) attempts: u16,
+    pub(super) in_flight: Vec<InFlight>,
     pub(super) tried: Vec<Name>,
     pub(super) hedged: bool,
     pub(super) resume: Option<(Name, Attempt)>,
-    pub(super) started: Time,
-    pub(super) begun: Time,
+    pub(super) arrived: Time,
+    pub(super) step_started: Time,
     pub(super) text: String,
     pub(super) pieces: u64,
     pub(super) results: Vec<String>,
     pub(super) steps: Vec<StepReport>,
-    pub(super) spent: f64,
+    pub(super) step_cost: f64,
     pub(super) sent: bool,
-    pub(super) last: Option<StepError>,
+    pub(super) last_error: Option<StepError>,
     pub(super) strays: u64,
     pub(super) rng: Rng,
 }
 
-impl Run {
+impl RequestMachine {
     /// A request that arrived at `now`.
     pub fn new(plan: Plan, now: Time) -> Self {
         let rng = Rng::new(plan.seed);
-        Run {
+        RequestMachine {
             plan,
             state: State::New,
             step: 0,
-            number: 0,
-            flights: Vec::new(),
+            attempts: 0,
+            in_flight: Vec::new(),
             tried: Vec::new(),
             hedged: false,
             resume: None,
-            started: now,
-            begun: now,
+            arrived: now,
+            step_started: now,
             text: String::new(),
             pieces: 0,
             results: Vec::new(),
             steps: Vec::new(),
-            spent: 0.0,
+            step_cost: 0.0,
             sent: false,
-            last: None,
+            last_error: None,
             strays: 0,
             rng,
         }
@@ -91,7 +91,7 @@
     }
 
     /// Text of the current step that later attempts go on from.
-    pub fn prior(&self) -> &str {
+    pub fn partial_text(&self) -> &str {
         &self.text
     }
 
@@ -101,14 +101,19 @@
     }
 
     /// Whether the request has ended.
-    pub fn ended(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.state == State::Ended
     }
 
     /// Takes one event; returns what is to be done, in order.
-    pub fn on(&mut self, now: Time, event: Event, permit: &mut dyn Permit) -> Vec<Action> {
+    pub fn handle_event(
+        &mut self,
+        now: Time,
+        event: Event,
+        retry_policy: &mut dyn RetryPolicy,
+    ) -> Vec<Action> {
         let mut out = Vec::new();
-        if self.ended() {
+        if self.is_finished() {
             if matches!(event, Event::Frame(_)) {
                 self.strays += 1;
             }
@@ -116,18 +121,18 @@
         }
         match event {
             Event::Start => self.start(&mut out),
-            Event::Claim(end) => self.claimed(now, end, &mut out),
-            Event::Picked(target) => self.picked(now, target, &mut out),
-            Event::NoTarget(wait) => self.no_target(now, wait, permit, &mut out),
+            Event::Claim(end) => self.handle_claim(now, end, &mut out),
+            Event::TargetPicked(target) => self.handle_target(now, target, &mut out),
+            Event::NoTarget(wait) => self.handle_no_target(now, wait, retry_policy, &mut out),
             Event::NotSent { attempt, reason } => {
-                self.broken(now, &attempt, reason, false, permit, &mut out);
+                self.attempt_failed(now, &attempt, reason, false, retry_policy, &mut out);
             }
             Event::Closed { attempt, reason } => {
-                self.broken(now, &attempt, reason, true, permit, &mut out);
+                self.attempt_failed(now, &attempt, reason, true, retry_policy, &mut out);
             }
-            Event::Frame(frame) => self.frame(now, frame, permit, &mut out),
-            Event::Tick => self.tick(now, permit, &mut out),
-            Event::Gone => self.give_up(now, Reason::Gone, &mut out),
+            Event::Frame(frame) => self.handle_frame(now, frame, retry_policy, &mut out),
+            Event::Tick => self.handle_tick(now, retry_policy, &mut out),
+            Event::CallerGone => self.abort(now, Reason::Gone, &mut out),
         }
         out
     }
@@ -136,23 +141,23 @@
         if self.state != State::New {
             return;
         }
-        out.push(Action::Wake(self.plan.until));
-        let once = self.plan.steps.iter().any(|s| !s.repeatable);
+        out.push(Action::WakeAt(self.plan.expires));
+        let claim_needed = self.plan.steps.iter().any(|s| !s.repeatable);
         match self.plan.key {
-            Some(key) if once => {
+            Some(key) if claim_needed => {
                 self.state = State::Claiming;
                 out.push(Action::Claim(key));
             }
-            _ => self.pick(false, out),
+            _ => self.request_target(false, out),
         }
     }
 
-    fn claimed(&mut self, now: Time, end: ClaimEnd, out: &mut Vec<Action>) {
+    fn handle_claim(&mut self, now: Time, end: ClaimEnd, out: &mut Vec<Action>) {
         if self.state != State::Claiming {
             return;
         }
         let (outcome, peer, reason) = match end {
-            ClaimEnd::Won => return self.pick(false, out),
+            ClaimEnd::Won => return self.request_target(false, out),
             ClaimEnd::Lost(by) => (Outcome::Unknown, Some(by), Reason::Claimed),
             ClaimEnd::Old => (Outcome::NotRun, None, Reason::OldKey),
             ClaimEnd::Future => (Outcome::NotRun, None, Reason::FutureKey),
@@ -164,12 +169,12 @@
         self.finish(now, outcome, Some(error), None, out);
     }
 
-    pub(super) fn pick(&mut self, hedge: bool, out: &mut Vec<Action>) {
+    pub(super) fn request_target(&mut self, hedge: bool, out: &mut Vec<Action>) {
         self.state = State::Picking { hedge };
-        out.push(Action::Pick { step: self.step, tried: self.tried.clone() });
+        out.push(Action::PickTarget { step: self.step, exclude: self.tried.clone() });
     }
 
-    fn picked(&mut self, now: Time, target: Name, out: &mut Vec<Action>) {
+    fn handle_target(&mut self, now: Time, target: Name, out: &mut Vec<Action>) {
         if !matches!(self.state, State::Picking { .. }) {
             return;
         }
@@ -186,24 +191,24 @@
         let attempt = Attempt {
             request: self.plan.request.clone(),
             step: self.step as u16,
-            number: self.number,
+            number: self.attempts,
         };
-        if self.number == 0 {
-            self.begun = now;
+        if self.attempts == 0 {
+            self.step_started = now;
         }
-        self.number += 1;
-        self.state = State::Flying;
+        self.attempts += 1;
+        self.state = State::Running;
         let step = &self.plan.steps[self.step];
         let from = self.pieces;
-        let answer = Assembly::new(attempt.clone(), from);
-        self.flights.push(Flight { target: target.clone(), answer, heard: now });
-        let budget = self.plan.until.since(now);
+        let answer = Reassembler::new(attempt.clone(), from);
+        self.in_flight.push(InFlight { target: target.clone(), answer, last_frame: now });
+        let budget = self.plan.expires.since(now);
         out.push(Action::Send { attempt, target, from, resume, budget });
         if step.repeatable {
-            out.push(Action::Wake(now + step.timeout));
+            out.push(Action::WakeAt(now + step.timeout));
         }
         if let Some(hedge) = self.hedge_at() {
-            out.push(Action::Wake(hedge));
+            out.push(Action::WakeAt(hedge));
         }
     }
 
@@ -211,70 +216,79 @@
     pub(super) fn hedge_at(&self) -> Option<Time> {
         let step = &self.plan.steps[self.step];
         let hedge = step.hedge?;
-        let may = step.repeatable && !self.hedged && self.pieces == 0 && self.flights.len() == 1;
-        may.then(|| self.begun + hedge)
+        let allowed =
+            step.repeatable && !self.hedged && self.pieces == 0 && self.in_flight.len() == 1;
+        allowed.then(|| self.step_started + hedge)
     }
 
-    fn no_target(
+    fn handle_no_target(
         &mut self,
         now: Time,
         wait: Duration,
-        permit: &mut dyn Permit,
+        retry_policy: &mut dyn RetryPolicy,
         out: &mut Vec<Action>,
     ) {
         let State::Picking { hedge } = self.state else {
             return;
         };
-        if hedge || !self.flights.is_empty() {
-            self.state = State::Flying;
+        if hedge || !self.in_flight.is_empty() {
+            self.state = State::Running;
             return;
         }
         let error = self.error(None, Reason::NoTarget);
         if !self.sent {
             return self.finish(now, Outcome::NotRun, Some(error), Some(wait), out);
         }
-        self.last = Some(error);
-        self.retry(now, permit, out);
+        self.last_error = Some(error);
+        self.schedule_retry(now, retry_policy, out);
     }
 
-    fn frame(&mut self, now: Time, frame: Frame, permit: &mut dyn Permit, out: &mut Vec<Action>) {
+    fn handle_frame(
+        &mut self,
+        now: Time,
+        frame: Frame,
+        retry_policy: &mut dyn RetryPolicy,
+        out: &mut Vec<Action>,
+    ) {
         let attempt = frame.attempt().clone();
-        let Some(i) = self.flights.iter().position(|f| *f.answer.attempt() == attempt) else {
+        let Some(i) = self.in_flight.iter().position(|f| *f.answer.attempt() == attempt) else {
             self.strays += 1;
             return;
         };
-        self.flights[i].heard = now;
+        self.in_flight[i].last_frame = now;
         self.sent = true;
-        match self.flights[i].answer.take(frame) {
-            Taken::Stray => self.strays += 1,
-            Taken::Text(texts) => {
+        match self.in_flight[i].answer.receive(frame) {
+            FrameResult::Stray => self.strays += 1,
+            FrameResult::Text(texts) => {
                 if !texts.is_empty() {
-                    self.keep_only(i, out);
+                    self.cancel_others(i, out);
                 }
-                self.push(texts, out);
+                self.append(texts, out);
+            }
+            FrameResult::Complete(texts) => {
+                self.cancel_others(i, out);
+                self.append(texts, out);
+                self.finish_step(now, out);
             }
-            Taken::Whole(texts) => {
-                self.keep_only(i, out);
-                self.push(texts, out);
-                self.step_done(now, out);
+            FrameResult::Corrupt(reason) => {
+                self.attempt_corrupt(now, &attempt, reason, retry_policy, out)
             }
-            Taken::Corrupt(reason) => self.corrupt(now, &attempt, reason, permit, out),
         }
     }
 
     /// The first attempt with text wins; its hedge is stopped.
-    fn keep_only(&mut self, i: usize, out: &mut Vec<Action>) {
-        if self.flights.len() < 2 {
+    fn cancel_others(&mut self, i: usize, out: &mut Vec<Action>) {
+        if self.in_flight.len() < 2 {
             return;
         }
-        let winner = self.flights.swap_remove(i);
-        for f in self.flights.drain(..) {
+        let winner = self.in_flight.swap_remove(i);
+        for f in self.in_flight.drain(..) {
             out.push(Action::Cancel { attempt: f.answer.attempt().clone(), target: f.target });
         }
-        self.flights.push(winner);
+        self.in_flight.push(winner);
     }
 
-    fn push(&mut self, texts: Vec<String>, out: &mut Vec<Action>) {
+    fn append(&mut self, texts: Vec<String>, out: &mut Vec<Action>) {
         for text in texts {
             self.text.push_str(&text);
             let seq = self.pieces;
@@ -285,31 +299,31 @@
         }
     }
 
-    fn step_done(&mut self, now: Time, out: &mut Vec<Action>) {
-        let Some(flight) = self.flights.pop() else {
+    fn finish_step(&mut self, now: Time, out: &mut Vec<Action>) {
+        let Some(flight) = self.in_flight.pop() else {
             return;
         };
-        self.spend(now, &flight);
+        self.add_cost(now, &flight);
         self.steps.push(StepReport {
             step: self.plan.steps[self.step].name.clone(),
             target: flight.target,
-            attempts: self.number,
-            millis: now.since(self.begun).as_secs_f64() * 1e3,
-            cost: self.spent,
+            attempts: self.attempts,
+            millis: now.since(self.step_started).as_secs_f64() * 1e3,
+            cost: self.step_cost,
         });
         self.results.push(std::mem::take(&mut self.text));
         if self.is_last() {
             return self.finish(now, Outcome::Complete, None, None, out);
         }
         self.step += 1;
-        self.number = 0;
+        self.attempts = 0;
         self.pieces = 0;
-        self.spent = 0.0;
+        self.step_cost = 0.0;
         self.hedged = false;
         self.resume = None;
-        self.last = None;
+        self.last_error = None;
         self.tried.clear();
-        self.pick(false, out);
+        self.request_target(false, out);
     }
 
     pub(super) fn finish(
@@ -320,11 +334,11 @@
         wait: Option<Duration>,
         out: &mut Vec<Action>,
     ) {
-        let flights: Vec<_> = self.flights.drain(..).collect();
+        let in_flight: Vec<_> = self.in_flight.drain(..).collect();
         // A step that may not be repeated is left to run: half of it helps nobody.
         let cancels = self.plan.steps[self.step].repeatable;
-        for f in flights.iter().filter(|_| cancels) {
-            self.spend(now, f);
+        for f in in_flight.iter().filter(|_| cancels) {
+            self.add_cost(now, f);
             let attempt = f.answer.attempt().clone();
             let cancel = Action::Cancel { attempt, target: f.target.clone() };
             if !out.contains(&cancel) {
@@ -347,12 +361,12 @@
         }));
     }
 
-    pub(super) fn spend(&mut self, now: Time, flight: &Flight) {
-        let seconds = match flight.answer.busy() {
+    pub(super) fn add_cost(&mut self, now: Time, flight: &InFlight) {
+        let seconds = match flight.answer.busy_us() {
             Some(us) => us as f64 / 1e6,
-            None => now.since(self.begun).as_secs_f64(),
+            None => now.since(self.step_started).as_secs_f64(),
         };
-        self.spent += seconds * self.plan.steps[self.step].cost;
+        self.step_cost += seconds * self.plan.steps[self.step].cost;
     }
 
     pub(super) fn is_last(&self) -> bool {
@@ -364,7 +378,7 @@
     }
 
     /// When the request arrived.
-    pub fn started(&self) -> Time {
-        self.started
+    pub fn arrived(&self) -> Time {
+        self.arrived
     }
 }
--- a/crates/decide/src/request/types.rs
+++ b/crates/decide/src/request/types.rs
@@ -17,7 +17,7 @@
     /// Whether it may run twice.
     pub repeatable: bool,
     /// Whether another target can go on from text already delivered.
-    pub continues: bool,
+    pub continuable: bool,
     /// Longest silence of an attempt before it is given up.
     pub timeout: Duration,
     /// When to send a second attempt beside the first, if ever.
@@ -36,7 +36,7 @@
     /// When the answer is due.
     pub deadline: Time,
     /// When nobody waits any longer; not before the deadline.
-    pub until: Time,
+    pub expires: Time,
     /// The caller's key, needed if a step is not repeatable.
     pub key: Option<Key>,
     /// Whether pieces go to the caller as they come.
@@ -53,7 +53,7 @@
     /// The claim ended.
     Claim(ClaimEnd),
     /// The router chose a target.
-    Picked(Name),
+    TargetPicked(Name),
     /// The router has none; asking again makes sense after this time.
     NoTarget(Duration),
     /// This attempt certainly did not reach its target, or was refused unrun.
@@ -75,7 +75,7 @@
     /// Time passed.
     Tick,
     /// The caller went away.
-    Gone,
+    CallerGone,
 }
 
 /// What the machine wants done.
@@ -84,11 +84,11 @@
     /// Claim the key.
     Claim(Key),
     /// Choose a target for a step, none of `tried` if it can be helped.
-    Pick {
+    PickTarget {
         /// Step.
         step: usize,
         /// Targets that failed this step.
-        tried: Vec<Name>,
+        exclude: Vec<Name>,
     },
     /// Send an attempt.
     Send {
@@ -113,13 +113,13 @@
     /// Give the caller a piece.
     Emit(Piece),
     /// Send [`Event::Tick`] at this time.
-    Wake(Time),
+    WakeAt(Time),
     /// The request has ended.
     Finish(Final),
 }
 
 /// Says whether a step's budget has a retry left, and takes it.
-pub trait Permit {
+pub trait RetryPolicy {
     /// Takes one retry of `step`.
-    fn retry(&mut self, step: usize) -> bool;
+    fn allow_retry(&mut self, step: usize) -> bool;
 }
--- a/crates/decide/src/rng.rs
+++ b/crates/decide/src/rng.rs
@@ -15,24 +15,24 @@
     }
 
     /// The next 64 bits.
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         hash::mix(self.0, 0)
     }
 
     /// A number below `n`; 0 if `n` is 0.
     pub fn below(&mut self, n: usize) -> usize {
-        ((u128::from(self.draw()) * n as u128) >> 64) as usize
+        ((u128::from(self.next_u64()) * n as u128) >> 64) as usize
     }
 
     /// A number in 0..1.
-    pub fn unit(&mut self) -> f64 {
-        (self.draw() >> 11) as f64 / (1u64 << 53) as f64
+    pub fn next_f64(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// A duration in 0..`most`: full jitter.
-    pub fn jitter(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.unit())
+    pub fn jitter(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.next_f64())
     }
 
     /// Puts a slice in random order (Fisher-Yates).
--- a/crates/decide/src/route/policy.rs
+++ b/crates/decide/src/route/policy.rs
@@ -111,7 +111,7 @@
 impl Policy for LeastOutstanding {
     fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
         let fitting = table.slots().iter().enumerate().filter(|(_, s)| ask.fits(s));
-        fitting.min_by_key(|(_, s)| (s.flying, self.0.draw())).map(|(i, _)| i)
+        fitting.min_by_key(|(_, s)| (s.flying, self.0.next_u64())).map(|(i, _)| i)
     }
 }
 
@@ -229,7 +229,7 @@
 
     fn choose(&mut self, ask: &Ask, table: &PoolTable, top: &Top, homes: usize) -> usize {
         let wait = |i: usize| table.slots()[i].wait(ask.now);
-        let open = |i: usize| table.slots()[i].flying < table.slots()[i].limit.width();
+        let open = |i: usize| table.slots()[i].flying < table.slots()[i].limit.max_in_flight();
         let home = self.best_home(ask, table, top, homes);
         if top.len <= homes {
             return home;
@@ -277,7 +277,7 @@
             let homes = fair.clamp(1, top.len);
             let i = self.choose(ask, table, &top, homes);
             let s = &table.slots()[i];
-            if s.flying < s.limit.width() {
+            if s.flying < s.limit.max_in_flight() {
                 return Some(i);
             }
             // Everything near is at its limit: look further out, but keep this one.
--- a/crates/decide/src/route/table.rs
+++ b/crates/decide/src/route/table.rs
@@ -6,7 +6,7 @@
 use model::{Name, Time, hash};
 
 use super::health::Health;
-use crate::limit::Concurrency;
+use crate::limit::ConcurrencyLimit;
 
 /// Weight of a new sample in the smoothed service time.
 const SMOOTH: f64 = 0.2;
@@ -50,7 +50,7 @@
     /// Attempts sent since the last report.
     pub since: u32,
     /// Most attempts in flight.
-    pub limit: Concurrency,
+    pub limit: ConcurrencyLimit,
     health: Health,
     service: f64,
     wait: f64,
@@ -68,7 +68,7 @@
             models: None,
             flying: 0,
             since: 0,
-            limit: Concurrency::default(),
+            limit: ConcurrencyLimit::default(),
             health: Health::default(),
             service: SERVICE_MS,
             wait: 0.0,
@@ -176,7 +176,7 @@
         let work = (ms - wait).max(WORK_LEAST);
         s.service += SMOOTH * (work - s.service);
         let flying = s.flying;
-        s.limit.sample(now, ms, flying);
+        s.limit.record_latency(now, ms, flying);
     }
 
     /// An attempt ended well.
@@ -204,7 +204,7 @@
             return false;
         };
         s.flying = s.flying.saturating_sub(1);
-        s.limit.drop_back(now);
+        s.limit.decrease(now);
         (ejected < room) && s.health.failure(now)
     }
 
--- a/crates/decide/tests/claim.rs
+++ b/crates/decide/tests/claim.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use decide::claim::{Action, Committer, Event, ReadBack, WriteEnd};
+use decide::claim::{Action, Committer, Event, ReadOutcome, WriteOutcome};
 use decide::rng::Rng;
 use model::claim::{ClaimAsk, ClaimEnd, Claims};
 use model::key::{BUCKET_MS, Key};
@@ -28,15 +28,15 @@
         self.objects.get(object).and_then(|h| h.last().cloned()).unwrap_or((0, None))
     }
 
-    fn read(&self, object: &Name, back: usize) -> ReadBack {
+    fn read(&self, object: &Name, back: usize) -> ReadOutcome {
         let history = self.objects.get(object).cloned().unwrap_or_default();
         let at = history.len().saturating_sub(back + 1);
         if history.is_empty() || back >= history.len() {
-            return ReadBack::Never;
+            return ReadOutcome::NeverWritten;
         }
         match history[at].clone() {
-            (version, Some(claims)) => ReadBack::Found { version, claims },
-            (_, None) => ReadBack::Deleted,
+            (version, Some(claims)) => ReadOutcome::Found { version, claims },
+            (_, None) => ReadOutcome::Deleted,
         }
     }
 
@@ -90,8 +90,8 @@
         let ticket = self.asks.len() as u64 + 1;
         let ask = ClaimAsk { key, request: format!("r{ticket}").into() };
         self.asks.insert(ticket, ask.clone());
-        let until = self.now + Duration::from_millis(1500);
-        self.inbox.push((node, Event::Ask { ask, ticket, unix_ms: UNIX_MS, until }));
+        let expires = self.now + Duration::from_millis(1500);
+        self.inbox.push((node, Event::Claim { ask, ticket, unix_ms: UNIX_MS, expires }));
         ticket
     }
 
@@ -108,7 +108,7 @@
             Action::ReadFloor if self.unlucky() => Event::Floor(None),
             Action::ReadFloor => Event::Floor(Some(self.store.floor)),
             Action::Read(object) if self.unlucky() => {
-                Event::Read { object, found: ReadBack::Failed }
+                Event::Read { object, found: ReadOutcome::Failed }
             }
             Action::Read(object) => {
                 let back = if self.unlucky() { 1 + self.rng.below(2) } else { 0 };
@@ -117,13 +117,13 @@
             }
             Action::Write { object, expect, claims } => {
                 let end = self.write(&object, expect, claims);
-                Event::Wrote { object, end }
+                Event::Written { object, end }
             }
         };
         self.inbox.push((node, event));
     }
 
-    fn write(&mut self, object: &Name, expect: u64, claims: Claims) -> WriteEnd {
+    fn write(&mut self, object: &Name, expect: u64, claims: Claims) -> WriteOutcome {
         if self.unlucky() {
             // Lost: landed, never landed, or lands later.
             match self.rng.below(3) {
@@ -131,11 +131,11 @@
                 1 => self.late.push(Late { object: object.clone(), expect, claims }),
                 _ => {}
             }
-            return WriteEnd::Lost;
+            return WriteOutcome::Lost;
         }
         match self.store.write(object, expect, Some(claims)) {
-            Some(version) => WriteEnd::Done(version),
-            None => WriteEnd::Conflict,
+            Some(version) => WriteOutcome::Done(version),
+            None => WriteOutcome::Conflict,
         }
     }
 
@@ -152,7 +152,7 @@
             let i = self.rng.below(self.inbox.len());
             self.inbox.remove(i)
         };
-        for action in self.nodes[node].on(self.now, event) {
+        for action in self.nodes[node].handle_event(self.now, event) {
             self.act(node, action);
         }
     }
@@ -218,23 +218,29 @@
     let same: Vec<Key> = (0..200).map(key).filter(|k| k.object() == object).take(3).collect();
     for (i, k) in same.iter().enumerate() {
         let ask = ClaimAsk { key: *k, request: format!("r{i}").into() };
-        let until = Time::from_millis(1000);
-        c.on(Time::ZERO, Event::Ask { ask, ticket: i as u64, unix_ms: UNIX_MS, until });
+        let expires = Time::from_millis(1000);
+        c.handle_event(
+            Time::ZERO,
+            Event::Claim { ask, ticket: i as u64, unix_ms: UNIX_MS, expires },
+        );
     }
-    c.on(Time::ZERO, Event::Read { object: object.clone(), found: ReadBack::Never });
+    c.handle_event(
+        Time::ZERO,
+        Event::Read { object: object.clone(), found: ReadOutcome::NeverWritten },
+    );
     let t = Time::from_millis(30);
-    let out = c.on(t, Event::Floor(Some(0)));
+    let out = c.handle_event(t, Event::Floor(Some(0)));
     let claims = out.into_iter().find_map(|a| match a {
         Action::Write { claims, .. } => Some(claims),
         _ => None,
     });
     let claims = claims.expect("one write carries all three");
     assert_eq!(claims.keys.len(), 3);
-    c.on(t, Event::Wrote { object: object.clone(), end: WriteEnd::Lost });
+    c.handle_event(t, Event::Written { object: object.clone(), end: WriteOutcome::Lost });
     let t = Time::from_millis(60);
-    c.on(t, Event::Tick);
-    let found = ReadBack::Found { version: 1, claims };
-    let out = c.on(t, Event::Read { object, found });
+    c.handle_event(t, Event::Tick);
+    let found = ReadOutcome::Found { version: 1, claims };
+    let out = c.handle_event(t, Event::Read { object, found });
     let won = out.iter().filter(|a| matches!(a, Action::Answer { end: ClaimEnd::Won, .. }));
     assert_eq!(won.count(), 3);
 }
@@ -250,14 +256,14 @@
         store.write(&key.object(), 1, None);
         let mut c = Committer::default();
         let ask = ClaimAsk { key, request: "r".into() };
-        let until = Time::from_millis(5000);
-        let mut inbox = vec![Event::Ask { ask, ticket: 1, unix_ms: slow_clock, until }];
+        let expires = Time::from_millis(5000);
+        let mut inbox = vec![Event::Claim { ask, ticket: 1, unix_ms: slow_clock, expires }];
         let mut answer = None;
         let mut now = Time::ZERO;
         for _ in 0..100 {
             now = now + Duration::from_millis(20);
             let event = inbox.pop().unwrap_or(Event::Tick);
-            for action in c.on(now, event) {
+            for action in c.handle_event(now, event) {
                 match action {
                     Action::Answer { end, .. } => answer = Some(end),
                     Action::ReadFloor => inbox.push(Event::Floor(Some(store.floor))),
@@ -267,10 +273,10 @@
                     }
                     Action::Write { object, expect, claims } => {
                         let end = match store.write(&object, expect, Some(claims)) {
-                            Some(v) => WriteEnd::Done(v),
-                            None => WriteEnd::Conflict,
+                            Some(v) => WriteOutcome::Done(v),
+                            None => WriteOutcome::Conflict,
                         };
-                        inbox.push(Event::Wrote { object, end });
+                        inbox.push(Event::Written { object, end });
                     }
                 }
             }
@@ -283,14 +289,15 @@
 #[test]
 fn keys_outside_the_window_are_refused_without_a_call() {
     let cases = [
-        (UNIX_MS - decide::claim::WINDOW_MS - 1, ClaimEnd::Old),
-        (UNIX_MS + decide::claim::CLOCK_ERROR_MS + 1, ClaimEnd::Future),
+        (UNIX_MS - decide::claim::CLAIM_WINDOW_MS - 1, ClaimEnd::Old),
+        (UNIX_MS + decide::claim::MAX_CLOCK_ERROR_MS + 1, ClaimEnd::Future),
     ];
     for (at, want) in cases {
         let mut c = Committer::default();
         let ask = ClaimAsk { key: Key::new(at, 1), request: "r".into() };
-        let until = Time::from_millis(100);
-        let out = c.on(Time::ZERO, Event::Ask { ask, ticket: 9, unix_ms: UNIX_MS, until });
+        let expires = Time::from_millis(100);
+        let out =
+            c.handle_event(Time::ZERO, Event::Claim { ask, ticket: 9, unix_ms: UNIX_MS, expires });
         assert_eq!(out, vec![Action::Answer { ticket: 9, end: want }]);
     }
 }
@@ -311,13 +318,13 @@
                 key: Key::new(ms, u128::from(i) * 0x9e37_79b9_7f4a_7c15),
                 request: format!("r{i}").into(),
             };
-            let until = at + Duration::from_secs(2);
+            let expires = at + Duration::from_secs(2);
             seq += 1;
-            inbox.insert((at, seq), Event::Ask { ask, ticket: i, unix_ms: ms, until });
+            inbox.insert((at, seq), Event::Claim { ask, ticket: i, unix_ms: ms, expires });
         }
         let mut won = 0;
         while let Some(((at, _), event)) = inbox.pop_first() {
-            for action in c.on(at, event) {
+            for action in c.handle_event(at, event) {
                 let event = match action {
                     Action::Answer { end, .. } => {
                         won += u64::from(end == ClaimEnd::Won);
@@ -330,10 +337,10 @@
                     }
                     Action::Write { object, expect, claims } => {
                         let end = match store.write(&object, expect, Some(claims)) {
-                            Some(v) => WriteEnd::Done(v),
-                            None => WriteEnd::Conflict,
+                            Some(v) => WriteOutcome::Done(v),
+                            None => WriteOutcome::Conflict,
                         };
-                        Event::Wrote { object, end }
+                        Event::Written { object, end }
                     }
                 };
                 seq += 1;
--- a/crates/decide/tests/config.rs
+++ b/crates/decide/tests/config.rs
@@ -8,7 +8,7 @@
 
 use decide::config::{
     Declared, Follower, FollowerAction, FollowerEvent, Publisher, PublisherAction, PublisherEvent,
-    PutEnd, Source,
+    PutOutcome, Source,
 };
 use decide::rng::Rng;
 use model::manifest::{Chunk, Manifest};
@@ -147,7 +147,7 @@
     }
 
     fn publisher(&mut self, i: usize, event: PublisherEvent) {
-        for action in self.publishers[i].on(event) {
+        for action in self.publishers[i].handle_event(event) {
             let event = match action {
                 PublisherAction::PutStatus(list) => {
                     for s in list {
@@ -163,10 +163,10 @@
                 PublisherAction::PutChunk(hash, text) => {
                     let end = if self.unlucky() {
                         self.late_chunks.push((hash.clone(), text));
-                        PutEnd::Lost
+                        PutOutcome::Lost
                     } else {
                         self.store.chunks.insert(hash.clone(), text);
-                        PutEnd::Done
+                        PutOutcome::Done
                     };
                     PublisherEvent::Chunk(hash, end)
                 }
@@ -174,11 +174,11 @@
                     let nonce = manifest.nonce;
                     let end = if self.unlucky() {
                         self.late.push((expect, manifest));
-                        PutEnd::Lost
+                        PutOutcome::Lost
                     } else if self.put(expect, manifest) {
-                        PutEnd::Done
+                        PutOutcome::Done
                     } else {
-                        PutEnd::Conflict
+                        PutOutcome::Conflict
                     };
                     PublisherEvent::Manifest(nonce, end)
                 }
@@ -214,7 +214,7 @@
     }
 
     fn follower(&mut self, i: usize, event: FollowerEvent) {
-        let actions = self.followers[i].on(self.now, event);
+        let actions = self.followers[i].handle_event(self.now, event);
         for action in actions {
             match action {
                 FollowerAction::Applied(change) => {
@@ -230,7 +230,7 @@
                         FollowerAction::Applied(_) => continue,
                     };
                     if self.rng.below(2) == 0 {
-                        self.messages.push((i, FollowerEvent::Failed(from)));
+                        self.messages.push((i, FollowerEvent::FetchFailed(from)));
                     }
                 }
                 FollowerAction::FetchDelta { from, have } => {
@@ -328,10 +328,10 @@
         let (from, to) = (self.rng.below(4), self.rng.below(4));
         let heard = if from == 0 {
             let number = self.store.manifests.len() as u64;
-            FollowerEvent::Heard { number, from: Source::Store }
+            FollowerEvent::Announced { number, from: Source::Store }
         } else {
             let number = self.numbers[from];
-            FollowerEvent::Heard { number, from: Source::Peer(from.to_string().into()) }
+            FollowerEvent::Announced { number, from: Source::Peer(from.to_string().into()) }
         };
         self.messages.push((to, heard));
     }
@@ -482,16 +482,17 @@
     let mut fresh = Follower::default();
     let from = Source::Peer("1".into());
     let number = world.numbers[1];
-    let out = fresh.on(world.now, FollowerEvent::Heard { number, from: from.clone() });
+    let out =
+        fresh.handle_event(world.now, FollowerEvent::Announced { number, from: from.clone() });
     assert_eq!(out, vec![FollowerAction::FetchDelta { from: from.clone(), have: 0 }]);
     let delta = world.followers[1].delta(0);
-    let out = fresh.on(world.now, FollowerEvent::Delta { delta, from });
+    let out = fresh.handle_event(world.now, FollowerEvent::Delta { delta, from });
     let Some(FollowerAction::FetchChunks { hashes, .. }) = out.first() else {
         panic!("{out:?}");
     };
     for hash in hashes {
         let text = world.followers[1].chunk(hash).cloned().expect("held");
-        fresh.on(world.now, FollowerEvent::Chunk { hash: hash.clone(), text });
+        fresh.handle_event(world.now, FollowerEvent::Chunk { hash: hash.clone(), text });
     }
     assert_eq!(fresh.number(), number);
     assert_eq!(fresh.set(), world.followers[1].set());
@@ -503,7 +504,7 @@
     let mut fresh = Follower::default();
     let manifest = world.store.manifests[0].clone();
     let hash = manifest.slots[0].clone();
-    fresh.on(world.now, FollowerEvent::Manifest(manifest));
-    fresh.on(world.now, FollowerEvent::Chunk { hash, text: "[]".into() });
+    fresh.handle_event(world.now, FollowerEvent::Manifest(manifest));
+    fresh.handle_event(world.now, FollowerEvent::Chunk { hash, text: "[]".into() });
     assert_eq!(fresh.number(), 0);
 }
--- a/crates/decide/tests/lease.rs
+++ b/crates/decide/tests/lease.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use decide::lease::{Action, DRIFT, Event, Holder, PERIOD};
+use decide::lease::{Action, Event, LeaseClient, MAX_CLOCK_DRIFT, PERIOD};
 use decide::rng::Rng;
 use model::Time;
 use model::lease::Lease;
@@ -15,7 +15,7 @@
 const SEED: u64 = 1;
 
 struct Node {
-    holder: Holder,
+    holder: LeaseClient,
     /// Rate of its clock against true time.
     rate: f64,
     paused: Time,
@@ -45,8 +45,8 @@
         let mut rng = Rng::new(seed);
         let nodes = (0..3)
             .map(|i| Node {
-                holder: Holder::new(format!("n{i}").into(), PERIOD, seed ^ i),
-                rate: 1.0 + (rng.unit() - 0.5) * DRIFT * 0.99,
+                holder: LeaseClient::new(format!("n{i}").into(), PERIOD, seed ^ i),
+                rate: 1.0 + (rng.next_f64() - 0.5) * MAX_CLOCK_DRIFT * 0.99,
                 paused: Time::ZERO,
                 inbox: Vec::new(),
             })
@@ -86,13 +86,13 @@
 
     fn act(&mut self, i: usize, action: Action) {
         let event = match action {
-            Action::Taken(epoch) => {
+            Action::Acquired(epoch) => {
                 let other = self.epochs.insert(epoch, i);
                 assert!(other.is_none_or(|o| o == i), "epoch {epoch} held by two nodes");
                 self.taken += 1;
                 return;
             }
-            Action::Dropped => return,
+            Action::Lost => return,
             Action::Read if self.down || self.unlucky() => Event::ReadFailed,
             Action::Read => {
                 let back = if self.unlucky() { 1 } else { 0 };
@@ -116,10 +116,10 @@
                 let at = self.now + Duration::from_millis(self.rng.below(9000) as u64);
                 self.late.push(Late { at, expect, lease });
             }
-            return Event::Lost;
+            return Event::WriteLost;
         }
         match self.store(expect, lease) {
-            Some(version) => Event::Wrote(version),
+            Some(version) => Event::Written(version),
             None => Event::Conflict,
         }
     }
@@ -151,7 +151,7 @@
                 events.push(Event::Tick);
             }
             for event in events {
-                for action in self.nodes[i].holder.on(local, event) {
+                for action in self.nodes[i].holder.handle_event(local, event) {
                     self.act(i, action);
                 }
             }
@@ -223,23 +223,23 @@
 #[test]
 fn validity_counts_from_before_the_write_was_sent() {
     // The answer is read only after a long pause: by then the lease has lapsed.
-    let mut h = Holder::new("n".into(), PERIOD, 1);
-    h.on(Time::ZERO, Event::Tick);
-    let out = h.on(Time::ZERO, Event::Read { version: 0, lease: None });
+    let mut h = LeaseClient::new("n".into(), PERIOD, 1);
+    h.handle_event(Time::ZERO, Event::Tick);
+    let out = h.handle_event(Time::ZERO, Event::Read { version: 0, lease: None });
     let writes = |out: &[Action]| out.iter().any(|a| matches!(a, Action::Write { .. }));
     let now = Time::ZERO + PERIOD.mul_f64(0.6);
-    let out = if writes(&out) { out } else { h.on(now, Event::Tick) };
+    let out = if writes(&out) { out } else { h.handle_event(now, Event::Tick) };
     assert!(writes(&out), "{out:?}");
     let late = now + PERIOD + Duration::from_secs(1);
-    h.on(late, Event::Wrote(1));
+    h.handle_event(late, Event::Written(1));
     assert_eq!(h.epoch(late, Duration::ZERO), None);
     // Read in time, it lasts until a period after the send.
-    let mut h = Holder::new("n".into(), PERIOD, 1);
-    h.on(Time::ZERO, Event::Tick);
-    h.on(Time::ZERO, Event::Read { version: 0, lease: None });
-    h.on(now, Event::Tick);
+    let mut h = LeaseClient::new("n".into(), PERIOD, 1);
+    h.handle_event(Time::ZERO, Event::Tick);
+    h.handle_event(Time::ZERO, Event::Read { version: 0, lease: None });
+    h.handle_event(now, Event::Tick);
     let soon = now + PERIOD / 2;
-    h.on(soon, Event::Wrote(1));
+    h.handle_event(soon, Event::Written(1));
     assert_eq!(h.epoch(soon, Duration::ZERO), Some(1));
     assert_eq!(h.epoch(now + PERIOD, Duration::ZERO), None);
 }
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -5,7 +5,7 @@
 
 use decide::admit::{Gate, Verdict, Waiter};
 use decide::deadline::{self, StepTimes};
-use decide::limit::{Bucket, Concurrency, RateHome, Slice};
+use decide::limit::{ConcurrencyLimit, RateLender, RateSlice, TokenBucket};
 use decide::load::{Board, poll_rank};
 use decide::retry::{Budget, backoff};
 use decide::rng::Rng;
@@ -192,23 +192,23 @@
 
 #[test]
 fn concurrency_narrows_under_queueing_and_never_closes() {
-    let mut c = Concurrency::default();
-    let start = c.width();
+    let mut c = ConcurrencyLimit::default();
+    let start = c.max_in_flight();
     let mut now = Time::from_millis(1);
     for i in 0..200 {
         now = now + Duration::from_millis(250);
-        c.sample(now, if i == 0 { 10.0 } else { 500.0 }, 32);
+        c.record_latency(now, if i == 0 { 10.0 } else { 500.0 }, 32);
     }
-    assert!(c.width() < start && c.width() >= 4, "{}", c.width());
+    assert!(c.max_in_flight() < start && c.max_in_flight() >= 4, "{}", c.max_in_flight());
     for _ in 0..5000 {
-        c.sample(now, 10.0, c.width());
+        c.record_latency(now, 10.0, c.max_in_flight());
     }
-    assert!(c.width() > 16, "{}", c.width());
+    assert!(c.max_in_flight() > 16, "{}", c.max_in_flight());
 }
 
 #[test]
 fn a_bucket_says_when_to_come_back() {
-    let mut b = Bucket::new(2.0, Time::ZERO);
+    let mut b = TokenBucket::new(2.0, Time::ZERO);
     assert!(b.take(Time::ZERO).is_ok());
     let wait = b.take(Time::ZERO).expect_err("empty");
     assert!((490..=510).contains(&wait.as_millis()), "{wait:?}");
@@ -218,8 +218,9 @@
 /// Nodes that ask a home for slices; returns requests taken in ten seconds.
 fn limited(nodes: usize, home_up: impl Fn(u64) -> bool, demand: impl Fn(usize) -> u64) -> u64 {
     const RATE: f64 = 100.0;
-    let mut home = RateHome::new(RATE);
-    let mut slices: Vec<Slice> = (0..nodes).map(|_| Slice::new(RATE, nodes, Time::ZERO)).collect();
+    let mut home = RateLender::new(RATE);
+    let mut slices: Vec<RateSlice> =
+        (0..nodes).map(|_| RateSlice::new(RATE, nodes, Time::ZERO)).collect();
     let mut taken = 0;
     for ms in 0..12_000u64 {
         let now = Time::from_millis(ms);
@@ -227,7 +228,7 @@
             if ms % 500 == i as u64 && home_up(ms) {
                 let d = s.demand(now);
                 let lend = home.lend(now, &format!("n{i}").into(), d, nodes);
-                s.lent(now, now, lend);
+                s.renew(now, now, lend);
             }
             let per_second = demand(i);
             if per_second > 0 && ms % (1000 / per_second) == 0 && s.take(now, nodes).is_ok() {
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -65,9 +65,9 @@
 
     /// Starts a node on a host that bears this much.
     fn start_on(&mut self, i: usize, capacity: u8) {
-        let start = self.rng.draw().max(1);
+        let start = self.rng.next_u64().max(1);
         let me = Node { capacity, ..node(i, start) };
-        let mut m = Member::new(me, Tuning::default(), self.rng.draw());
+        let mut m = Member::new(me, Tuning::default(), self.rng.next_u64());
         self.born.insert(i, self.now);
         m.on(Time::ZERO, Event::Seeds(vec![address(0), address(1), address(2)]));
         self.nodes.insert(i, m);
--- a/crates/decide/tests/region_cut.rs
+++ b/crates/decide/tests/region_cut.rs
@@ -62,7 +62,7 @@
             let me = node(i);
             let mut roster = Roster::new(me.id.name.clone(), me.domain.clone(), 0);
             roster.set_regions(regions.clone());
-            Host { member: Member::new(me, Tuning::default(), rng.draw()), roster }
+            Host { member: Member::new(me, Tuning::default(), rng.next_u64()), roster }
         };
         let hosts = (0..DOMAINS.len() * EACH).map(host).collect();
         let mut net = Net { now: Time::ZERO, rng, hosts, wire: BTreeMap::new(), sent: 0, cut: &[] };
--- a/crates/decide/tests/request.rs
+++ b/crates/decide/tests/request.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use decide::request::{Action, Event, Permit, Plan, Run, StepPlan};
+use decide::request::{Action, Event, Plan, RequestMachine, RetryPolicy, StepPlan};
 use decide::rng::Rng;
 use model::attempt::{Attempt, Frame};
 use model::claim::ClaimEnd;
@@ -20,8 +20,8 @@
 
 struct Always(bool);
 
-impl Permit for Always {
-    fn retry(&mut self, _: usize) -> bool {
+impl RetryPolicy for Always {
+    fn allow_retry(&mut self, _: usize) -> bool {
         self.0
     }
 }
@@ -30,7 +30,7 @@
     StepPlan {
         name: name.into(),
         repeatable,
-        continues,
+        continuable: continues,
         timeout: Duration::from_millis(500),
         hedge: None,
         cost: 1.0,
@@ -42,7 +42,7 @@
         request: "r1".into(),
         steps,
         deadline: Time::from_millis(5000),
-        until: Time::from_millis(5000),
+        expires: Time::from_millis(5000),
         key: Some(Key::new(1_000_000, 7)),
         streamed,
         seed: 3,
@@ -72,7 +72,7 @@
 
 /// Drives a run by hand and keeps what it did.
 struct Hand {
-    run: Run,
+    run: RequestMachine,
     now: Time,
     actions: Vec<Action>,
     permit: Always,
@@ -80,12 +80,12 @@
 
 impl Hand {
     fn new(plan: Plan) -> Self {
-        let run = Run::new(plan, Time::ZERO);
+        let run = RequestMachine::new(plan, Time::ZERO);
         Hand { run, now: Time::ZERO, actions: Vec::new(), permit: Always(true) }
     }
 
     fn on(&mut self, event: Event) -> Vec<Action> {
-        let out = self.run.on(self.now, event, &mut self.permit);
+        let out = self.run.handle_event(self.now, event, &mut self.permit);
         self.actions.extend(out.clone());
         out
     }
@@ -125,7 +125,7 @@
 fn reordered_and_doubled_frames_make_the_whole_answer() {
     let mut h = Hand::new(plan(vec![step("generate", true, true)], true));
     h.on(Event::Start);
-    h.on(Event::Picked("e1".into()));
+    h.on(Event::TargetPicked("e1".into()));
     let mut all = frames(&attempt(0, 0), &words(5), 0);
     all.reverse();
     let doubled = all.clone();
@@ -139,7 +139,7 @@
 fn frames_of_another_request_are_dropped_and_counted() {
     let mut h = Hand::new(plan(vec![step("generate", true, true)], true));
     h.on(Event::Start);
-    h.on(Event::Picked("e1".into()));
+    h.on(Event::TargetPicked("e1".into()));
     let other = Attempt { request: "r2".into(), step: 0, number: 0 };
     h.frames(frames(&other, &words(3), 0));
     assert_eq!(h.text(), "");
@@ -154,7 +154,7 @@
         let mut h = Hand::new(plan(vec![step("generate", true, true)], streamed));
         h.permit = Always(false);
         h.on(Event::Start);
-        h.on(Event::Picked("e1".into()));
+        h.on(Event::TargetPicked("e1".into()));
         let mut all = frames(&attempt(0, 0), &words(5), 0);
         all.remove(4);
         if let Some(Frame::End { count, .. }) = all.last_mut() {
@@ -169,7 +169,7 @@
 fn a_broken_stream_is_resumed_then_continued_from_the_text_given() {
     let mut h = Hand::new(plan(vec![step("generate", true, true)], true));
     h.on(Event::Start);
-    h.on(Event::Picked("e1".into()));
+    h.on(Event::TargetPicked("e1".into()));
     let all = frames(&attempt(0, 0), &words(6), 0);
     h.frames(all[..2].to_vec());
     let reason = Reason::Broken("cut".into());
@@ -182,9 +182,9 @@
     // The engine forgot the stream: another one goes on behind the two words.
     h.on(Event::NotSent { attempt: attempt(0, 1), reason });
     h.wait(300);
-    let out = h.on(Event::Picked("e2".into()));
+    let out = h.on(Event::TargetPicked("e2".into()));
     assert!(out.iter().any(|a| matches!(a, Action::Send { from: 2, resume: None, .. })));
-    assert_eq!(h.run.prior(), words(2).concat());
+    assert_eq!(h.run.partial_text(), words(2).concat());
     h.frames(frames(&attempt(0, 2), &words(6), 2));
     assert_eq!(h.text(), words(6).concat());
     assert_eq!(h.end().map(|e| e.outcome), Some(Outcome::Complete));
@@ -195,13 +195,13 @@
     let lost = Reason::Broken("cut".into());
     let cases = [
         ("lost before any frame", Event::Closed { attempt: attempt(0, 0), reason: lost.clone() }),
-        ("caller gone", Event::Gone),
+        ("caller gone", Event::CallerGone),
     ];
     for (name, event) in cases {
         let mut h = Hand::new(plan(vec![step("pay", false, false)], false));
         h.on(Event::Start);
         h.on(Event::Claim(ClaimEnd::Won));
-        h.on(Event::Picked("p1".into()));
+        h.on(Event::TargetPicked("p1".into()));
         h.on(event);
         h.wait(1000);
         assert_eq!(h.end().map(|e| e.outcome), Some(Outcome::Unknown), "{name}");
@@ -211,11 +211,11 @@
     let mut h = Hand::new(plan(vec![step("pay", false, false)], false));
     h.on(Event::Start);
     h.on(Event::Claim(ClaimEnd::Won));
-    h.on(Event::Picked("p1".into()));
+    h.on(Event::TargetPicked("p1".into()));
     let reason = Reason::Unreachable("refused".into());
     h.on(Event::NotSent { attempt: attempt(0, 0), reason });
     h.wait(1000);
-    h.on(Event::Picked("p2".into()));
+    h.on(Event::TargetPicked("p2".into()));
     assert_eq!(h.sends(), 2);
     assert!(h.end().is_none());
 }
@@ -243,7 +243,7 @@
     let mut h = Hand::new(plan(vec![step("encode", true, false)], false));
     h.permit = Always(false);
     h.on(Event::Start);
-    h.on(Event::Picked("t1".into()));
+    h.on(Event::TargetPicked("t1".into()));
     let reason = Reason::Unreachable("refused".into());
     h.on(Event::NotSent { attempt: attempt(0, 0), reason });
     let end = h.end().cloned().expect("it ended");
@@ -258,7 +258,7 @@
     slow.timeout = Duration::from_secs(60);
     let mut h = Hand::new(plan(vec![slow], false));
     h.on(Event::Start);
-    h.on(Event::Picked("t1".into()));
+    h.on(Event::TargetPicked("t1".into()));
     h.frames(vec![frames(&attempt(0, 0), &words(3), 0).remove(0)]);
     h.wait(4999);
     assert!(h.end().is_none());
@@ -277,9 +277,9 @@
     hedged.hedge = Some(Duration::from_millis(20));
     let mut h = Hand::new(plan(vec![hedged], false));
     h.on(Event::Start);
-    h.on(Event::Picked("t1".into()));
+    h.on(Event::TargetPicked("t1".into()));
     h.wait(21);
-    h.on(Event::Picked("t2".into()));
+    h.on(Event::TargetPicked("t2".into()));
     h.frames(frames(&attempt(0, 1), &words(2), 0));
     assert!(h.actions.contains(&Action::Cancel { attempt: attempt(0, 0), target: "t1".into() }));
     assert_eq!(h.end().map(|e| e.outcome), Some(Outcome::Complete));
@@ -312,7 +312,7 @@
 /// A world of failing targets around one run.
 struct World {
     rng: Rng,
-    run: Run,
+    run: RequestMachine,
     now: Time,
     steps: Vec<StepPlan>,
     pending: Vec<Event>,
@@ -338,9 +338,9 @@
         let mut p = plan(steps.clone(), streamed);
         p.seed = seed;
         World {
-            trouble: rng.unit(),
+            trouble: rng.next_f64(),
             rng,
-            run: Run::new(p, Time::ZERO),
+            run: RequestMachine::new(p, Time::ZERO),
             now: Time::ZERO,
             begun: vec![0; n],
             steps,
@@ -360,7 +360,7 @@
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut permit = Always(self.rng.below(8) > 0);
-            for action in self.run.on(self.now, event, &mut permit) {
+            for action in self.run.handle_event(self.now, event, &mut permit) {
                 events.extend(self.act(action));
             }
         }
@@ -376,11 +376,11 @@
                 self.claimed = end == ClaimEnd::Won;
                 return Some(Event::Claim(end));
             }
-            Action::Pick { .. } => {
+            Action::PickTarget { .. } => {
                 if self.rng.below(20) == 0 {
                     return Some(Event::NoTarget(Duration::from_millis(100)));
                 }
-                return Some(Event::Picked(format!("t{}", self.rng.below(4)).into()));
+                return Some(Event::TargetPicked(format!("t{}", self.rng.below(4)).into()));
             }
             Action::Send { attempt, from, resume, .. } => self.send(attempt, from, resume),
             Action::Emit(p) => {
@@ -388,7 +388,7 @@
                 self.emitted.push(p.text);
             }
             Action::Finish(end) => self.ends.push(end),
-            Action::Cancel { .. } | Action::Wake(_) => {}
+            Action::Cancel { .. } | Action::WakeAt(_) => {}
         }
         None
     }
@@ -399,7 +399,7 @@
         if self.steps.iter().any(|s| !s.repeatable) {
             assert!(self.claimed, "nothing is sent without the claim");
         }
-        let troubled = self.rng.unit() < self.trouble;
+        let troubled = self.rng.next_f64() < self.trouble;
         let fate = if troubled { FATES[self.rng.below(FATES.len())] } else { Fate::Whole };
         let reason = Reason::Broken("test".into());
         let runs = !matches!(fate, Fate::Unreachable | Fate::Refuse | Fate::LoseUnrun);
@@ -465,7 +465,7 @@
                 }
             }
             if self.rng.below(3000) == 0 {
-                self.feed(Event::Gone);
+                self.feed(Event::CallerGone);
             }
         }
     }
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -182,7 +182,7 @@
     let mut counts = [0u32; 4];
     for n in 0..2000u64 {
         let now = NOW + Duration::from_millis(n);
-        let i = policy.pick(&Ask { now, ..ask(rng.draw()) }, &t).expect("a target");
+        let i = policy.pick(&Ask { now, ..ask(rng.next_u64()) }, &t).expect("a target");
         let name = t.slots()[i].info.name.clone();
         let sent = t.sent(now, &name);
         counts[i] += 1;
--- a/crates/decide/tests/support/rollout/mod.rs
+++ b/crates/decide/tests/support/rollout/mod.rs
@@ -212,7 +212,7 @@
     }
 
     fn restart(&mut self) {
-        if self.rng.unit() < self.case.restarts * STEP_MS as f64 / 1000.0 {
+        if self.rng.next_f64() < self.case.restarts * STEP_MS as f64 / 1000.0 {
             let n = self.rng.below(self.nodes.len());
             let start = self.nodes[n].id.start + 1;
             let known = self.known(WATCH_MS);
@@ -317,7 +317,7 @@
 
     fn write(&mut self, judge: usize, state: RolloutState) {
         let revision = self.heard[judge];
-        let lost = self.rng.unit() < self.case.lost_writes;
+        let lost = self.rng.next_f64() < self.case.lost_writes;
         let lands_ms = match (lost, self.rng.below(4)) {
             (true, 0) => None,
             (true, 1) => Some(self.now + 1000 + self.rng.below(3000) as u64),
@@ -354,12 +354,12 @@
             evidence: node.evidence.report("s"),
         };
         let judge = self.judge_of(n);
-        if self.rng.unit() < self.case.lost {
+        if self.rng.next_f64() < self.case.lost {
             return;
         }
         self.nodes[n].told_ms = self.now;
         self.on(judge, JudgeEvent::Report(report));
-        if self.rng.unit() < self.case.lost {
+        if self.rng.next_f64() < self.case.lost {
             return;
         }
         let Some(RolloutAnswer { order, phase, age_ms }) =
--- a/crates/decide/tests/support/rollout/traffic.rs
+++ b/crates/decide/tests/support/rollout/traffic.rs
@@ -61,9 +61,9 @@
             Fault::Fails(part) if hit => self.case.noise + part,
             _ => self.case.noise,
         };
-        let is_shared = self.rng.unit() < calls.shared;
+        let is_shared = self.rng.next_f64() < calls.shared;
         let fates = if is_shared { 1 } else { pieces };
-        let failed = (0..fates).filter(|_| self.rng.unit() < part).count() as u32;
+        let failed = (0..fates).filter(|_| self.rng.next_f64() < part).count() as u32;
         failed * pieces / fates
     }
 
@@ -85,7 +85,7 @@
         let chance = self.owed / lots as f64;
         self.owed = 0.0;
         for _ in 0..lots {
-            if self.rng.unit() < chance {
+            if self.rng.next_f64() < chance {
                 sent += 1.0;
                 tried += f64::from(u8::from(self.request() == Side::Trial));
             }
@@ -128,15 +128,15 @@
             let back = BOUNDS.back.as_millis() as u64;
             self.outcome.late += u64::from(self.fiftieth.is_some_and(|at| self.now > at + back));
         }
-        let spread: f64 = (0..6).map(|_| self.rng.unit()).sum::<f64>() - 3.0;
+        let spread: f64 = (0..6).map(|_| self.rng.next_f64()).sum::<f64>() - 3.0;
         let usual = 40.0 * (1 + route) as f64 * (0.5 * spread).exp();
         let hit = new && self.is_bad(route);
         let (fails, times) = match self.case.fault {
-            Fault::Fails(part) => (hit && self.rng.unit() < part, 1.0),
-            Fault::Slow(by) => (false, if hit && self.rng.unit() < 0.4 { by } else { 1.0 }),
+            Fault::Fails(part) => (hit && self.rng.next_f64() < part, 1.0),
+            Fault::Slow(by) => (false, if hit && self.rng.next_f64() < 0.4 { by } else { 1.0 }),
         };
         let bad = fails || times > 1.0;
-        let fails = fails || self.rng.unit() < self.case.noise;
+        let fails = fails || self.rng.next_f64() < self.case.noise;
         let failed = self.failed_pieces(pieces, hit);
         let took = Duration::from_secs_f64(usual * times / 1000.0);
         let due = self.now + took.as_millis() as u64;
--- a/crates/dev/tests/bad_input.rs
+++ b/crates/dev/tests/bad_input.rs
@@ -104,9 +104,9 @@
     }
     let after: usize = stack.targets.values().map(|t| t.runs().len()).sum();
     assert_eq!(ran, after, "bad input reached a target");
-    assert_eq!(good.ends, vec![Outcome::Complete]);
+    assert_eq!(good.outcomes, vec![Outcome::Complete]);
     let next = Ask::order(2, key()).send(&client(), stack.callers()[0]).await;
-    assert_eq!(next.ends, vec![Outcome::Complete]);
+    assert_eq!(next.outcomes, vec![Outcome::Complete]);
     stack.stop().await;
 }
 
@@ -140,7 +140,7 @@
         let answer = raw(to, bytes.as_bytes()).await;
         assert!(!answer.contains(" 200 "), "{name}: {answer}");
         let next = Ask::minutes(3, false).send(&client(), to).await;
-        assert_eq!(next.ends, vec![Outcome::Complete], "after {name}");
+        assert_eq!(next.outcomes, vec![Outcome::Complete], "after {name}");
     }
     let slow_body = "POST /v1/pipelines/minutes HTTP/1.1\r\nhost: x\r\n\
                      pumicevale-workspace: w\r\ncontent-length: 50\r\n\r\n{";
--- a/crates/dev/tests/common/mod.rs
+++ b/crates/dev/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use audit::{Ran, Record, Rules, Seen};
+use audit::{CallRecord, Record, Rules, StepRun};
 use bytes::Bytes;
 use cli::declare::{self, Declaration};
 use dev::{Options, Stack};
@@ -165,15 +165,15 @@
     }
 
     /// Sends it and keeps what came back.
-    pub async fn send(&self, client: &Client, to: SocketAddr) -> Seen {
-        let mut seen = Seen {
+    pub async fn send(&self, client: &Client, to: SocketAddr) -> CallRecord {
+        let mut seen = CallRecord {
             call: self.call,
             request: None,
             key: self.key,
-            ends: Vec::new(),
+            outcomes: Vec::new(),
             broken: false,
             text: String::new(),
-            want: self.want(),
+            expected_text: self.want(),
         };
         let peer = to.to_string();
         match client.send(&peer, self.request(to)).await {
@@ -194,7 +194,7 @@
     }
 }
 
-async fn read_whole(seen: &mut Seen, response: Response<Incoming>) {
+async fn read_whole(seen: &mut CallRecord, response: Response<Incoming>) {
     let Ok(body) = response.into_body().collect().await else {
         seen.broken = true;
         return;
@@ -208,11 +208,11 @@
     } else {
         let problem: Value = serde_json::from_slice(&bytes).expect("JSON");
         assert_eq!(problem["outcome"], "not-run", "{problem}");
-        seen.ends.push(Outcome::NotRun);
+        seen.outcomes.push(Outcome::NotRun);
     }
 }
 
-async fn read_events(seen: &mut Seen, peer: &str, response: Response<Incoming>) {
+async fn read_events(seen: &mut CallRecord, peer: &str, response: Response<Incoming>) {
     let mut lines = Lines::new(peer, response);
     let mut event = String::new();
     let mut next = 0;
@@ -220,7 +220,7 @@
         let line = match lines.next().await {
             Ok(Some(line)) => String::from_utf8(line).expect("UTF-8"),
             Ok(None) => {
-                seen.broken = seen.ends.is_empty();
+                seen.broken = seen.outcomes.is_empty();
                 return;
             }
             Err(_) => {
@@ -245,9 +245,9 @@
     }
 }
 
-fn end(seen: &mut Seen, last: Final) {
+fn end(seen: &mut CallRecord, last: Final) {
     seen.request = Some(last.request);
-    seen.ends.push(last.outcome);
+    seen.outcomes.push(last.outcome);
 }
 
 /// Rules of the two pipelines.
@@ -260,10 +260,15 @@
 }
 
 /// The auditor's record of one pipeline's requests on an in-process stack.
-pub fn record(stack: &Stack, pipeline: &str, seen: Vec<Seen>) -> Record {
+pub fn record(stack: &Stack, pipeline: &str, seen: Vec<CallRecord>) -> Record {
     let runs = stack.targets.values().flat_map(|t| t.runs());
     let ran = runs
-        .map(|r| Ran { request: r.attempt.request, step: r.step, resumed: r.resumed, done: r.done })
+        .map(|r| StepRun {
+            request: r.attempt.request,
+            step: r.step,
+            resumed: r.resumed,
+            done: r.done,
+        })
         .collect();
     let claims = stack
         .api
@@ -271,7 +276,7 @@
         .into_iter()
         .filter_map(|v| serde_json::from_value::<Claims>(v).ok())
         .collect();
-    Record { seen, ran, claims, rules: rules(pipeline) }
+    Record { calls: seen, runs: ran, claims, rules: rules(pipeline) }
 }
 
 /// A client for callers.
--- a/crates/dev/tests/faults.rs
+++ b/crates/dev/tests/faults.rs
@@ -5,17 +5,17 @@
 
 use std::time::Duration;
 
-use audit::Seen;
+use audit::CallRecord;
 use common::{Ask, client, declarations, key, record, stack, stack_with, until};
 use dev::Stack;
 use model::outcome::Outcome;
 use standin::faults::{ApiFaults, TargetFaults};
 
-fn outcome(seen: &Seen) -> Option<Outcome> {
-    seen.ends.first().copied()
+fn outcome(seen: &CallRecord) -> Option<Outcome> {
+    seen.outcomes.first().copied()
 }
 
-async fn send_many(stack: &Stack, asks: Vec<Ask>) -> Vec<Seen> {
+async fn send_many(stack: &Stack, asks: Vec<Ask>) -> Vec<CallRecord> {
     let callers = stack.callers();
     let client = client();
     let tasks: Vec<_> = asks
@@ -106,7 +106,7 @@
         runs.dedup();
         assert!(runs.len() <= 2, "spliced from several generations: {}", s.text);
         let plain: String = s.text.replace("~eng-1", "").replace("~eng-2", "");
-        assert_eq!(plain, s.want);
+        assert_eq!(plain, s.expected_text);
     }
     stack.stop().await;
 }
--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use audit::{Ran, Record, Seen};
+use audit::{CallRecord, Record, StepRun};
 use common::{Ask, client, key, rules};
 use hyper::Method;
 use model::claim::Claims;
@@ -244,7 +244,7 @@
     }
 
     /// Sends pairs of orders with one key to two nodes each, and summaries.
-    async fn load(&self, call: u64, n: u64) -> (Vec<Seen>, Vec<Seen>) {
+    async fn load(&self, call: u64, n: u64) -> (Vec<CallRecord>, Vec<CallRecord>) {
         let mut orders = Vec::new();
         let mut minutes = Vec::new();
         for i in 0..n {
@@ -270,11 +270,11 @@
     }
 
     /// What the targets that are up ran, and the claims in the store.
-    async fn record(&self, pipeline: &str, seen: Vec<Seen>) -> Record {
+    async fn record(&self, pipeline: &str, seen: Vec<CallRecord>) -> Record {
         let mut ran = Vec::new();
         for (at, _) in &self.targets {
             let journal: Vec<Journal> = read(at, "/journal").await;
-            ran.extend(journal.into_iter().map(|r| Ran {
+            ran.extend(journal.into_iter().map(|r| StepRun {
                 request: r.attempt.request,
                 step: r.step,
                 resumed: r.resumed,
@@ -284,7 +284,7 @@
         let listing: Listing = read(&self.store_address(), "/v1/claim").await;
         let values = listing.objects.into_iter().filter_map(|o| o.value);
         let claims = values.filter_map(|v| serde_json::from_value::<Claims>(v).ok()).collect();
-        Record { seen, ran, claims, rules: rules(pipeline) }
+        Record { calls: seen, runs: ran, claims, rules: rules(pipeline) }
     }
 }
 
@@ -300,8 +300,8 @@
     }
 }
 
-fn outcomes(seen: &[Seen], want: Outcome) -> usize {
-    seen.iter().filter(|s| s.ends.first() == Some(&want)).count()
+fn outcomes(seen: &[CallRecord], want: Outcome) -> usize {
+    seen.iter().filter(|s| s.outcomes.first() == Some(&want)).count()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use decide::claim::{Action, Committer, Event, ReadBack, WriteEnd};
+use decide::claim::{Action, Committer, Event, ReadOutcome, WriteOutcome};
 use kameo::Actor;
 use kameo::actor::{ActorRef, Spawn};
 use kameo::message::{Context, Message};
@@ -115,7 +115,7 @@
         self.ticket += 1;
         self.answers.insert(self.ticket, w.answer);
         let event =
-            Event::Ask { ask: w.ask, ticket: self.ticket, unix_ms: unix_ms(), until: w.until };
+            Event::Claim { ask: w.ask, ticket: self.ticket, unix_ms: unix_ms(), expires: w.until };
         self.feed(event, ctx.actor_ref());
     }
 }
@@ -133,7 +133,7 @@
 
 impl Keeper {
     fn feed(&mut self, event: Event, me: &ActorRef<Self>) {
-        for action in self.committer.on(self.clock.now(), event) {
+        for action in self.committer.handle_event(self.clock.now(), event) {
             if let Action::Answer { ticket, end } = action {
                 if let Some(answer) = self.answers.remove(&ticket) {
                     let _ = answer.send(end);
@@ -182,32 +182,32 @@
         Action::Write { object, expect, claims } => {
             let value = serde_json::to_value(&claims).expect("claims encode");
             let end = match store.put(kind::CLAIM, &object, expect, Some(value)).await {
-                Ok(version) => WriteEnd::Done(version),
+                Ok(version) => WriteOutcome::Done(version),
                 Err(e) => match e.kind {
-                    ErrorKind::Conflict => WriteEnd::Conflict,
-                    ErrorKind::Lost(_) => WriteEnd::Lost,
-                    _ => WriteEnd::NotSent,
+                    ErrorKind::Conflict => WriteOutcome::Conflict,
+                    ErrorKind::Lost(_) => WriteOutcome::Lost,
+                    _ => WriteOutcome::NotSent,
                 },
             };
-            Event::Wrote { object, end }
+            Event::Written { object, end }
         }
         Action::Answer { .. } => Event::Tick,
     }
 }
 
-async fn read(store: &impl Store, object: &Name) -> ReadBack {
+async fn read(store: &impl Store, object: &Name) -> ReadOutcome {
     match store.get(kind::CLAIM, object).await {
-        Err(_) => ReadBack::Failed,
+        Err(_) => ReadOutcome::Failed,
         Ok(s) => match s.value {
             Some(v) => match serde_json::from_value::<Claims>(v) {
-                Ok(claims) => ReadBack::Found { version: s.version, claims },
+                Ok(claims) => ReadOutcome::Found { version: s.version, claims },
                 Err(e) => {
                     log::error!("claim: object {object} cannot be read: {e}");
-                    ReadBack::Failed
+                    ReadOutcome::Failed
                 }
             },
-            None if s.version == 0 => ReadBack::Never,
-            None => ReadBack::Deleted,
+            None if s.version == 0 => ReadOutcome::NeverWritten,
+            None => ReadOutcome::Deleted,
         },
     }
 }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -1,11 +1,11 @@
-//! Drives one request: feeds [`decide::request::Run`] with what happens and
+//! Drives one request: feeds [`decide::request::RequestMachine`] with what happens and
 //! carries out what it wants.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use decide::request::{Action, Event, Permit, Plan, Run};
+use decide::request::{Action, Event, Plan, RequestMachine, RetryPolicy};
 use decide::route::{Ask, prefix};
 use model::answer::Piece;
 use model::attempt::{Attempt, Call, Frame};
@@ -75,7 +75,7 @@
     config: Arc<Config>,
     job: Job,
     pipeline: Pipeline,
-    run: Run,
+    run: RequestMachine,
     flights: HashMap<Attempt, Flight>,
     picked: Option<(Name, f64)>,
     told: mpsc::UnboundedSender<Told>,
@@ -90,8 +90,8 @@
     pipeline: &'a Pipeline,
 }
 
-impl Permit for Budgets<'_> {
-    fn retry(&mut self, step: usize) -> bool {
+impl RetryPolicy for Budgets<'_> {
+    fn allow_retry(&mut self, step: usize) -> bool {
         let stage = &self.pipeline.stages[step];
         let taken = self.core.fleet.pool(&stage.pool).is_some_and(|p| p.lock().budget.take());
         self.core.metrics.retry(&stage.name, taken);
@@ -108,7 +108,7 @@
         request: job.request.clone(),
         steps: core.fleet.step_plans(&job.pipeline, &pipeline, core.settings.hedging),
         deadline: job.deadline,
-        until: job.until,
+        expires: job.until,
         key: job.key,
         streamed: job.streamed,
         seed: model::hash::of(job.request.as_bytes()),
@@ -120,7 +120,7 @@
         None => prompt_head(&job.input),
     };
     let mut d = Driver {
-        run: Run::new(plan, job.arrived),
+        run: RequestMachine::new(plan, job.arrived),
         flights: HashMap::new(),
         picked: None,
         told,
@@ -134,13 +134,13 @@
         pipeline,
     };
     d.feed(Event::Start).await;
-    while !d.run.ended() {
+    while !d.run.is_finished() {
         let wake = d.wakes.iter().min().copied().unwrap_or(Time::NEVER);
         let clock = d.core.clock;
         tokio::select! {
             biased;
             Some(told) = hear.recv() => d.hear(told).await,
-            () = d.out.closed() => d.feed(Event::Gone).await,
+            () = d.out.closed() => d.feed(Event::CallerGone).await,
             () = clock.sleep_until(wake) => {
                 let now = d.core.clock.now();
                 d.wakes.retain(|w| *w > now);
@@ -207,7 +207,7 @@
             let now = self.core.clock.now();
             let done = self.run.results().len();
             let mut permit = Budgets { core: &self.core, pipeline: &self.pipeline };
-            let actions = self.run.on(now, event, &mut permit);
+            let actions = self.run.handle_event(now, event, &mut permit);
             if self.run.results().len() > done {
                 self.step_done(now, done);
             }
@@ -233,7 +233,7 @@
     async fn act(&mut self, now: Time, action: Action) -> Option<Event> {
         match action {
             Action::Claim(key) => Some(Event::Claim(self.claim(key).await)),
-            Action::Pick { step, tried } => Some(self.pick(now, step, &tried)),
+            Action::PickTarget { step, exclude: tried } => Some(self.pick(now, step, &tried)),
             Action::Send { attempt, target, from, resume, .. } => {
                 self.send(now, attempt, target, from, resume);
                 None
@@ -247,7 +247,7 @@
                 let _ = self.out.send(Out::Piece(piece)).await;
                 None
             }
-            Action::Wake(at) => {
+            Action::WakeAt(at) => {
                 self.wakes.push(at);
                 None
             }
@@ -282,7 +282,7 @@
         match fleet.pick(&pool, &ask).or_else(|| fleet.pick(&pool, &again)) {
             Some((target, wait)) => {
                 self.picked = Some((target.clone(), wait));
-                Event::Picked(target)
+                Event::TargetPicked(target)
             }
             None => none,
         }
@@ -320,7 +320,7 @@
             priority: self.job.priority as u8,
             budget: budget.as_millis() as u64,
             input: self.step_input(step),
-            prior: self.run.prior().to_string(),
+            prior: self.run.partial_text().to_string(),
             from,
             resume,
         };
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -212,7 +212,7 @@
             StepPlan {
                 name: s.name.clone(),
                 repeatable: s.repeatable,
-                continues: engine,
+                continuable: engine,
                 timeout: seen.map_or_else(|| StepTimes::default().timeout(), StepTimes::timeout),
                 hedge: seen.filter(|_| hedging && !engine).and_then(StepTimes::hedge),
                 cost: pool.map_or(0.0, |p| p.cost),
--- a/crates/entry/src/rates.rs
+++ b/crates/entry/src/rates.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use decide::limit::{Lend, RateHome, Slice};
+use decide::limit::{LentSlice, RateLender, RateSlice};
 use model::view::{LendAsk, Lent, path};
 use model::{Name, Time, hash};
 
@@ -20,8 +20,8 @@
 /// Slices and loans.
 #[derive(Debug, Default)]
 pub struct Rates {
-    slices: Mutex<HashMap<LimitKey, Slice>>,
-    homes: Mutex<HashMap<LimitKey, RateHome>>,
+    slices: Mutex<HashMap<LimitKey, RateSlice>>,
+    homes: Mutex<HashMap<LimitKey, RateLender>>,
 }
 
 impl Rates {
@@ -36,7 +36,7 @@
     ) -> Result<(), Duration> {
         let mut slices = self.slices.lock().expect("no panic while held");
         let key = (workspace.clone(), pipeline.clone());
-        let slice = slices.entry(key).or_insert_with(|| Slice::new(rate, nodes, now));
+        let slice = slices.entry(key).or_insert_with(|| RateSlice::new(rate, nodes, now));
         slice.take(now, nodes)
     }
 
@@ -44,14 +44,14 @@
     pub fn lend(&self, now: Time, ask: &LendAsk, rate: f64, nodes: usize) -> Lent {
         let mut homes = self.homes.lock().expect("no panic while held");
         let key = (ask.workspace.clone(), ask.pipeline.clone());
-        let home = homes.entry(key).or_insert_with(|| RateHome::new(rate));
+        let home = homes.entry(key).or_insert_with(|| RateLender::new(rate));
         home.set_rate(rate);
         Lent { rate: home.lend(now, &ask.node, ask.demand, nodes).rate }
     }
 
     fn asks(&self, now: Time, node: &Name) -> Vec<LendAsk> {
         let mut slices = self.slices.lock().expect("no panic while held");
-        let ask = |((workspace, pipeline), slice): (&LimitKey, &mut Slice)| LendAsk {
+        let ask = |((workspace, pipeline), slice): (&LimitKey, &mut RateSlice)| LendAsk {
             workspace: workspace.clone(),
             pipeline: pipeline.clone(),
             node: node.clone(),
@@ -64,7 +64,7 @@
         let mut slices = self.slices.lock().expect("no panic while held");
         let key = (ask.workspace.clone(), ask.pipeline.clone());
         if let Some(s) = slices.get_mut(&key) {
-            s.lent(now, sent, Lend { rate: lent.rate });
+            s.renew(now, sent, LentSlice { rate: lent.rate });
         }
     }
 }
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -36,7 +36,7 @@
                 let number = view.number;
                 take(&core, view);
                 let from = Source::Peer(control.clone());
-                let heard = FollowerEvent::Heard { number, from };
+                let heard = FollowerEvent::Announced { number, from };
                 follow_up(&core, &fetcher, &mut follower, heard).await;
             }
             Err(e) => {
@@ -63,7 +63,7 @@
 async fn follow_up(core: &Core, fetcher: &Fetcher, follower: &mut Follower, first: FollowerEvent) {
     let mut events = vec![first];
     while let Some(event) = events.pop() {
-        for action in follower.on(core.clock.now(), event) {
+        for action in follower.handle_event(core.clock.now(), event) {
             match action {
                 FollowerAction::Applied(change) => {
                     log::info!("config: manifest {} is in force.", change.number);
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -13,9 +13,9 @@
 use util::http::Client;
 
 /// Longest wait for a neighbour.
-const TIMEOUT: Duration = Duration::from_millis(700);
+const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 /// Chunks asked for in one call.
-const CHUNKS: usize = 64;
+const MAX_CHUNKS_PER_CALL: usize = 64;
 
 /// Fetches for one follower.
 #[derive(Clone)]
@@ -33,51 +33,51 @@
     /// Carries out a fetch and returns what it brought.
     pub async fn fetch(&self, action: FollowerAction) -> Vec<FollowerEvent> {
         match action {
-            FollowerAction::FetchDelta { from: Source::Store, .. } => self.manifest().await,
+            FollowerAction::FetchDelta { from: Source::Store, .. } => self.fetch_manifest().await,
             FollowerAction::FetchDelta { from: Source::Peer(peer), have } => {
-                self.delta(peer, have).await
+                self.fetch_delta(peer, have).await
             }
-            FollowerAction::FetchChunks { from, hashes } => self.chunks(from, hashes).await,
+            FollowerAction::FetchChunks { from, hashes } => self.fetch_chunks(from, hashes).await,
             FollowerAction::Applied(_) => Vec::new(),
         }
     }
 
-    async fn manifest(&self) -> Vec<FollowerEvent> {
+    async fn fetch_manifest(&self) -> Vec<FollowerEvent> {
         let Some(store) = &self.store else {
-            return vec![FollowerEvent::Failed(Source::Store)];
+            return vec![FollowerEvent::FetchFailed(Source::Store)];
         };
         match read_manifest(store).await {
             Some((_, manifest)) => vec![FollowerEvent::Manifest(manifest)],
-            None => vec![FollowerEvent::Failed(Source::Store)],
+            None => vec![FollowerEvent::FetchFailed(Source::Store)],
         }
     }
 
-    async fn delta(&self, peer: Name, have: u64) -> Vec<FollowerEvent> {
+    async fn fetch_delta(&self, peer: Name, have: u64) -> Vec<FollowerEvent> {
         let ask = DeltaAsk { have };
-        let result = self.client.rmp::<_, Delta>(&peer, path::DELTA, &ask, TIMEOUT).await;
+        let result = self.client.rmp::<_, Delta>(&peer, path::DELTA, &ask, PEER_TIMEOUT).await;
         let from = Source::Peer(peer);
         match result {
             Ok(delta) => vec![FollowerEvent::Delta { delta, from }],
             Err(e) => {
                 log::debug!("config: no delta: {e}");
-                vec![FollowerEvent::Failed(from)]
+                vec![FollowerEvent::FetchFailed(from)]
             }
         }
     }
 
-    async fn chunks(&self, from: Source, hashes: Vec<Name>) -> Vec<FollowerEvent> {
+    async fn fetch_chunks(&self, from: Source, hashes: Vec<Name>) -> Vec<FollowerEvent> {
         let mut events = Vec::new();
-        for part in hashes.chunks(CHUNKS) {
+        for part in hashes.chunks(MAX_CHUNKS_PER_CALL) {
             let texts = match &from {
-                Source::Store => self.store_chunks(part).await,
+                Source::Store => self.read_store_chunks(part).await,
                 Source::Peer(peer) => {
                     let ask = ChunksAsk { hashes: part.to_vec() };
-                    let call = self.client.rmp::<_, Chunks>(peer, path::CHUNKS, &ask, TIMEOUT);
+                    let call = self.client.rmp::<_, Chunks>(peer, path::CHUNKS, &ask, PEER_TIMEOUT);
                     call.await.ok().map(|c| c.texts)
                 }
             };
             let Some(texts) = texts.filter(|t| t.len() == part.len()) else {
-                events.push(FollowerEvent::Failed(from));
+                events.push(FollowerEvent::FetchFailed(from));
                 return events;
             };
             for (hash, text) in part.iter().zip(texts) {
@@ -87,7 +87,7 @@
         events
     }
 
-    async fn store_chunks(&self, hashes: &[Name]) -> Option<Vec<Arc<str>>> {
+    async fn read_store_chunks(&self, hashes: &[Name]) -> Option<Vec<Arc<str>>> {
         let store = self.store.as_ref()?;
         let mut texts = Vec::new();
         for hash in hashes {
