--- a/crates/decide/src/config/mod.rs
+++ b/crates/decide/src/config/mod.rs
@@ -6,7 +6,7 @@
 //! came from the store, from a neighbour, or both, in any order.
 
 mod accept;
-mod cut;
+mod chunks;
 mod follower;
 mod publisher;
 
--- a/crates/decide/src/config/publisher.rs
+++ b/crates/decide/src/config/publisher.rs
@@ -13,7 +13,7 @@
 use model::status::Status;
 
 use super::accept::accept;
-use super::cut::split_chunks;
+use super::chunks::split_chunks;
 use crate::rng::Rng;
 
 /// A declared object as read from the Object API.
