--- a/crates/decide/tests/request.rs
+++ b/crates/decide/tests/request.rs
@@ -26,11 +26,11 @@
     }
 }
 
-fn step(name: &str, repeatable: bool, continues: bool) -> StepPlan {
+fn step(name: &str, repeatable: bool, continuable: bool) -> StepPlan {
     StepPlan {
         name: name.into(),
         repeatable,
-        continuable: continues,
+        continuable,
         timeout: Duration::from_millis(500),
         hedge: None,
         cost: 1.0,
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -233,7 +233,7 @@
     async fn act(&mut self, now: Time, action: Action) -> Option<Event> {
         match action {
             Action::Claim(key) => Some(Event::Claim(self.claim(key).await)),
-            Action::PickTarget { step, exclude: tried } => Some(self.pick(now, step, &tried)),
+            Action::PickTarget { step, exclude } => Some(self.pick(now, step, &exclude)),
             Action::Send { attempt, target, from, resume, .. } => {
                 self.send(now, attempt, target, from, resume);
                 None
