--- a/crates/bench/benches/decide.rs
+++ b/crates/bench/benches/decide.rs
@@ -3,7 +3,7 @@
 use bench::slopes::table;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use decide::rng::Rng;
-use decide::route::{Ask, PolicyKind, make_policy};
+use decide::route::{PolicyKind, RouteQuery, make_policy};
 use model::Time;
 use model::attempt::{Attempt, Frame};
 
@@ -17,8 +17,13 @@
             group.bench_function(BenchmarkId::new(format!("{kind:?}"), n), |b| {
                 b.iter(|| {
                     let now = Time::from_millis(5);
-                    let ask =
-                        Ask { now, prefix: rng.draw(), model: None, budget: 500.0, tried: &[] };
+                    let ask = RouteQuery {
+                        now,
+                        prefix: rng.draw(),
+                        model: None,
+                        budget: 500.0,
+                        tried: &[],
+                    };
                     policy.pick(&ask, &t)
                 });
             });
--- a/crates/bench/src/slopes/routes.rs
+++ b/crates/bench/src/slopes/routes.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use decide::rng::Rng;
-use decide::route::{Ask, PolicyKind, PoolTable, Slot, TargetInfo, make_policy};
+use decide::route::{PolicyKind, PoolTable, RouteQuery, Slot, TargetInfo, make_policy};
 use model::Time;
 
 use super::{Figure, counted, timed};
@@ -36,7 +36,7 @@
         let mut sum = 0;
         let begun = Instant::now();
         for _ in 0..DECISIONS / n as u64 * 20 {
-            let ask = Ask {
+            let ask = RouteQuery {
                 now: Time::from_millis(5),
                 prefix: rng.draw(),
                 model: None,
--- a/crates/decide/src/batch/feed.rs
+++ b/crates/decide/src/batch/feed.rs
@@ -52,7 +52,7 @@
         if cold == self.cold && names.as_ref().is_some_and(Vec::is_empty) {
             return None;
         }
-        let sides = fleet.versions().maker_sides(&pool.service);
+        let sides = fleet.versions().call_sides(&pool.service);
         let others_bear = self.others_bear;
         let mut view = View { fleet, pool, map, cold, others_bear, sides, now };
         view.others_bear = view.bear_others();
--- a/crates/decide/src/fleet/targets.rs
+++ b/crates/decide/src/fleet/targets.rs
@@ -113,7 +113,7 @@
         // Looked up once: that takes as long as all else that is asked of a target.
         let versions = self.versions.on_side(service, terms.side);
         let may = move |b: &&Belief| self.bars_lasting(b, terms.allowed, now).is_none();
-        self.of_service(service).filter(move |b| versions.contain(&b.target.version)).filter(may)
+        self.of_service(service).filter(move |b| versions.contains(&b.target.version)).filter(may)
     }
 
     /// Targets of a service that may get new work in these regions, whatever their version; those
@@ -126,7 +126,7 @@
     ) -> impl Iterator<Item = &'a Belief> {
         let versions = self.versions.on_any_side(service);
         let may = move |b: &&Belief| self.bars_lasting(b, allowed, now).is_none();
-        self.of_service(service).filter(move |b| versions.contain(&b.target.version)).filter(may)
+        self.of_service(service).filter(move |b| versions.contains(&b.target.version)).filter(may)
     }
 
     /// Whether a target may get new work on these terms.
@@ -545,13 +545,13 @@
 /// could go on with.
 fn count_in(versions: &mut Versions, target: &Target) {
     if !target.draining {
-        versions.saw(&target.service, &target.version, target.revision, target.id.start);
+        versions.add_target(&target.service, &target.version, target.revision, target.id.start);
     }
 }
 
 /// Counts a target of a version no longer.
 fn count_out(versions: &mut Versions, target: &Target) {
     if !target.draining {
-        versions.gone(&target.service, &target.version);
+        versions.remove_target(&target.service, &target.version);
     }
 }
--- a/crates/decide/src/request/run.rs
+++ b/crates/decide/src/request/run.rs
@@ -335,7 +335,7 @@
         let timely = outcome == Outcome::Complete && now <= self.plan.deadline;
         let retry_after = match outcome {
             Outcome::Complete | Outcome::Unknown => None,
-            _ => Some(wait.unwrap_or(crate::retry::COME_BACK).as_millis() as u64),
+            _ => Some(wait.unwrap_or(crate::retry::DEFAULT_RETRY_AFTER).as_millis() as u64),
         };
         out.push(Action::Finish(Final {
             request: self.plan.request.clone(),
--- a/crates/decide/src/resend/budget.rs
+++ b/crates/decide/src/resend/budget.rs
@@ -19,14 +19,14 @@
 
 /// Part of the allowance that is drawn; the rest covers windows that different
 /// nodes see shifted, and repeats that callers of a broken node bring along.
-const DRAWN: f64 = 0.7;
+const DRAWN_PART: f64 = 0.7;
 /// Part of that which a process draws of the slack in its first window, unless the whole system
 /// starts for the first time: what an earlier one drew in the same window, and this, make the
 /// whole slack. Nodes that were killed together spent it twice in one window else.
-const DRAWN_ANEW: f64 = (1.0 - DRAWN) / DRAWN;
+const RESTART_SLACK_PART: f64 = (1.0 - DRAWN_PART) / DRAWN_PART;
 /// Windows in which each node of a large fleet has its turn with every fraction of a repeat. The
 /// more there are, the fewer nodes have it by turns within one window.
-const TURN: u32 = 20;
+const TURN_WINDOWS: u32 = 20;
 /// Standard deviations of the nodes' sum that the undrawn rest has to cover.
 const DEVIATIONS: f64 = 5.0;
 /// Buckets in one window.
@@ -64,21 +64,21 @@
     }
 
     /// Counts a request that is sent for the first time.
-    pub fn request(&mut self, now: Time) {
+    pub fn record_request(&mut self, now: Time) {
         self.bucket(now).requests += 1;
     }
 
     /// Whether a repeat would be granted now.
-    pub fn has(&mut self, now: Time, nodes: usize) -> bool {
+    pub fn permits(&mut self, now: Time, nodes: usize) -> bool {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|b| b.requests).sum();
         let repeats: u32 = self.buckets.iter().map(|b| b.repeats).sum();
         let is_new = self.may_be_spent && now.since(Time::ZERO) < self.tuning.window;
-        let part = if is_new { DRAWN_ANEW } else { 1.0 };
+        let part = if is_new { RESTART_SLACK_PART } else { 1.0 };
         let slack = self.tuning.slack / nodes.max(1) as f64 * part;
-        let allowed = (f64::from(requests) * self.tuning.ratio + slack) * DRAWN;
+        let allowed = (f64::from(requests) * self.tuning.ratio + slack) * DRAWN_PART;
         let whole = allowed.floor();
-        let has_turn = self.takes_turns(nodes) && self.turn(now) < allowed - whole;
+        let has_turn = self.takes_turns(nodes) && self.turn_position(now) < allowed - whole;
         f64::from(repeats + 1) <= whole + f64::from(u8::from(has_turn))
     }
 
@@ -87,19 +87,19 @@
     /// whole otherwise, and with it all repeats of a large fleet.
     fn takes_turns(&self, nodes: usize) -> bool {
         let nodes = nodes.max(1) as f64;
-        let strays = nodes / f64::from(TURN) + DEVIATIONS * nodes.sqrt() / 2.0;
-        strays <= self.tuning.slack * (1.0 - DRAWN)
+        let excess = nodes / f64::from(TURN_WINDOWS) + DEVIATIONS * nodes.sqrt() / 2.0;
+        excess <= self.tuning.slack * (1.0 - DRAWN_PART)
     }
 
     /// Where this node stands in the turns now, from 0 to 1.
-    fn turn(&self, now: Time) -> f64 {
-        let round = self.tuning.window * TURN;
+    fn turn_position(&self, now: Time) -> f64 {
+        let round = self.tuning.window * TURN_WINDOWS;
         (self.phase + now.since(Time::ZERO).as_secs_f64() / round.as_secs_f64()).fract()
     }
 
     /// Takes one repeat if this node's part, one of `nodes`, still holds one.
     pub fn take(&mut self, now: Time, nodes: usize) -> bool {
-        let granted = self.has(now, nodes);
+        let granted = self.permits(now, nodes);
         if granted {
             self.bucket(now).repeats += 1;
         }
--- a/crates/decide/src/resend/mod.rs
+++ b/crates/decide/src/resend/mod.rs
@@ -8,4 +8,4 @@
 mod verdict;
 
 pub use budget::{BudgetTuning, RepeatBudget};
-pub use verdict::{Ending, Next, Ran, Tries};
+pub use verdict::{Attempts, Ending, Execution, Next};
--- a/crates/decide/src/resend/verdict.rs
+++ b/crates/decide/src/resend/verdict.rs
@@ -5,37 +5,37 @@
 use model::forward::Repeat;
 
 /// Least time that a further send is worth starting with.
-const LEAST_LEFT: Duration = Duration::from_millis(30);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
 
 /// Pauses between events that a silent stream is waited for.
-const PAUSES: u32 = 5;
+const SILENT_PAUSES: u32 = 5;
 /// Least time for which a begun stream may be silent.
-const PATIENCE_LEAST: Duration = Duration::from_millis(1000);
+const MIN_SILENCE: Duration = Duration::from_millis(1000);
 
 /// What is known of a request's run at the target that it was sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ran {
+pub enum Execution {
     /// No byte was sent, or the target said that it did not run it.
-    No,
+    Excluded,
     /// Bytes were sent and nothing certain came back.
-    Maybe,
+    Possible,
 }
 
 /// The tries that one request has behind it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tries {
+pub struct Attempts {
     /// Whether the request may be run again.
     pub repeat: Repeat,
     /// Most targets that may run it.
-    pub most: u32,
+    pub max_targets: u32,
     /// Targets that it reached, those that said they did not run it included.
     pub reached: u32,
     /// The surest that is known of all its runs together.
-    pub ran: Ran,
+    pub execution: Execution,
     /// Whether a send is under way, so that bytes may be at a target.
-    pub under_way: bool,
+    pub in_flight: bool,
     /// Whether part of the answer is with the caller already.
-    pub begun: bool,
+    pub response_begun: bool,
 }
 
 /// How a request ends that is not sent again.
@@ -58,36 +58,36 @@
     End(Ending),
 }
 
-impl Tries {
+impl Attempts {
     /// Tries of a request that was not sent yet.
-    pub fn new(repeat: Repeat, most: u32) -> Self {
-        Tries {
+    pub fn new(repeat: Repeat, max_targets: u32) -> Self {
+        Attempts {
             repeat,
-            most: most.max(1),
+            max_targets: max_targets.max(1),
             reached: 0,
-            ran: Ran::No,
-            under_way: false,
-            begun: false,
+            execution: Execution::Excluded,
+            in_flight: false,
+            response_begun: false,
         }
     }
 
     /// A connection to a target is up, and bytes go to it from now on.
     pub fn connected(&mut self) {
         self.reached += 1;
-        self.under_way = true;
+        self.in_flight = true;
     }
 
     /// Notes whether the target that was reached may have run the request.
-    pub fn note(&mut self, ran: Ran) {
-        self.under_way = false;
-        self.ran = self.ran.max(ran);
+    pub fn record(&mut self, execution: Execution) {
+        self.in_flight = false;
+        self.execution = self.execution.max(execution);
     }
 
     /// How the request ends if it ends now.
     pub fn ending(&self) -> Ending {
-        match (self.begun, self.ran, self.under_way) {
+        match (self.response_begun, self.execution, self.in_flight) {
             (true, _, _) => Ending::BreakOff,
-            (false, Ran::No, false) => Ending::NotRun,
+            (false, Execution::Excluded, false) => Ending::NotRun,
             (false, _, _) => Ending::Unknown,
         }
     }
@@ -95,29 +95,33 @@
     /// Whether the rules of repetition allow a further send with this time left;
     /// the budget is asked only then.
     pub fn may_resend(&self, left: Duration) -> bool {
-        if left < LEAST_LEFT {
+        if left < MIN_TIME_LEFT {
             return false;
         }
-        if self.ran == Ran::No {
-            return self.reached < self.most.max(REJECTIONS);
+        if self.execution == Execution::Excluded {
+            return self.reached < self.max_targets.max(MAX_REJECTIONS);
         }
-        let resumable = !self.begun || self.repeat == Repeat::StreamResumable;
-        self.repeat.may_repeat() && resumable && self.reached < self.most
+        let resumable = !self.response_begun || self.repeat == Repeat::StreamResumable;
+        self.repeat.may_repeat() && resumable && self.reached < self.max_targets
     }
 
     /// How long a target may be silent before another one is asked in its place;
     /// `None` if it is waited for to the end. `pause` is the longest between events.
-    pub fn patience(&self, objective: Duration, pause: Option<Duration>) -> Option<Duration> {
-        if !self.repeat.may_repeat() || self.reached >= self.most {
+    pub fn silence_timeout(
+        &self,
+        objective: Duration,
+        pause: Option<Duration>,
+    ) -> Option<Duration> {
+        if !self.repeat.may_repeat() || self.reached >= self.max_targets {
             return None;
         }
-        let pauses = pause.unwrap_or_default() * PAUSES;
-        Some(if self.begun { pauses.max(PATIENCE_LEAST) } else { objective.max(pauses) })
+        let pauses = pause.unwrap_or_default() * SILENT_PAUSES;
+        Some(if self.response_begun { pauses.max(MIN_SILENCE) } else { objective.max(pauses) })
     }
 
     /// The verdict, given the time left and whether the budget grants a repeat.
     pub fn next(&self, left: Duration, granted: impl FnOnce() -> bool) -> Next {
-        let first = self.reached == 0 && left >= LEAST_LEFT;
+        let first = self.reached == 0 && left >= MIN_TIME_LEFT;
         if first || (self.may_resend(left) && granted()) {
             return Next::Resend;
         }
@@ -126,4 +130,4 @@
 }
 
 /// Targets that may reject a request one after the other before it is given up.
-const REJECTIONS: u32 = 2;
+const MAX_REJECTIONS: u32 = 2;
--- a/crates/decide/src/rollout/baseline.rs
+++ b/crates/decide/src/rollout/baseline.rs
@@ -1,16 +1,16 @@
 //! What is usual on a route: counted of the version that serves, over the whole time and of
 //! late, since an overload or a fault that hits both versions tells nothing of the new one.
 
-use super::sequential::Usual;
+use super::sequential::BaseRate;
 use super::times;
 
 /// Good answers from which on their times tell what is slow.
-const TIMES_NEEDED: u64 = 10;
+const MIN_SAMPLES: u64 = 10;
 /// Buckets by which an answer lies above the slowest tenth if it is slow: 1.4 to 2 times.
-const ABOVE_MOST: usize = 1;
+const BUCKETS_ABOVE_P90: usize = 1;
 /// Buckets by which it also lies above the middle: 2 to 2.8 times, which a version three times
 /// slower passes.
-const ABOVE_MIDDLE: usize = 2;
+const BUCKETS_ABOVE_MEDIAN: usize = 2;
 
 /// Answers of the version that serves on one route.
 #[derive(Debug, Default)]
@@ -23,10 +23,10 @@
 
 impl Baseline {
     /// Takes answers.
-    pub fn take(&mut self, failed: u32, good: &[u32]) {
+    pub fn record(&mut self, failed: u32, good: &[u32]) {
         self.failed += u64::from(failed);
         self.failed_recent += f64::from(failed);
-        times::add(&mut self.times, good);
+        times::merge(&mut self.times, good);
         if self.times_recent.len() < good.len() {
             self.times_recent.resize(good.len(), 0.0);
         }
@@ -36,7 +36,7 @@
     }
 
     /// Keeps this part of the weight of recent answers.
-    pub fn fade(&mut self, keep: f64) {
+    pub fn decay(&mut self, keep: f64) {
         self.failed_recent *= keep;
         self.times_recent.iter_mut().for_each(|n| *n *= keep);
     }
@@ -47,29 +47,29 @@
     }
 
     /// How often an answer is a failure.
-    pub fn failures(&self, before: Usual) -> Usual {
+    pub fn failure_rate(&self, prior: BaseRate) -> BaseRate {
         let good = times::total(&self.times);
-        let whole = Usual::seen(self.failed as f64, (self.failed + good) as f64, before);
+        let whole = BaseRate::estimate(self.failed as f64, (self.failed + good) as f64, prior);
         let good_recent: f64 = self.times_recent.iter().sum();
-        Usual::seen(self.failed_recent, self.failed_recent + good_recent, whole)
+        BaseRate::estimate(self.failed_recent, self.failed_recent + good_recent, whole)
     }
 
     /// Bucket from which on a time is slow; `None` if too few are known.
-    pub fn slow_from(&self) -> Option<usize> {
-        if times::total(&self.times) < TIMES_NEEDED {
+    pub fn slow_bucket(&self) -> Option<usize> {
+        if times::total(&self.times) < MIN_SAMPLES {
             return None;
         }
-        let middle = times::quantile(&self.times, 0.5)?;
-        let most = times::quantile(&self.times, 0.9)?;
-        Some((most + ABOVE_MOST).max(middle + ABOVE_MIDDLE) + 1)
+        let median = times::quantile(&self.times, 0.5)?;
+        let p90 = times::quantile(&self.times, 0.9)?;
+        Some((p90 + BUCKETS_ABOVE_P90).max(median + BUCKETS_ABOVE_MEDIAN) + 1)
     }
 
     /// How often a time lies in a bucket from this one on.
-    pub fn slow(&self, from: usize) -> Usual {
+    pub fn slow_rate(&self, from: usize) -> BaseRate {
         let slow = times::count_from(&self.times, from);
         let good = times::total(&self.times);
-        let whole = Usual::seen(slow as f64, good as f64, Usual::UNKNOWN);
+        let whole = BaseRate::estimate(slow as f64, good as f64, BaseRate::UNKNOWN);
         let slow_recent: f64 = self.times_recent.iter().skip(from).sum();
-        Usual::seen(slow_recent, self.times_recent.iter().sum(), whole)
+        BaseRate::estimate(slow_recent, self.times_recent.iter().sum(), whole)
     }
 }
--- a/crates/decide/src/rollout/evidence.rs
+++ b/crates/decide/src/rollout/evidence.rs
@@ -7,21 +7,21 @@
 use model::{Name, Time};
 
 use super::baseline::Baseline;
-use super::sequential::{Test, Usual};
-use super::{Cause, Tally, Verdict, times};
+use super::sequential::{BaseRate, SequentialTest};
+use super::{Cause, Verdict, VersionCounts, times};
 
 /// Part of the weight of recent answers that each new one leaves: the last fifty count.
-const KEEP: f64 = 0.98;
+const DECAY_FACTOR: f64 = 0.98;
 /// Nodes that judge by themselves beside each other; each has its chance of a false alarm.
-const NODES: usize = 100;
+const ASSUMED_NODES: usize = 100;
 
 /// Time within which late answers of one node come together: once a pause of its host or its link
 /// is over, all that it held up comes within milliseconds. So one late answer in 20 ms counts at
 /// most, 50 a second for a node and route, which is enough to prove a slow version.
-const TOGETHER: Duration = Duration::from_millis(20);
+const BURST_WINDOW: Duration = Duration::from_millis(20);
 
 /// What adding up parts of a call may lack of a whole.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_ERROR: f64 = 1e-6;
 
 /// Answers on one route, and the tests of them against its baseline.
 #[derive(Debug)]
@@ -30,13 +30,13 @@
     baseline: Baseline,
     /// Good answers of the version on trial that took too long.
     slow: u64,
-    failures_test: Test,
-    slow_test: Test,
+    failures_test: SequentialTest,
+    slow_test: SequentialTest,
     /// Parts of calls that failed and were not counted yet: of the version that serves, of the
     /// one on trial.
-    owed: (f64, f64),
+    partial_failures: (f64, f64),
     /// When a late answer of either version came last.
-    late: Option<Time>,
+    last_late: Option<Time>,
 }
 
 impl RouteTests {
@@ -47,10 +47,10 @@
             counts,
             baseline: Baseline::default(),
             slow: 0,
-            failures_test: Test::default(),
-            slow_test: Test::default(),
-            owed: (0.0, 0.0),
-            late: None,
+            failures_test: SequentialTest::default(),
+            slow_test: SequentialTest::default(),
+            partial_failures: (0.0, 0.0),
+            last_late: None,
         }
     }
 
@@ -63,13 +63,13 @@
 
     /// Whether a call counts as a failure of which this part failed: one does for each whole
     /// that the parts add up to.
-    fn owes(&mut self, side: Side, failed: f64) -> bool {
+    fn completes_failure(&mut self, side: Side, failed: f64) -> bool {
         let owed = match side {
-            Side::Serving => &mut self.owed.0,
-            Side::Trial => &mut self.owed.1,
+            Side::Serving => &mut self.partial_failures.0,
+            Side::Trial => &mut self.partial_failures.1,
         };
         *owed += failed;
-        let is_whole = *owed >= 1.0 - ROUNDING;
+        let is_whole = *owed >= 1.0 - ROUNDING_ERROR;
         if is_whole {
             *owed -= 1.0;
         }
@@ -77,33 +77,33 @@
     }
 
     fn add_serving(&mut self, failed: u32, good: &[u32]) {
-        self.baseline.fade(KEEP);
-        self.baseline.take(failed, good);
+        self.baseline.decay(DECAY_FACTOR);
+        self.baseline.record(failed, good);
     }
 
     fn add_good_trial(&mut self, bucket: usize) {
-        self.failures_test.take(0.0, 1.0, self.baseline.failures(Usual::UNKNOWN));
-        let Some(from) = self.baseline.slow_from() else {
+        self.failures_test.record(0.0, 1.0, self.baseline.failure_rate(BaseRate::UNKNOWN));
+        let Some(from) = self.baseline.slow_bucket() else {
             return;
         };
         let slow = if bucket >= from { 1.0 } else { 0.0 };
         self.slow += u64::from(bucket >= from);
-        self.slow_test.take(slow, 1.0 - slow, self.baseline.slow(from));
+        self.slow_test.record(slow, 1.0 - slow, self.baseline.slow_rate(from));
     }
 
     fn verdict(&self, cause: Cause) -> Verdict {
         let Answers { sent, bad, .. } = self.counts.trial;
-        let trial = Tally { sent: u64::from(sent), bad: u64::from(bad) + self.slow };
+        let trial = VersionCounts { sent: u64::from(sent), bad: u64::from(bad) + self.slow };
         let Answers { sent, bad, .. } = self.counts.serving;
-        let serving = Tally { sent: u64::from(sent), bad: u64::from(bad) };
+        let serving = VersionCounts { sent: u64::from(sent), bad: u64::from(bad) };
         Verdict { cause, route: Some(self.counts.route.clone()), trial, serving }
     }
 
     fn proves_bad(&self, tests: usize) -> Option<Verdict> {
-        if self.failures_test.proof(tests) >= 1.0 {
+        if self.failures_test.threshold_ratio(tests) >= 1.0 {
             return Some(self.verdict(Cause::Failures));
         }
-        (self.slow_test.proof(tests) >= 1.0).then(|| self.verdict(Cause::Slow))
+        (self.slow_test.threshold_ratio(tests) >= 1.0).then(|| self.verdict(Cause::Slow))
     }
 }
 
@@ -120,7 +120,7 @@
     }
 
     /// Requests went out, repeats included; those that share a call will have one answer.
-    pub fn sent(&mut self, service: &Name, route: &Name, side: Side, count: u32) {
+    pub fn record_sent(&mut self, service: &Name, route: &Name, side: Side, count: u32) {
         self.route(service, route).side(side).sent += count;
     }
 
@@ -128,23 +128,23 @@
     /// whichever version: one thing held up both then, and it is not to count twice.
     pub fn note_late(&mut self, service: &Name, route: &Name, took: Duration, now: Time) -> bool {
         let tests = self.route(service, route);
-        let from = tests.baseline.slow_from();
+        let from = tests.baseline.slow_bucket();
         if from.is_none_or(|from| times::bucket(took) < from) {
             return false;
         }
-        let last = tests.late.replace(now);
-        last.is_some_and(|at| now.since(at) < TOGETHER)
+        let last = tests.last_late.replace(now);
+        last.is_some_and(|at| now.since(at) < BURST_WINDOW)
     }
 
     /// A good answer came after this time; from a target that was not cold.
-    pub fn good(&mut self, service: &Name, route: &Name, side: Side, took: Duration) {
+    pub fn record_good(&mut self, service: &Name, route: &Name, side: Side, took: Duration) {
         let tests = self.route(service, route);
-        times::count(&mut tests.side(side).times, took);
+        times::record(&mut tests.side(side).times, took);
         let bucket = times::bucket(took);
         match side {
             Side::Serving => {
                 let mut good = Vec::new();
-                times::count(&mut good, took);
+                times::record(&mut good, took);
                 tests.add_serving(0, &good);
             }
             Side::Trial => tests.add_good_trial(bucket),
@@ -153,14 +153,14 @@
 
     /// An answer was a failure of the version: not a connection that was refused or broke,
     /// which tells of a target, nor a refusal because it was full.
-    pub fn bad(&mut self, service: &Name, route: &Name, side: Side) {
+    pub fn record_bad(&mut self, service: &Name, route: &Name, side: Side) {
         let tests = self.route(service, route);
         tests.side(side).bad += 1;
         match side {
             Side::Serving => tests.add_serving(1, &[]),
             Side::Trial => {
-                let usual = tests.baseline.failures(Usual::UNKNOWN);
-                tests.failures_test.take(1.0, 0.0, usual);
+                let base = tests.baseline.failure_rate(BaseRate::UNKNOWN);
+                tests.failures_test.record(1.0, 0.0, base);
             }
         }
     }
@@ -168,7 +168,7 @@
     /// A call was answered after this time, this part of its pieces as failed. It is one answer,
     /// since its pieces share much of its fate, and a large call with one piece failed is no
     /// worse than a small one. Returns whether it counts as a failure.
-    pub fn partly(
+    pub fn record_partial(
         &mut self,
         service: &Name,
         route: &Name,
@@ -176,10 +176,10 @@
         failed: f64,
         took: Duration,
     ) -> bool {
-        let is_bad = self.route(service, route).owes(side, failed);
+        let is_bad = self.route(service, route).completes_failure(side, failed);
         match is_bad {
-            true => self.bad(service, route, side),
-            false => self.good(service, route, side, took),
+            true => self.record_bad(service, route, side),
+            false => self.record_good(service, route, side, took),
         }
         is_bad
     }
@@ -198,7 +198,7 @@
     /// Whether this node's own requests alone prove the version on trial bad.
     pub fn proves_bad(&self, service: &str) -> Option<Verdict> {
         let routes = self.services.get(service)?;
-        let tests = 2 * routes.len() * NODES;
+        let tests = 2 * routes.len() * ASSUMED_NODES;
         routes.values().find_map(|route| route.proves_bad(tests))
     }
 }
--- a/crates/decide/src/rollout/judge.rs
+++ b/crates/decide/src/rollout/judge.rs
@@ -16,7 +16,7 @@
 
 use super::age::Age;
 use super::plan::Plan;
-use super::pool::Pool;
+use super::pool::EvidencePool;
 use super::{Cause, Verdict};
 use nodes::Nodes;
 use writes::Writes;
@@ -32,7 +32,7 @@
     /// … and this many more.
     pub slack: u32,
     /// Time after which it gets nothing once it is seen to be bad.
-    pub back: Duration,
+    pub rollback_within: Duration,
 }
 
 /// What the judge hears.
@@ -79,23 +79,23 @@
 pub struct Judge {
     bounds: Bounds,
     plan: Plan,
-    begun: Time,
+    started_at: Time,
     order: Rollout,
     /// First revision at which the order is known.
     since: u64,
     age: Age,
     phase: Phase,
     /// Since when the greater share is in force.
-    step: Option<Time>,
+    step_since: Option<Time>,
     /// Since when all requests go to the version.
-    all: Option<Time>,
+    all_since: Option<Time>,
     /// Usable warm targets: of the version that serves, of the one on trial.
     targets: (usize, usize),
-    pool: Pool,
+    pool: EvidencePool,
     nodes: Nodes,
     writes: Writes,
     /// Since when `Completed` may stand in the store.
-    completing: Option<Time>,
+    completing_since: Option<Time>,
     ended: bool,
 }
 
@@ -105,18 +105,18 @@
         let mut judge = Judge {
             bounds,
             plan: Plan::new(bounds, Duration::from_millis(order.lasts_ms)),
-            begun: now,
+            started_at: now,
             order,
             since,
             age: Age::new(age, now),
             phase: Phase::Share(0.0),
-            step: None,
-            all: None,
+            step_since: None,
+            all_since: None,
             targets: (0, 0),
-            pool: Pool::new(now),
+            pool: EvidencePool::new(now),
             nodes: Nodes::new(now),
             writes: Writes::default(),
-            completing: None,
+            completing_since: None,
             ended: false,
         };
         judge.end_if_final();
@@ -124,19 +124,19 @@
     }
 
     /// Takes what happened; returns what is to be done.
-    pub fn on(&mut self, now: Time, event: JudgeEvent) -> Vec<JudgeAction> {
+    pub fn handle(&mut self, now: Time, event: JudgeEvent) -> Vec<JudgeAction> {
         if self.ended {
             return Vec::new();
         }
         let before = self.phase;
         let mut actions = Vec::new();
-        self.nodes.awake(now);
+        self.nodes.note_event(now);
         match event {
             JudgeEvent::Report(report) => self.report(report, now, &mut actions),
             JudgeEvent::Nodes(up) => self.nodes.set_up(up, now),
-            JudgeEvent::Order(order) => self.take_order(order),
+            JudgeEvent::Order(order) => self.update_order(order),
             JudgeEvent::Targets { serving, trial } => self.targets = (serving, trial),
-            JudgeEvent::WriteEnded(stands) => self.write_ended(stands),
+            JudgeEvent::WriteEnded(applied) => self.write_ended(applied),
             JudgeEvent::Tick => {}
         }
         if !self.ended {
@@ -170,7 +170,7 @@
     }
 
     fn age(&self, now: Time) -> Duration {
-        self.age.by(now)
+        self.age.elapsed(now)
     }
 
     fn report(&mut self, report: RolloutReport, now: Time, actions: &mut Vec<JudgeAction>) {
@@ -181,19 +181,19 @@
         // What was seen of an earlier order tells nothing of this one, but that the node uses
         // the old version until it hears of this one.
         if !report.order.is_same(&own) {
-            return self.nodes.behind(report.node, now);
+            return self.nodes.mark_outdated(report.node, now);
         }
         self.age.raise(Duration::from_millis(report.age_ms), now);
-        self.nodes.reported(&report, now);
-        self.pool.take(&report.node, report.evidence, now);
+        self.nodes.record_report(&report, now);
+        self.pool.merge_report(&report.node, report.evidence, now);
         match report.phase {
-            Phase::Back => self.take_back(Cause::Reported, now, actions),
-            Phase::All => self.all_from(now),
+            Phase::Back => self.roll_back(Cause::Reported, now, actions),
+            Phase::All => self.send_all(now),
             Phase::Share(_) => {}
         }
     }
 
-    fn take_order(&mut self, order: Rollout) {
+    fn update_order(&mut self, order: Rollout) {
         if order.revision < self.order.revision {
             return;
         }
@@ -204,9 +204,9 @@
         }
         self.plan = Plan::new(self.bounds, Duration::from_millis(order.lasts_ms));
         self.order = order;
-        self.writes.order_seen();
+        self.writes.confirm();
         if self.writes.is_idle() {
-            self.completing = None;
+            self.completing_since = None;
         }
         self.end_if_final();
     }
@@ -220,8 +220,8 @@
         self.ended = true;
     }
 
-    fn write_ended(&mut self, stands: bool) {
-        let Some(state) = self.writes.ended(stands, self.order.state) else {
+    fn write_ended(&mut self, applied: bool) {
+        let Some(state) = self.writes.ended(applied, self.order.state) else {
             return;
         };
         if state.is_final() {
@@ -231,44 +231,45 @@
     }
 
     fn decide(&mut self, now: Time, actions: &mut Vec<JudgeAction>) {
-        let (proof, verdict) = self.pool.strongest();
-        if proof >= 1.0 {
-            self.judge_bad(verdict, now, actions);
+        let (ratio, verdict) = self.pool.strongest();
+        if ratio >= 1.0 {
+            self.reject(verdict, now, actions);
         }
         match self.phase {
             Phase::Back => {}
-            Phase::Share(_) => self.go_on(proof, now, actions),
-            Phase::All => self.finish(proof, now, actions),
+            Phase::Share(_) => self.advance(ratio, now, actions),
+            Phase::All => self.finish(ratio, now, actions),
         }
         let state = match self.phase {
             Phase::Back => RolloutState::RolledBack,
-            Phase::All if self.completing.is_some() => RolloutState::Completed,
+            Phase::All if self.completing_since.is_some() => RolloutState::Completed,
             Phase::All | Phase::Share(_) => RolloutState::Active,
         };
-        actions.extend(self.writes.want(state, self.order.state).map(JudgeAction::Write));
+        actions.extend(self.writes.start(state, self.order.state).map(JudgeAction::Write));
     }
 
-    fn take_back(&mut self, cause: Cause, now: Time, actions: &mut Vec<JudgeAction>) {
-        self.judge_bad(self.pool.verdict(cause, None), now, actions);
+    fn roll_back(&mut self, cause: Cause, now: Time, actions: &mut Vec<JudgeAction>) {
+        self.reject(self.pool.verdict(cause, None), now, actions);
     }
 
-    fn judge_bad(&mut self, verdict: Verdict, now: Time, actions: &mut Vec<JudgeAction>) {
+    fn reject(&mut self, verdict: Verdict, now: Time, actions: &mut Vec<JudgeAction>) {
         if self.phase == Phase::Back {
             return;
         }
         // The old targets may have been stopped by now: going back would cut everybody off
         // for as long as the store does not tell, which is worse than some bad answers.
-        if self.completing.is_some_and(|since| now < since + self.bounds.back / 2) {
+        if self.completing_since.is_some_and(|since| now < since + self.bounds.rollback_within / 2)
+        {
             return;
         }
         self.phase = Phase::Back;
         actions.push(JudgeAction::Judged { verdict, age: self.age(now) });
     }
 
-    fn all_from(&mut self, now: Time) {
+    fn send_all(&mut self, now: Time) {
         if self.phase != Phase::Back {
             self.phase = Phase::All;
-            self.all.get_or_insert(now);
+            self.all_since.get_or_insert(now);
         }
     }
 }
--- a/crates/decide/src/rollout/judge/nodes.rs
+++ b/crates/decide/src/rollout/judge/nodes.rs
@@ -8,41 +8,41 @@
 use model::member::NodeId;
 
 /// Time without a report after which a node does not answer; several reports may be lost.
-const SILENT: Duration = Duration::from_millis(1000);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Longest time between two events of a judge that was not paused.
-const PAUSED: Duration = Duration::from_millis(500);
+const MAX_EVENT_GAP: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-struct Last {
+struct LastReport {
     at: Time,
-    is_done: bool,
+    is_drained: bool,
 }
 
 /// Nodes as the judge knows them.
 #[derive(Debug)]
 pub struct Nodes {
     /// Those that are up, and since when that is known: one that has just started is not
-    /// silent because nothing was heard of it yet.
+    /// silent because nothing was last_event of it yet.
     up: BTreeMap<NodeId, Time>,
-    last: BTreeMap<NodeId, Last>,
-    /// When the judge last heard anything, and since when it did so without a pause: what did
+    last: BTreeMap<NodeId, LastReport>,
+    /// When the judge last last_event anything, and since when it did so without a pause: what did
     /// not reach a judge that was paused does not make a node silent.
-    heard: Time,
-    awake: Time,
+    last_event: Time,
+    awake_since: Time,
 }
 
 impl Nodes {
     /// None is known.
     pub fn new(now: Time) -> Self {
-        Nodes { up: BTreeMap::new(), last: BTreeMap::new(), heard: now, awake: now }
+        Nodes { up: BTreeMap::new(), last: BTreeMap::new(), last_event: now, awake_since: now }
     }
 
     /// The judge runs.
-    pub fn awake(&mut self, now: Time) {
-        if now.since(self.heard) > PAUSED {
-            self.awake = now;
+    pub fn note_event(&mut self, now: Time) {
+        if now.since(self.last_event) > MAX_EVENT_GAP {
+            self.awake_since = now;
         }
-        self.heard = now;
+        self.last_event = now;
     }
 
     /// These are up. One that is not goes on counting until it is known to have started anew:
@@ -56,23 +56,23 @@
     }
 
     /// A node told how it works.
-    pub fn reported(&mut self, report: &RolloutReport, now: Time) {
+    pub fn record_report(&mut self, report: &RolloutReport, now: Time) {
         let is_done = report.phase == Phase::All && report.open == 0;
-        self.last.insert(report.node.clone(), Last { at: now, is_done });
+        self.last.insert(report.node.clone(), LastReport { at: now, is_drained: is_done });
     }
 
     /// A node does not know the order as it is now.
-    pub fn behind(&mut self, node: NodeId, now: Time) {
-        self.last.insert(node, Last { at: now, is_done: false });
+    pub fn mark_outdated(&mut self, node: NodeId, now: Time) {
+        self.last.insert(node, LastReport { at: now, is_drained: false });
     }
 
     /// Whether no node that answers uses the old version any more, all requests going to the
     /// new one `since`.
-    pub fn are_done(&self, since: Time, now: Time) -> bool {
-        let from = since.max(self.awake);
-        let is_silent = |at: Time| now.since(at.max(from)) > SILENT;
+    pub fn are_drained(&self, since: Time, now: Time) -> bool {
+        let from = since.max(self.awake_since);
+        let is_silent = |at: Time| now.since(at.max(from)) > REPORT_TIMEOUT;
         let is_done = |id: &NodeId| match self.last.get(id) {
-            Some(last) => last.is_done || is_silent(last.at),
+            Some(last) => last.is_drained || is_silent(last.at),
             None => self.up.get(id).is_none_or(|since| is_silent(*since)),
         };
         !self.up.is_empty() && self.up.keys().chain(self.last.keys()).all(is_done)
--- a/crates/decide/src/rollout/judge/writes.rs
+++ b/crates/decide/src/rollout/judge/writes.rs
@@ -12,7 +12,7 @@
     /// One is.
     Running(RolloutState),
     /// One ended; the order as the store has it now is to be heard.
-    Unheard,
+    Unconfirmed,
 }
 
 impl Writes {
@@ -22,26 +22,26 @@
     }
 
     /// The order was read in the store.
-    pub fn order_seen(&mut self) {
-        if matches!(self, Writes::Unheard) {
+    pub fn confirm(&mut self) {
+        if matches!(self, Writes::Unconfirmed) {
             *self = Writes::Idle;
         }
     }
 
     /// The write ended; returns the state that stands now, if it does.
-    pub fn ended(&mut self, stands: bool, seen: RolloutState) -> Option<RolloutState> {
-        let Writes::Running(state) = std::mem::replace(self, Writes::Unheard) else {
+    pub fn ended(&mut self, applied: bool, stored: RolloutState) -> Option<RolloutState> {
+        let Writes::Running(state) = std::mem::replace(self, Writes::Unconfirmed) else {
             return None;
         };
-        if seen == state {
+        if stored == state {
             *self = Writes::Idle;
         }
-        stands.then_some(state)
+        applied.then_some(state)
     }
 
     /// The state to write now, if the store is to have it and does not.
-    pub fn want(&mut self, state: RolloutState, seen: RolloutState) -> Option<RolloutState> {
-        if !self.is_idle() || state == seen {
+    pub fn start(&mut self, state: RolloutState, stored: RolloutState) -> Option<RolloutState> {
+        if !self.is_idle() || state == stored {
             return None;
         }
         *self = Writes::Running(state);
--- a/crates/decide/src/rollout/mod.rs
+++ b/crates/decide/src/rollout/mod.rs
@@ -9,9 +9,9 @@
 mod baseline;
 mod evidence;
 mod judge;
+mod live;
 mod plan;
 mod pool;
-mod present;
 mod sequential;
 mod times;
 mod verdict;
@@ -20,5 +20,5 @@
 
 pub use evidence::Evidence;
 pub use judge::{Bounds, Judge, JudgeAction, JudgeEvent};
-pub use verdict::{Cause, Tally, Verdict};
+pub use verdict::{Cause, Verdict, VersionCounts};
 pub use versions::{RolloutChange, Versions};
--- a/crates/decide/src/rollout/pool.rs
+++ b/crates/decide/src/rollout/pool.rs
@@ -11,66 +11,66 @@
 use model::{Name, Time};
 
 use super::baseline::Baseline;
-use super::sequential::{Test, Usual};
-use super::{Cause, Tally, Verdict, times};
+use super::sequential::{BaseRate, SequentialTest};
+use super::{Cause, Verdict, VersionCounts, times};
 
 /// Time in which what counts as recent loses two thirds of its weight.
-const RECENT: Duration = Duration::from_secs(4);
+const DECAY_TIME: Duration = Duration::from_secs(4);
 /// Least time between two losses of weight.
-const FADE_STEP: Duration = Duration::from_millis(50);
+const MIN_DECAY_STEP: Duration = Duration::from_millis(50);
 
 /// One route, over all nodes.
 #[derive(Debug, Default)]
-struct RouteTally {
+struct RouteState {
     baseline: Baseline,
-    serving: Tally,
-    trial: Tally,
-    failures: Test,
-    slow: Test,
+    serving: VersionCounts,
+    trial: VersionCounts,
+    failures: SequentialTest,
+    slow: SequentialTest,
 }
 
 /// All that is known of both versions.
 #[derive(Debug)]
-pub struct Pool {
+pub struct EvidencePool {
     last: BTreeMap<NodeId, BTreeMap<Name, RouteEvidence>>,
-    routes: BTreeMap<Name, RouteTally>,
-    failures: Test,
-    slow: Test,
+    routes: BTreeMap<Name, RouteState>,
+    failures: SequentialTest,
+    slow: SequentialTest,
     /// Good answers of the version that serves, all routes.
     times: Vec<u32>,
-    serving: Tally,
-    trial: Tally,
+    serving: VersionCounts,
+    trial: VersionCounts,
     sent_recent: f64,
-    faded: Time,
+    decayed_at: Time,
     since: Time,
 }
 
-impl Pool {
+impl EvidencePool {
     /// Nothing is known yet.
     pub fn new(now: Time) -> Self {
-        Pool {
+        EvidencePool {
             last: BTreeMap::new(),
             routes: BTreeMap::new(),
-            failures: Test::default(),
-            slow: Test::default(),
+            failures: SequentialTest::default(),
+            slow: SequentialTest::default(),
             times: Vec::new(),
-            serving: Tally::default(),
-            trial: Tally::default(),
+            serving: VersionCounts::default(),
+            trial: VersionCounts::default(),
             sent_recent: 0.0,
-            faded: now,
+            decayed_at: now,
             since: now,
         }
     }
 
     /// Takes what a node saw.
-    pub fn take(&mut self, node: &NodeId, evidence: Vec<RouteEvidence>, now: Time) {
-        self.fade(now);
+    pub fn merge_report(&mut self, node: &NodeId, evidence: Vec<RouteEvidence>, now: Time) {
+        self.decay(now);
         let is_first = !self.last.contains_key(node);
         let mut last = self.last.remove(node).unwrap_or_default();
         for seen in evidence {
             let before = last.get(&seen.route);
-            let serving = grown(&seen.serving, before.map(|b| &b.serving));
-            let trial = grown(&seen.trial, before.map(|b| &b.trial));
+            let serving = increase(&seen.serving, before.map(|b| &b.serving));
+            let trial = increase(&seen.trial, before.map(|b| &b.trial));
             let (Some(serving), Some(trial)) = (serving, trial) else {
                 continue;
             };
@@ -84,25 +84,26 @@
     }
 
     fn add(&mut self, route: &Name, serving: &Answers, trial: &Answers) {
-        let elsewhere = self.usual_elsewhere();
+        let overall = self.overall_base_rate();
         let route = self.routes.entry(route.clone()).or_default();
-        route.baseline.take(serving.bad, &serving.times);
-        times::add(&mut self.times, &serving.times);
-        let usual = route.baseline.failures(elsewhere);
+        route.baseline.record(serving.bad, &serving.times);
+        times::merge(&mut self.times, &serving.times);
+        let base = route.baseline.failure_rate(overall);
         let good = times::total(&trial.times) as f64;
         let bad = f64::from(trial.bad);
-        let evidence = Test::weigh(bad, good, usual);
+        let evidence = SequentialTest::log_likelihood_ratio(bad, good, base);
         route.failures.add(evidence, bad + good);
         self.failures.add(evidence, bad + good);
-        let from = route.baseline.slow_from();
+        let from = route.baseline.slow_bucket();
         let count_slow = |counts: &[u32]| from.map_or(0, |from| times::count_from(counts, from));
         let slow = count_slow(&trial.times);
         if let Some(from) = from {
             // What makes both versions late for a moment tells nothing of the new one.
             let (late, all) = (count_slow(&serving.times), times::total(&serving.times));
-            let usual = route.baseline.slow(from);
-            let usual = usual.or_more(Usual::seen(late as f64, all as f64, usual));
-            let evidence = Test::weigh(slow as f64, good - slow as f64, usual);
+            let base = route.baseline.slow_rate(from);
+            let base = base.max(BaseRate::estimate(late as f64, all as f64, base));
+            let evidence =
+                SequentialTest::log_likelihood_ratio(slow as f64, good - slow as f64, base);
             route.slow.add(evidence, good);
             self.slow.add(evidence, good);
         }
@@ -119,27 +120,28 @@
 
     /// How often the version that serves fails over all routes: believed of a route on which
     /// it was not seen.
-    fn usual_elsewhere(&self) -> Usual {
+    fn overall_base_rate(&self) -> BaseRate {
         let failed: u64 = self.routes.values().map(|route| route.baseline.failed()).sum();
         let good = times::total(&self.times);
-        Usual::seen(failed as f64, (failed + good) as f64, Usual::UNKNOWN)
+        BaseRate::estimate(failed as f64, (failed + good) as f64, BaseRate::UNKNOWN)
     }
 
-    fn fade(&mut self, now: Time) {
-        let passed = now.since(self.faded);
-        if passed < FADE_STEP {
+    fn decay(&mut self, now: Time) {
+        let passed = now.since(self.decayed_at);
+        if passed < MIN_DECAY_STEP {
             return;
         }
-        self.faded = now;
-        let keep = (-passed.as_secs_f64() / RECENT.as_secs_f64()).exp();
+        self.decayed_at = now;
+        let keep = (-passed.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         self.sent_recent *= keep;
-        self.routes.values_mut().for_each(|route| route.baseline.fade(keep));
+        self.routes.values_mut().for_each(|route| route.baseline.decay(keep));
     }
 
     /// The strongest evidence against the version on trial, as part of what proves it bad.
     pub fn strongest(&self) -> (f64, Verdict) {
         let tests = 2 * (self.routes.len() + 1);
-        let of_all = |cause, test: &Test| (test.proof(tests), self.verdict(cause, None));
+        let of_all =
+            |cause, test: &SequentialTest| (test.threshold_ratio(tests), self.verdict(cause, None));
         let mut strongest = of_all(Cause::Failures, &self.failures);
         let slow = of_all(Cause::Slow, &self.slow);
         if slow.0 > strongest.0 {
@@ -147,9 +149,9 @@
         }
         for (name, route) in &self.routes {
             for (cause, test) in [(Cause::Failures, route.failures), (Cause::Slow, route.slow)] {
-                let proof = test.proof(tests);
-                if proof > strongest.0 {
-                    strongest = (proof, self.verdict(cause, Some(name)));
+                let ratio = test.threshold_ratio(tests);
+                if ratio > strongest.0 {
+                    strongest = (ratio, self.verdict(cause, Some(name)));
                 }
             }
         }
@@ -170,35 +172,39 @@
     }
 
     /// Requests to the version on trial.
-    pub fn tried(&self) -> u64 {
+    pub fn trial_sent(&self) -> u64 {
         self.trial.sent
     }
 
     /// Requests a second, recently.
     pub fn rate(&self, now: Time) -> f64 {
         let seen = now.since(self.since).as_secs_f64();
-        let weight = RECENT.as_secs_f64() * (1.0 - (-seen / RECENT.as_secs_f64()).exp());
-        let kept = (-now.since(self.faded).as_secs_f64() / RECENT.as_secs_f64()).exp();
+        let weight = DECAY_TIME.as_secs_f64() * (1.0 - (-seen / DECAY_TIME.as_secs_f64()).exp());
+        let kept = (-now.since(self.decayed_at).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         self.sent_recent * kept / weight.max(0.1)
     }
 
     /// Time within which this share of the good answers of the version that serves came.
-    pub fn time(&self, share: f64) -> Option<Duration> {
-        times::quantile(&self.times, share).map(times::end)
+    pub fn latency(&self, share: f64) -> Option<Duration> {
+        times::quantile(&self.times, share).map(times::upper_bound)
     }
 }
 
 /// By how much counts grew; `None` if they are older than those known.
-fn grown(is: &Answers, was: Option<&Answers>) -> Option<Answers> {
-    let Some(was) = was else {
-        return Some(is.clone());
+fn increase(new: &Answers, old: Option<&Answers>) -> Option<Answers> {
+    let Some(old) = old else {
+        return Some(new.clone());
     };
-    let mut times = Vec::with_capacity(is.times.len());
-    for (bucket, n) in is.times.iter().enumerate() {
-        times.push(n.checked_sub(was.times.get(bucket).copied().unwrap_or(0))?);
+    let mut times = Vec::with_capacity(new.times.len());
+    for (bucket, n) in new.times.iter().enumerate() {
+        times.push(n.checked_sub(old.times.get(bucket).copied().unwrap_or(0))?);
     }
-    if was.times.len() > is.times.len() {
+    if old.times.len() > new.times.len() {
         return None;
     }
-    Some(Answers { sent: is.sent.checked_sub(was.sent)?, bad: is.bad.checked_sub(was.bad)?, times })
+    Some(Answers {
+        sent: new.sent.checked_sub(old.sent)?,
+        bad: new.bad.checked_sub(old.bad)?,
+        times,
+    })
 }
--- a/crates/decide/src/rollout/sequential.rs
+++ b/crates/decide/src/rollout/sequential.rs
@@ -6,51 +6,51 @@
 /// the operator a new order; a missed one is caught by the tests that follow each other until
 /// the version is completed, and its harm is bounded by the share. So the first is held low
 /// and no bound is put on the second but the time that the test takes.
-const FALSE_ALARM: f64 = 3e-3;
+const FALSE_ALARM_RATE: f64 = 3e-3;
 /// Answers after which a sum may have started anew; that many more chances for a false alarm.
-const FRESH_START: f64 = 25.0;
+const RESTART_ANSWERS: f64 = 25.0;
 /// Part of the answers that a bad version spoils at least. Fewer spoilt answers are seen late or
 /// not at all, and harm fewer callers; a smaller part here takes more answers to see any.
-const SPOILT_LEAST: f64 = 0.15;
+const MIN_BAD_SHARE: f64 = 0.15;
 /// Lowest rate that is believed of the version that serves; a good one fails now and then too.
-const LOWEST: f64 = 0.01;
+const MIN_BASE_RATE: f64 = 0.01;
 /// Highest one: at 1, a bad answer would tell nothing and a good one would have no odds.
-const HIGHEST: f64 = 0.9;
+const MAX_BASE_RATE: f64 = 0.9;
 /// Weight of what was believed before, in answers.
 const PRIOR_WEIGHT: f64 = 20.0;
 
 /// How often answers are bad while a version is good.
 #[derive(Debug, Clone, Copy)]
-pub struct Usual(f64);
+pub struct BaseRate(f64);
 
-impl Usual {
+impl BaseRate {
     /// Believed where nothing is known.
-    pub const UNKNOWN: Usual = Usual(0.02);
+    pub const UNKNOWN: BaseRate = BaseRate(0.02);
 
     /// As `bad` of `count` answers and what was believed before tell.
-    pub fn seen(bad: f64, count: f64, before: Usual) -> Usual {
-        let rate = (bad + PRIOR_WEIGHT * before.0) / (count + PRIOR_WEIGHT);
-        Usual(rate.clamp(LOWEST, HIGHEST))
+    pub fn estimate(bad: f64, count: f64, prior: BaseRate) -> BaseRate {
+        let rate = (bad + PRIOR_WEIGHT * prior.0) / (count + PRIOR_WEIGHT);
+        BaseRate(rate.clamp(MIN_BASE_RATE, MAX_BASE_RATE))
     }
 
     /// The greater of both.
-    pub fn or_more(self, other: Usual) -> Usual {
-        Usual(self.0.max(other.0))
+    pub fn max(self, other: BaseRate) -> BaseRate {
+        BaseRate(self.0.max(other.0))
     }
 }
 
 /// Evidence against a version, as a logarithm of odds that starts anew at 0.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Test {
+pub struct SequentialTest {
     sum: f64,
     count: f64,
 }
 
-impl Test {
+impl SequentialTest {
     /// Evidence that these answers add.
-    pub fn weigh(bad: f64, good: f64, usual: Usual) -> f64 {
-        let if_good = usual.0;
-        let if_bad = if_good + SPOILT_LEAST * (1.0 - if_good);
+    pub fn log_likelihood_ratio(bad: f64, good: f64, base: BaseRate) -> f64 {
+        let if_good = base.0;
+        let if_bad = if_good + MIN_BAD_SHARE * (1.0 - if_good);
         bad * (if_bad / if_good).ln() + good * ((1.0 - if_bad) / (1.0 - if_good)).ln()
     }
 
@@ -61,15 +61,15 @@
     }
 
     /// Takes answers.
-    pub fn take(&mut self, bad: f64, good: f64, usual: Usual) {
-        self.add(Test::weigh(bad, good, usual), bad + good);
+    pub fn record(&mut self, bad: f64, good: f64, base: BaseRate) {
+        self.add(SequentialTest::log_likelihood_ratio(bad, good, base), bad + good);
     }
 
     /// Evidence as part of what proves the version bad, where `tests` are made side by side.
-    pub fn proof(&self, tests: usize) -> f64 {
-        let needed = (1.0 / FALSE_ALARM).ln()
+    pub fn threshold_ratio(&self, tests: usize) -> f64 {
+        let needed = (1.0 / FALSE_ALARM_RATE).ln()
             + (tests.max(1) as f64).ln()
-            + (1.0 + self.count / FRESH_START).ln();
+            + (1.0 + self.count / RESTART_ANSWERS).ln();
         self.sum / needed
     }
 }
--- a/crates/decide/src/rollout/times.rs
+++ b/crates/decide/src/rollout/times.rs
@@ -14,12 +14,12 @@
 }
 
 /// Where a bucket ends.
-pub fn end(bucket: usize) -> Duration {
+pub fn upper_bound(bucket: usize) -> Duration {
     Duration::from_secs_f64(2f64.powf(bucket as f64 / 2.0) / 1000.0)
 }
 
 /// Counts a time.
-pub fn count(times: &mut Vec<u32>, took: Duration) {
+pub fn record(times: &mut Vec<u32>, took: Duration) {
     let bucket = bucket(took);
     if times.len() <= bucket {
         times.resize(bucket + 1, 0);
@@ -28,7 +28,7 @@
 }
 
 /// Adds counts bucket by bucket.
-pub fn add(to: &mut Vec<u32>, counts: &[u32]) {
+pub fn merge(to: &mut Vec<u32>, counts: &[u32]) {
     if to.len() < counts.len() {
         to.resize(counts.len(), 0);
     }
--- a/crates/decide/src/rollout/verdict.rs
+++ b/crates/decide/src/rollout/verdict.rs
@@ -32,7 +32,7 @@
 
 /// What was counted of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct VersionCounts {
     /// Requests sent there.
     pub sent: u64,
     /// Failures and slow answers.
@@ -47,7 +47,7 @@
     /// Route whose answers told; `None` if those of all routes did.
     pub route: Option<Name>,
     /// Of the version on trial.
-    pub trial: Tally,
+    pub trial: VersionCounts,
     /// Of the version that serves.
-    pub serving: Tally,
+    pub serving: VersionCounts,
 }
--- a/crates/decide/src/rollout/versions.rs
+++ b/crates/decide/src/rollout/versions.rs
@@ -13,7 +13,7 @@
 use model::Name;
 use model::forward::{Rollout, Rollouts};
 
-use super::present::Present;
+use super::live::LiveVersions;
 use super::withdrawn::WithdrawnVersions;
 use crate::relay::Newest;
 
@@ -34,12 +34,12 @@
     /// If the store is to tell of orders, nothing is sent before it has.
     orders: Newest<Orders>,
     /// Revision of the first list of orders that this node heard of.
-    began: Option<u64>,
-    present: Present,
+    first_list: Option<u64>,
+    live: LiveVersions,
     trials: BTreeMap<Name, Trial>,
     withdrawn: WithdrawnVersions,
     /// Peers are being asked which orders were withdrawn before this node started.
-    asks_peers: bool,
+    awaiting_peers: bool,
     /// Versions that served when the order of their service became unreadable.
     served: BTreeMap<Name, BTreeSet<Name>>,
 }
@@ -52,8 +52,8 @@
 
     /// Whether peers are being asked which orders were withdrawn before this node started.
     /// Until then one of a service's versions serves where no order tells which.
-    pub fn set_asks_peers(&mut self, asks: bool) {
-        self.asks_peers = asks;
+    pub fn set_awaiting_peers(&mut self, asks: bool) {
+        self.awaiting_peers = asks;
     }
 
     /// Whether orders are known, or none are followed.
@@ -62,7 +62,7 @@
     }
 
     /// Revision of the newest list; `None` if none is known.
-    pub fn at(&self) -> Option<u64> {
+    pub fn revision(&self) -> Option<u64> {
         self.orders.at()
     }
 
@@ -70,7 +70,7 @@
     pub fn list(&self) -> Option<Rollouts> {
         let orders = self.orders.list()?;
         Some(Rollouts {
-            at: self.at()?,
+            at: self.revision()?,
             orders: orders.known.values().cloned().collect(),
             unreadable: orders.unreadable.iter().cloned().collect(),
             withdrawn: self.withdrawn.all(),
@@ -88,23 +88,23 @@
     }
 
     /// Whether a node that knows the list of a revision, if any, lacks a change.
-    pub fn is_news_since(&self, at: Option<u64>) -> bool {
+    pub fn has_changed_since(&self, at: Option<u64>) -> bool {
         self.orders.is_news_since(at)
     }
 
     /// A target of a version came, by an entry of this revision, having started then.
-    pub fn saw(&mut self, service: &Name, version: &Name, revision: u64, start: u64) {
-        self.present.saw(service, version, revision, start);
+    pub fn add_target(&mut self, service: &Name, version: &Name, revision: u64, start: u64) {
+        self.live.add_target(service, version, revision, start);
     }
 
     /// A target of a version is gone.
-    pub fn gone(&mut self, service: &Name, version: &Name) {
-        self.present.gone(service, version);
+    pub fn remove_target(&mut self, service: &Name, version: &Name) {
+        self.live.remove_target(service, version);
     }
 
     /// Times that the versions that are there changed.
     pub fn changes(&self) -> u64 {
-        self.present.changes()
+        self.live.changes()
     }
 
     /// Revision up to which orders have to be known before every version is settled; `None`
@@ -113,8 +113,8 @@
         if !self.orders.is_followed() {
             return None;
         }
-        let at = self.at().unwrap_or(0);
-        self.present.newest().filter(|newest| *newest > at)
+        let at = self.revision().unwrap_or(0);
+        self.live.newest_revision().filter(|newest| *newest > at)
     }
 
     fn order(&self, service: &str) -> Option<&Rollout> {
@@ -122,7 +122,7 @@
     }
 
     fn count(&self, service: &str, version: &str) -> usize {
-        self.present.get(service, version).map_or(0, |targets| targets.count)
+        self.live.get(service, version).map_or(0, |targets| targets.count)
     }
 
     /// Orders that are under way.
--- a/crates/decide/src/rollout/versions/list.rs
+++ b/crates/decide/src/rollout/versions/list.rs
@@ -29,28 +29,28 @@
 
 impl Versions {
     /// Takes a list unless a newer one is known; returns what it changes.
-    pub fn take(&mut self, list: Rollouts, now: Time) -> Vec<RolloutChange> {
+    pub fn apply(&mut self, list: Rollouts, now: Time) -> Vec<RolloutChange> {
         let Rollouts { at, orders, unreadable, withdrawn } = list;
         let known = orders.into_iter().map(|order| (order.service.clone(), order)).collect();
         let mut orders = Orders { known, unreadable: unreadable.into_iter().collect() };
-        self.hold_on(&mut orders);
-        self.hear_of(withdrawn, at);
-        if !self.is_current() || self.at().is_none_or(|known| at >= known) {
-            self.note_served(&orders.unreadable);
+        self.retain_unreadable(&mut orders);
+        self.merge_withdrawn(withdrawn, at);
+        if !self.is_current() || self.revision().is_none_or(|known| at >= known) {
+            self.record_served(&orders.unreadable);
         }
         let Some(before) = self.orders.take(at, orders.clone()) else {
             return Vec::new();
         };
         let mut changes = Vec::new();
-        let is_gone = |service: &Name| {
+        let is_removed = |service: &Name| {
             !orders.known.contains_key(service) && !orders.unreadable.contains(service)
         };
-        for order in before.known.values().filter(|order| is_gone(&order.service)) {
+        for order in before.known.values().filter(|order| is_removed(&order.service)) {
             self.withdraw(order, at);
             changes.push(RolloutChange::Withdrawn(order.clone()));
         }
-        for service in before.unreadable.iter().filter(|service| is_gone(service)) {
-            self.withdraw_unread(service, at);
+        for service in before.unreadable.iter().filter(|service| is_removed(service)) {
+            self.withdraw_unreadable(service, at);
         }
         self.served.retain(|service, _| orders.unreadable.contains(service));
         for order in orders.known.into_values() {
@@ -75,7 +75,7 @@
             }
             None => Some(RolloutChange::State(order)),
             Some(was) if was.version != order.version => {
-                self.withdraw(was, self.at().unwrap_or(order.revision));
+                self.withdraw(was, self.revision().unwrap_or(order.revision));
                 if is_running {
                     self.begin(&order, now);
                 }
@@ -117,9 +117,9 @@
 
     /// An order that could not be read is gone: it may have been for any version that it kept
     /// from serving.
-    fn withdraw_unread(&mut self, service: &Name, at: u64) {
-        let versions = self.present.of(service).map(|(version, _)| version);
-        let unproven = versions.filter(|version| self.is_unproven(service, version));
+    fn withdraw_unreadable(&mut self, service: &Name, at: u64) {
+        let versions = self.live.versions(service).map(|(version, _)| version);
+        let unproven = versions.filter(|version| self.may_be_on_trial(service, version));
         for version in unproven.cloned().collect::<Vec<_>>() {
             let service = service.clone();
             self.withdrawn.add(Withdrawn { service, version, was_bad: false, at });
@@ -127,7 +127,7 @@
     }
 
     /// What was known of an order holds on while it cannot be read, whoever tells so.
-    fn hold_on(&self, orders: &mut Orders) {
+    fn retain_unreadable(&self, orders: &mut Orders) {
         for service in &orders.unreadable {
             if let Some(known) = self.order(service) {
                 orders.known.entry(service.clone()).or_insert_with(|| known.clone());
@@ -136,8 +136,8 @@
     }
 
     /// Takes from another node which orders were gone before this one heard of any.
-    fn hear_of(&mut self, withdrawn: Vec<Withdrawn>, at: u64) {
-        let began = *self.began.get_or_insert(at);
+    fn merge_withdrawn(&mut self, withdrawn: Vec<Withdrawn>, at: u64) {
+        let began = *self.first_list.get_or_insert(at);
         if at < began {
             return;
         }
@@ -149,13 +149,13 @@
     }
 
     /// Notes what serves where an order becomes unreadable.
-    fn note_served(&mut self, unreadable: &BTreeSet<Name>) {
+    fn record_served(&mut self, unreadable: &BTreeSet<Name>) {
         for service in unreadable {
             if self.served.contains_key(service) {
                 continue;
             }
-            let versions = self.present.of(service).map(|(version, _)| version);
-            let serves = |version: &&Name| self.serves_but_for_phase(service, version);
+            let versions = self.live.versions(service).map(|(version, _)| version);
+            let serves = |version: &&Name| self.serves_ignoring_phase(service, version);
             let served = versions.filter(serves).cloned().collect();
             self.served.insert(service.clone(), served);
         }
--- a/crates/decide/src/rollout/versions/side.rs
+++ b/crates/decide/src/rollout/versions/side.rs
@@ -4,23 +4,23 @@
 use model::forward::{Phase, Rollout, RolloutState, Side};
 
 use super::Versions;
-use crate::rollout::present::Targets;
+use crate::rollout::live::VersionTargets;
 
 /// Some versions of a service.
 #[derive(Debug)]
-pub enum Chosen<'a> {
+pub enum VersionSet<'a> {
     /// Whatever there is.
-    Every,
+    All,
     /// These.
-    These(Vec<&'a Name>),
+    Listed(Vec<&'a Name>),
 }
 
-impl Chosen<'_> {
+impl VersionSet<'_> {
     /// Whether a version is one of them.
-    pub fn contain(&self, version: &Name) -> bool {
+    pub fn contains(&self, version: &Name) -> bool {
         match self {
-            Chosen::Every => true,
-            Chosen::These(versions) => versions.contains(&version),
+            VersionSet::All => true,
+            VersionSet::Listed(versions) => versions.contains(&version),
         }
     }
 }
@@ -29,20 +29,21 @@
     /// Whether orders are known up to where the version was first seen, or none was seen
     /// before it.
     pub(super) fn is_settled(&self, service: &str, version: &str, at: u64) -> bool {
-        let Some(targets) = self.present.get(service, version) else {
+        let Some(targets) = self.live.get(service, version) else {
             return false;
         };
-        targets.first <= at || self.present.of(service).all(|(_, o)| targets.first <= o.first)
+        targets.first_revision <= at
+            || self.live.versions(service).all(|(_, o)| targets.first_revision <= o.first_revision)
     }
 
     /// Versions of a service on one side.
-    pub fn on_side(&self, service: &str, side: Side) -> Chosen<'_> {
-        self.chosen(service, |is| is == Some(side))
+    pub fn on_side(&self, service: &str, side: Side) -> VersionSet<'_> {
+        self.select(service, |is| is == Some(side))
     }
 
     /// Sides to which calls of a stage service may go, each with the part of all pieces that it
     /// may get if it is on trial.
-    pub fn maker_sides(&self, service: &str) -> Vec<(Side, Option<f64>)> {
+    pub fn call_sides(&self, service: &str) -> Vec<(Side, Option<f64>)> {
         match self.phase(service) {
             Some(Phase::Share(share)) => vec![(Side::Serving, None), (Side::Trial, Some(share))],
             Some(Phase::All) => vec![(Side::Serving, None), (Side::Trial, None)],
@@ -51,22 +52,22 @@
     }
 
     /// Versions of a service that get anything.
-    pub fn on_any_side(&self, service: &str) -> Chosen<'_> {
-        self.chosen(service, |is| is.is_some())
+    pub fn on_any_side(&self, service: &str) -> VersionSet<'_> {
+        self.select(service, |is| is.is_some())
     }
 
-    pub(super) fn chosen(
+    pub(super) fn select(
         &self,
         service: &str,
         is_wanted: impl Fn(Option<Side>) -> bool,
-    ) -> Chosen<'_> {
+    ) -> VersionSet<'_> {
         if !self.orders.is_followed() {
             let every = is_wanted(Some(Side::Serving));
-            return if every { Chosen::Every } else { Chosen::These(Vec::new()) };
+            return if every { VersionSet::All } else { VersionSet::Listed(Vec::new()) };
         }
-        let versions = self.present.of(service).map(|(version, _)| version);
+        let versions = self.live.versions(service).map(|(version, _)| version);
         let wanted = |version: &&Name| is_wanted(self.side(service, version));
-        Chosen::These(versions.filter(wanted).collect())
+        VersionSet::Listed(versions.filter(wanted).collect())
     }
 
     /// The side of a roll-out that a version of a service is on; `None` if it gets nothing.
@@ -74,15 +75,15 @@
         if !self.orders.is_followed() {
             return Some(Side::Serving);
         }
-        let at = self.at()?;
+        let at = self.revision()?;
         if !self.is_settled(service, version, at) || self.is_withdrawn(service, version) {
             return None;
         }
-        if self.is_unproven(service, version) {
+        if self.may_be_on_trial(service, version) {
             return None;
         }
         let Some(order) = self.order(service) else {
-            let serves = !self.asks_peers || self.is_oldest(service, version);
+            let serves = !self.awaiting_peers || self.is_oldest(service, version);
             return serves.then_some(Side::Serving);
         };
         let is_named = *order.version == *version;
@@ -91,7 +92,7 @@
             RolloutState::RolledBack => Some(Side::Serving),
             RolloutState::Completed if is_named => Some(Side::Serving),
             RolloutState::Completed => {
-                self.came_after(service, version, order).then_some(Side::Serving)
+                self.is_later_release(service, version, order).then_some(Side::Serving)
             }
             RolloutState::Ordered | RolloutState::Active => {
                 self.side_of_running(service, is_named, order)
@@ -102,21 +103,21 @@
     /// Whether a version came after an order to another one was completed. An old target may
     /// write its entry anew before it stops; what started before the completed version did is
     /// none that came after it.
-    pub(super) fn came_after(&self, service: &str, version: &str, order: &Rollout) -> bool {
-        let is_newer = |targets: &&Targets| targets.first > order.revision;
-        let Some(targets) = self.present.get(service, version).filter(is_newer) else {
+    pub(super) fn is_later_release(&self, service: &str, version: &str, order: &Rollout) -> bool {
+        let is_newer = |targets: &&VersionTargets| targets.first_revision > order.revision;
+        let Some(targets) = self.live.get(service, version).filter(is_newer) else {
             return false;
         };
-        let completed = self.present.get(service, &order.version);
+        let completed = self.live.get(service, &order.version);
         completed.is_none_or(|completed| !targets.started_before(completed))
     }
 
     /// Whether a version serves by the orders, whatever requests go to one on trial now.
-    pub(super) fn serves_but_for_phase(&self, service: &str, version: &str) -> bool {
+    pub(super) fn serves_ignoring_phase(&self, service: &str, version: &str) -> bool {
         let running = self.order(service).filter(|order| !order.state.is_final());
         match running {
             Some(order) if *order.version == *version => false,
-            Some(_) => self.at().is_some_and(|at| {
+            Some(_) => self.revision().is_some_and(|at| {
                 self.is_settled(service, version, at) && !self.is_withdrawn(service, version)
             }),
             None => self.side(service, version) == Some(Side::Serving),
@@ -126,7 +127,7 @@
     /// Whether the order of its service cannot be read, and may be for this version: it did not
     /// serve before. A node that saw nothing before lets the oldest one serve, since with none
     /// the service would be away.
-    pub(super) fn is_unproven(&self, service: &str, version: &str) -> bool {
+    pub(super) fn may_be_on_trial(&self, service: &str, version: &str) -> bool {
         let Some(served) = self.served.get(service) else {
             return false;
         };
@@ -134,12 +135,12 @@
         if served.contains(version) || on_trial.is_some_and(|order| *order.version == *version) {
             return false;
         }
-        let mut versions = self.present.of(service);
+        let mut versions = self.live.versions(service);
         versions.any(|(other, _)| served.contains(other)) || !self.is_oldest(service, version)
     }
 
     pub(super) fn is_oldest(&self, service: &str, version: &str) -> bool {
-        self.present.oldest(service).is_some_and(|oldest| **oldest == *version)
+        self.live.oldest(service).is_some_and(|oldest| **oldest == *version)
     }
 
     pub(super) fn side_of_running(
@@ -166,10 +167,10 @@
         if self.order(service).is_some_and(|order| *order.version == *version) {
             return false;
         }
-        let Some(own) = self.present.get(service, version) else {
+        let Some(own) = self.live.get(service, version) else {
             return false;
         };
-        let mut others = self.present.of(service).filter(|(other, _)| ***other != *version);
+        let mut others = self.live.versions(service).filter(|(other, _)| ***other != *version);
         if withdrawn.was_bad {
             return others.next().is_some();
         }
@@ -177,7 +178,7 @@
         others.any(|(other, targets)| match self.withdrawn.get(service, other) {
             _ if tried.is_some_and(|order| order.version == *other) => false,
             Some(other) if other.was_bad => false,
-            Some(_) => targets.first < own.first,
+            Some(_) => targets.first_revision < own.first_revision,
             None => true,
         })
     }
--- a/crates/decide/src/rollout/versions/trial.rs
+++ b/crates/decide/src/rollout/versions/trial.rs
@@ -19,7 +19,7 @@
 
 impl Versions {
     /// The side that a request goes to; always the same for one attempt while the phase holds.
-    pub fn turn(&self, service: &str, attempt: &str) -> Side {
+    pub fn side_for_attempt(&self, service: &str, attempt: &str) -> Side {
         let Some(trial) = self.trials.get(service) else {
             return Side::Serving;
         };
@@ -28,7 +28,8 @@
             Phase::All => 1.0,
             Phase::Back => 0.0,
         };
-        let Some(order) = self.order(service).filter(|_| draw(service, attempt) < chance) else {
+        let Some(order) = self.order(service).filter(|_| hash_fraction(service, attempt) < chance)
+        else {
             return Side::Serving;
         };
         let is_there = self.count(service, &order.version) > 0;
@@ -45,7 +46,7 @@
     }
 
     /// The running order that is meant.
-    pub fn meant(&self, id: &RolloutId) -> Option<&Rollout> {
+    pub fn find_order(&self, id: &RolloutId) -> Option<&Rollout> {
         let own = self.order_id(&id.service)?;
         self.order(&id.service).filter(|_| own.is_same(id))
     }
@@ -58,7 +59,7 @@
     /// Works by another phase of an order from now on; returns whether that is a change. What
     /// was taken back stays so, and what all requests were sent to does not go back to a share.
     pub fn set_phase(&mut self, id: &RolloutId, phase: Phase) -> bool {
-        if self.meant(id).is_none() {
+        if self.find_order(id).is_none() {
             return false;
         }
         let Some(trial) = self.trials.get_mut(&id.service) else {
@@ -77,12 +78,12 @@
 
     /// Time since any node first heard of a service's running order, as far as is known here.
     pub fn age(&self, service: &str, now: Time) -> Option<Duration> {
-        Some(self.trials.get(service)?.age.by(now))
+        Some(self.trials.get(service)?.age.elapsed(now))
     }
 
     /// The order is at least so old: another node heard of it before.
-    pub fn set_age(&mut self, id: &RolloutId, at_least: Duration, now: Time) {
-        let is_meant = self.meant(id).is_some();
+    pub fn raise_age(&mut self, id: &RolloutId, at_least: Duration, now: Time) {
+        let is_meant = self.find_order(id).is_some();
         if let Some(trial) = self.trials.get_mut(&id.service).filter(|_| is_meant) {
             trial.age.raise(at_least, now);
         }
@@ -91,7 +92,7 @@
 
 /// A number in 0..1 that belongs to an attempt; by hash, so that nodes need no counts, a
 /// restarted node forgets nothing, and repeats of an attempt count once.
-fn draw(service: &str, attempt: &str) -> f64 {
+fn hash_fraction(service: &str, attempt: &str) -> f64 {
     let drawn = hash::mix(hash::of(attempt.as_bytes()), hash::of(service.as_bytes()));
     (drawn >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/decide/src/rollout/withdrawn.rs
+++ b/crates/decide/src/rollout/withdrawn.rs
@@ -10,7 +10,7 @@
 
 /// Versions of one service that are remembered. Those of more orders than this have been
 /// stopped long ago, and their targets take memory and time to look them up no more.
-const MOST: usize = 8;
+const MAX_PER_SERVICE: usize = 8;
 
 /// By service, the oldest first.
 #[derive(Debug, Default)]
@@ -23,7 +23,7 @@
         let versions = self.0.entry(withdrawn.service.clone()).or_default();
         let place = versions.partition_point(|known| known.at <= withdrawn.at);
         versions.insert(place, withdrawn);
-        if versions.len() > MOST {
+        if versions.len() > MAX_PER_SERVICE {
             versions.remove(0);
         }
     }
--- a/crates/decide/src/route/health.rs
+++ b/crates/decide/src/route/health.rs
@@ -5,11 +5,11 @@
 use model::Time;
 
 /// Failures in a row that eject a target.
-const FAILURES: u32 = 5;
+const EJECT_AFTER: u32 = 5;
 /// First ejection; doubles with each further one.
-const FIRST: Duration = Duration::from_millis(500);
+const FIRST_EJECTION: Duration = Duration::from_millis(500);
 /// Longest ejection.
-const LONGEST: Duration = Duration::from_secs(30);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 
 /// Whether one target has earned trust lately.
 #[derive(Debug, Clone, Default)]
@@ -31,12 +31,12 @@
     /// The target failed; returns true if this ejects it.
     pub fn failure(&mut self, now: Time) -> bool {
         self.failures += 1;
-        if self.failures < FAILURES || now < self.until {
+        if self.failures < EJECT_AFTER || now < self.until {
             return false;
         }
         self.failures = 0;
-        let length = FIRST * 2u32.pow(self.ejections.min(8));
-        self.until = now + length.min(LONGEST);
+        let length = FIRST_EJECTION * 2u32.pow(self.ejections.min(8));
+        self.until = now + length.min(MAX_EJECTION);
         self.ejections += 1;
         true
     }
--- a/crates/decide/src/route/mod.rs
+++ b/crates/decide/src/route/mod.rs
@@ -11,10 +11,10 @@
 
 pub use health::Health;
 pub use policy::{
-    Ask, Home, HomeTuning, LeastOutstanding, Policy, PolicyKind, RoundRobin, SessionHash,
+    Home, HomeTuning, LeastOutstanding, Policy, PolicyKind, RoundRobin, RouteQuery, SessionHash,
     make as make_policy,
 };
-pub use share::Shares;
+pub use share::PrefixShares;
 pub use table::{PoolTable, Slot, TargetInfo};
 
 /// Bytes of a prompt that make its prefix; about the first 64 tokens.
--- a/crates/decide/src/route/policy.rs
+++ b/crates/decide/src/route/policy.rs
@@ -6,20 +6,20 @@
 use model::{Name, Time};
 use serde::{Deserialize, Serialize};
 
-use super::share::Shares;
+use super::share::PrefixShares;
 use super::table::{PoolTable, Slot};
 use crate::rng::Rng;
 
 /// Targets looked at along the rendezvous order of a prefix.
-const ORDER: usize = 8;
+const MAX_RANKED: usize = 8;
 /// Targets behind the homes among which a spill goes.
-const SPILL: usize = 3;
+const SPILL_CANDIDATES: usize = 3;
 /// Distance classes: own failure domain, own region, beyond.
-const DISTANCES: u8 = 3;
+const DISTANCE_CLASSES: u8 = 3;
 
 /// What is asked of a policy.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct RouteQuery<'a> {
     /// Now.
     pub now: Time,
     /// Hash of the prompt's leading block, or of the session.
@@ -32,7 +32,7 @@
     pub tried: &'a [Name],
 }
 
-impl Ask<'_> {
+impl RouteQuery<'_> {
     fn fits(&self, s: &Slot) -> bool {
         PoolTable::fits(s, self.now, self.model) && !self.tried.contains(&s.info.name)
     }
@@ -41,7 +41,7 @@
 /// Chooses a target.
 pub trait Policy: Send + fmt::Debug {
     /// Index of the chosen slot, or `None` if no candidate fits.
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize>;
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize>;
 }
 
 /// The policies by name, as settings and plans give them.
@@ -77,7 +77,7 @@
         PolicyKind::SessionHashBound => Box::new(SessionHash { bound: Some(1.25) }),
         PolicyKind::Home => Box::new(Home::new(tuning, seed)),
         PolicyKind::HomeUnbound => {
-            Box::new(Home::new(HomeTuning { share: f64::INFINITY, ..tuning }, seed))
+            Box::new(Home::new(HomeTuning { max_wait_share: f64::INFINITY, ..tuning }, seed))
         }
         PolicyKind::HomeSingle => Box::new(Home::new(HomeTuning { spread: 0.0, ..tuning }, seed)),
         PolicyKind::HomeNext => Box::new(Home::new(HomeTuning { choices: 1, ..tuning }, seed)),
@@ -91,12 +91,12 @@
 }
 
 impl Policy for RoundRobin {
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
         let n = table.slots().len();
         for _ in 0..n {
             let i = self.next % n;
             self.next = i + 1;
-            if ask.fits(&table.slots()[i]) {
+            if query.fits(&table.slots()[i]) {
                 return Some(i);
             }
         }
@@ -109,9 +109,9 @@
 pub struct LeastOutstanding(Rng);
 
 impl Policy for LeastOutstanding {
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
-        let fitting = table.slots().iter().enumerate().filter(|(_, s)| ask.fits(s));
-        fitting.min_by_key(|(_, s)| (s.flying, self.0.draw())).map(|(i, _)| i)
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
+        let fitting = table.slots().iter().enumerate().filter(|(_, s)| query.fits(s));
+        fitting.min_by_key(|(_, s)| (s.in_flight, self.0.draw())).map(|(i, _)| i)
     }
 }
 
@@ -125,18 +125,19 @@
 }
 
 impl Policy for SessionHash {
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
-        let most = self.bound.map(|b| {
-            let (mut n, mut flying) = (0.0, 1.0);
-            for s in table.slots().iter().filter(|s| ask.fits(s)) {
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
+        let max_in_flight = self.bound.map(|b| {
+            let (mut n, mut in_flight) = (0.0, 1.0);
+            for s in table.slots().iter().filter(|s| query.fits(s)) {
                 n += 1.0;
-                flying += f64::from(s.flying);
+                in_flight += f64::from(s.in_flight);
             }
-            (b * flying / n).ceil()
+            (b * in_flight / n).ceil()
         });
-        let fitting = table.slots().iter().enumerate().filter(|(_, s)| ask.fits(s));
-        let open = fitting.filter(|(_, s)| most.is_none_or(|m| f64::from(s.flying) < m));
-        open.max_by_key(|(_, s)| mix(ask.prefix, s.hash)).map(|(i, _)| i)
+        let fitting = table.slots().iter().enumerate().filter(|(_, s)| query.fits(s));
+        let has_room =
+            fitting.filter(|(_, s)| max_in_flight.is_none_or(|m| f64::from(s.in_flight) < m));
+        has_room.max_by_key(|(_, s)| mix(query.prefix, s.hash)).map(|(i, _)| i)
     }
 }
 
@@ -145,12 +146,12 @@
 pub struct HomeTuning {
     /// The home is declined only when its expected wait takes more than this
     /// share of the step's budget; below that a spill buys nothing.
-    pub share: f64,
+    pub max_wait_share: f64,
     /// ... and only for a target whose expected wait is shorter by this factor.
-    pub gain: f64,
+    pub min_gain: f64,
     /// ... that has a wait of no more than this share itself: where all are loaded
     /// a spill only adds cold starts.
-    pub idle: f64,
+    pub max_spill_share: f64,
     /// Homes of a prefix for each target's fair share of the traffic that it has;
     /// 0 keeps one home.
     pub spread: f64,
@@ -160,7 +161,13 @@
 
 impl Default for HomeTuning {
     fn default() -> Self {
-        HomeTuning { share: 0.2, gain: 2.0, idle: 0.05, spread: 1.5, choices: 2 }
+        HomeTuning {
+            max_wait_share: 0.2,
+            min_gain: 2.0,
+            max_spill_share: 0.05,
+            spread: 1.5,
+            choices: 2,
+        }
     }
 }
 
@@ -174,29 +181,29 @@
 #[derive(Debug)]
 pub struct Home {
     tuning: HomeTuning,
-    shares: Shares,
+    shares: PrefixShares,
     rng: Rng,
 }
 
 /// The best slots along the order, in a fixed array: no allocation.
 #[derive(Debug, Clone, Copy)]
-struct Top {
+struct Ranking {
     len: usize,
-    score: [u64; ORDER],
-    index: [usize; ORDER],
+    score: [u64; MAX_RANKED],
+    index: [usize; MAX_RANKED],
 }
 
-impl Top {
+impl Ranking {
     fn new() -> Self {
-        Top { len: 0, score: [0; ORDER], index: [0; ORDER] }
+        Ranking { len: 0, score: [0; MAX_RANKED], index: [0; MAX_RANKED] }
     }
 
     #[inline]
     fn offer(&mut self, score: u64, index: usize) {
-        if self.len == ORDER && score <= self.score[ORDER - 1] {
+        if self.len == MAX_RANKED && score <= self.score[MAX_RANKED - 1] {
             return;
         }
-        let mut at = self.len.min(ORDER - 1);
+        let mut at = self.len.min(MAX_RANKED - 1);
         while at > 0 && self.score[at - 1] < score {
             self.score[at] = self.score[at - 1];
             self.index[at] = self.index[at - 1];
@@ -204,41 +211,47 @@
         }
         self.score[at] = score;
         self.index[at] = index;
-        self.len = (self.len + 1).min(ORDER);
+        self.len = (self.len + 1).min(MAX_RANKED);
     }
 }
 
 impl Home {
     /// A policy with this tuning.
     pub fn new(tuning: HomeTuning, seed: u64) -> Self {
-        Home { tuning, shares: Shares::default(), rng: Rng::new(seed) }
+        Home { tuning, shares: PrefixShares::default(), rng: Rng::new(seed) }
     }
 
     /// The order of one distance class's candidates, and their count.
-    fn scan(ask: &Ask, table: &PoolTable, distance: u8) -> (Top, usize) {
-        let mut top = Top::new();
+    fn rank(query: &RouteQuery, table: &PoolTable, distance: u8) -> (Ranking, usize) {
+        let mut top = Ranking::new();
         let mut count = 0;
         for (i, s) in table.slots().iter().enumerate() {
-            if s.info.distance == distance && ask.fits(s) {
-                top.offer(mix(ask.prefix, s.hash), i);
+            if s.info.distance == distance && query.fits(s) {
+                top.offer(mix(query.prefix, s.hash), i);
                 count += 1;
             }
         }
         (top, count)
     }
 
-    fn choose(&mut self, ask: &Ask, table: &PoolTable, top: &Top, homes: usize) -> usize {
-        let wait = |i: usize| table.slots()[i].wait(ask.now);
-        let open = |i: usize| table.slots()[i].flying < table.slots()[i].limit.width();
-        let home = self.best_home(ask, table, top, homes);
+    fn home_or_spill(
+        &mut self,
+        query: &RouteQuery,
+        table: &PoolTable,
+        top: &Ranking,
+        homes: usize,
+    ) -> usize {
+        let wait = |i: usize| table.slots()[i].wait(query.now);
+        let has_room = |i: usize| table.slots()[i].in_flight < table.slots()[i].limit.width();
+        let home = self.best_home(query, table, top, homes);
         if top.len <= homes {
             return home;
         }
-        let at_home = wait(home);
-        if open(home) && at_home <= self.tuning.share * ask.budget {
+        let home_wait = wait(home);
+        if has_room(home) && home_wait <= self.tuning.max_wait_share * query.budget {
             return home;
         }
-        let rest = &top.index[homes..top.len.min(homes + SPILL)];
+        let rest = &top.index[homes..top.len.min(homes + SPILL_CANDIDATES)];
         let mut other = rest[0];
         if self.tuning.choices > 1 && rest.len() > 1 {
             let second = rest[1 + self.rng.below(rest.len() - 1)];
@@ -246,14 +259,20 @@
                 other = second;
             }
         }
-        let full = !open(home) && open(other);
-        let idle = wait(other) <= self.tuning.idle * ask.budget;
-        if full || (idle && wait(other) * self.tuning.gain < at_home) { other } else { home }
+        let full = !has_room(home) && has_room(other);
+        let idle = wait(other) <= self.tuning.max_spill_share * query.budget;
+        if full || (idle && wait(other) * self.tuning.min_gain < home_wait) { other } else { home }
     }
 
     /// The better of two homes drawn from those that a hot prefix has; all are warm.
-    fn best_home(&mut self, ask: &Ask, table: &PoolTable, top: &Top, homes: usize) -> usize {
-        let wait = |i: usize| table.slots()[i].wait(ask.now);
+    fn best_home(
+        &mut self,
+        query: &RouteQuery,
+        table: &PoolTable,
+        top: &Ranking,
+        homes: usize,
+    ) -> usize {
+        let wait = |i: usize| table.slots()[i].wait(query.now);
         if homes < 2 {
             return top.index[0];
         }
@@ -265,19 +284,19 @@
 }
 
 impl Policy for Home {
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
-        let share = self.shares.count(ask.prefix);
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
+        let share = self.shares.count(query.prefix);
         let mut fallback = None;
-        for distance in 0..DISTANCES {
-            let (top, count) = Self::scan(ask, table, distance);
+        for distance in 0..DISTANCE_CLASSES {
+            let (top, count) = Self::rank(query, table, distance);
             if top.len == 0 {
                 continue;
             }
             let fair = (share * count as f64 * self.tuning.spread).ceil() as usize;
             let homes = fair.clamp(1, top.len);
-            let i = self.choose(ask, table, &top, homes);
+            let i = self.home_or_spill(query, table, &top, homes);
             let s = &table.slots()[i];
-            if s.flying < s.limit.width() {
+            if s.in_flight < s.limit.width() {
                 return Some(i);
             }
             // Everything near is at its limit: look further out, but keep this one.
--- a/crates/decide/src/route/share.rs
+++ b/crates/decide/src/route/share.rs
@@ -9,24 +9,24 @@
 /// Cormode and Muthukrishnan 2005).
 const ROWS: usize = 2;
 /// Requests after which all counters are halved.
-const FADE: u32 = 2048;
+const HALVE_AFTER: u32 = 2048;
 /// Requests before a share means anything.
-const ENOUGH: u32 = 64;
+const MIN_REQUESTS: u32 = 64;
 
 /// Shares of prefixes.
 #[derive(Debug, Clone)]
-pub struct Shares {
+pub struct PrefixShares {
     counts: Box<[[u32; WIDTH]; ROWS]>,
     total: u32,
 }
 
-impl Default for Shares {
+impl Default for PrefixShares {
     fn default() -> Self {
-        Shares { counts: Box::new([[0; WIDTH]; ROWS]), total: 0 }
+        PrefixShares { counts: Box::new([[0; WIDTH]; ROWS]), total: 0 }
     }
 }
 
-impl Shares {
+impl PrefixShares {
     /// Counts one request and returns its prefix's share of all, 0 while too few were seen.
     pub fn count(&mut self, prefix: u64) -> f64 {
         self.total += 1;
@@ -36,10 +36,10 @@
             counts[slot] += 1;
             least = least.min(counts[slot]);
         }
-        if self.total >= FADE {
+        if self.total >= HALVE_AFTER {
             self.total /= 2;
             self.counts.iter_mut().flatten().for_each(|c| *c /= 2);
         }
-        if self.total < ENOUGH { 0.0 } else { f64::from(least) / f64::from(self.total) }
+        if self.total < MIN_REQUESTS { 0.0 } else { f64::from(least) / f64::from(self.total) }
     }
 }
--- a/crates/decide/src/route/table.rs
+++ b/crates/decide/src/route/table.rs
@@ -9,15 +9,15 @@
 use crate::limit::Concurrency;
 
 /// Weight of a new sample in the smoothed service time.
-const SMOOTH: f64 = 0.2;
+const SMOOTHING: f64 = 0.2;
 /// Service time assumed before the first answer, milliseconds.
-const SERVICE_MS: f64 = 20.0;
+const DEFAULT_SERVICE_MS: f64 = 20.0;
 /// Least work of a call, milliseconds.
-const WORK_LEAST: f64 = 0.5;
+const MIN_WORK_MS: f64 = 0.5;
 /// A reported wait loses half its weight in this time.
 const HALF_LIFE: Duration = Duration::from_millis(500);
 /// Largest share of a pool that may be ejected at once.
-const EJECT_MAX: f64 = 0.34;
+const MAX_EJECTED_SHARE: f64 = 0.34;
 
 /// What is declared about a target.
 #[derive(Debug, Clone, PartialEq)]
@@ -46,15 +46,15 @@
     /// Model versions held, or `None` if nothing was reported.
     pub models: Option<Vec<Name>>,
     /// Attempts that this node has in flight.
-    pub flying: u32,
+    pub in_flight: u32,
     /// Attempts sent since the last report.
-    pub since: u32,
+    pub sent_since: u32,
     /// Most attempts in flight.
     pub limit: Concurrency,
     health: Health,
-    service: f64,
+    service_ms: f64,
     wait: f64,
-    heard: Time,
+    reported_at: Time,
     seq: u64,
 }
 
@@ -66,13 +66,13 @@
             ready: true,
             leaving: false,
             models: None,
-            flying: 0,
-            since: 0,
+            in_flight: 0,
+            sent_since: 0,
             limit: Concurrency::default(),
             health: Health::default(),
-            service: SERVICE_MS,
+            service_ms: DEFAULT_SERVICE_MS,
             wait: 0.0,
-            heard: Time::ZERO,
+            reported_at: Time::ZERO,
             seq: 0,
         }
     }
@@ -80,10 +80,10 @@
     /// Expected wait of a new call, milliseconds: the last report fading out,
     /// and the work of what this node sent since.
     pub fn wait(&self, now: Time) -> f64 {
-        let age = now.since(self.heard).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let age = now.since(self.reported_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         // Cheap stand-in for 2^-age, within 7 % of it over the first half-life.
         let faded = self.wait / (1.0 + age);
-        let own = f64::from(self.since) * self.service;
+        let own = f64::from(self.sent_since) * self.service_ms;
         faded + own
     }
 }
@@ -129,7 +129,7 @@
     }
 
     /// Takes news about a target; older news than the last is ignored.
-    pub fn hear(&mut self, now: Time, news: &TargetNews) {
+    pub fn update(&mut self, now: Time, news: &TargetNews) {
         let Some(s) = self.slot_mut(&news.report.target) else {
             return;
         };
@@ -144,74 +144,74 @@
         }
         s.models = news.polled.then(|| news.report.models.clone());
         s.wait = f64::from(news.report.wait);
-        s.heard = now;
-        s.since = 0;
+        s.reported_at = now;
+        s.sent_since = 0;
     }
 
     /// Marks a target as leaving: by its own refusal, or a drained host.
-    pub fn leave(&mut self, name: &str) {
+    pub fn mark_leaving(&mut self, name: &str) {
         if let Some(s) = self.slot_mut(name) {
             s.leaving = true;
         }
     }
 
     /// An attempt was sent; returns the wait expected at that moment, milliseconds.
-    pub fn sent(&mut self, now: Time, name: &str) -> f64 {
+    pub fn record_sent(&mut self, now: Time, name: &str) -> f64 {
         let Some(s) = self.slot_mut(name) else {
             return 0.0;
         };
         let wait = s.wait(now);
-        s.flying += 1;
-        s.since += 1;
+        s.in_flight += 1;
+        s.sent_since += 1;
         wait
     }
 
     /// The first frame of an attempt came after `took`, where `wait` milliseconds were expected.
-    pub fn answering(&mut self, now: Time, name: &str, wait: f64, took: Duration) {
+    pub fn record_first_frame(&mut self, now: Time, name: &str, wait: f64, took: Duration) {
         let Some(s) = self.slot_mut(name) else {
             return;
         };
         let ms = took.as_secs_f64() * 1e3;
         // What is left of the time once the wait is taken off is the call's own work.
-        let work = (ms - wait).max(WORK_LEAST);
-        s.service += SMOOTH * (work - s.service);
-        let flying = s.flying;
-        s.limit.sample(now, ms, flying);
+        let work = (ms - wait).max(MIN_WORK_MS);
+        s.service_ms += SMOOTHING * (work - s.service_ms);
+        let in_flight = s.in_flight;
+        s.limit.sample(now, ms, in_flight);
     }
 
     /// An attempt ended well.
-    pub fn done(&mut self, now: Time, name: &str) {
+    pub fn record_success(&mut self, now: Time, name: &str) {
         if let Some(s) = self.slot_mut(name) {
-            s.flying = s.flying.saturating_sub(1);
+            s.in_flight = s.in_flight.saturating_sub(1);
             s.health.success(now);
         }
     }
 
     /// The target told its expected wait with an answer.
-    pub fn waits(&mut self, now: Time, name: &str, wait: u32) {
+    pub fn record_wait(&mut self, now: Time, name: &str, wait: u32) {
         if let Some(s) = self.slot_mut(name) {
             s.wait = f64::from(wait);
-            s.heard = now;
-            s.since = 0;
+            s.reported_at = now;
+            s.sent_since = 0;
         }
     }
 
     /// An attempt failed; returns true if that ejected the target.
-    pub fn failed(&mut self, now: Time, name: &str) -> bool {
+    pub fn record_failure(&mut self, now: Time, name: &str) -> bool {
         let ejected = self.slots.iter().filter(|s| s.health.ejected(now)).count();
-        let room = ((self.slots.len() as f64 * EJECT_MAX) as usize).max(1);
+        let room = ((self.slots.len() as f64 * MAX_EJECTED_SHARE) as usize).max(1);
         let Some(s) = self.slot_mut(name) else {
             return false;
         };
-        s.flying = s.flying.saturating_sub(1);
+        s.in_flight = s.in_flight.saturating_sub(1);
         s.limit.drop_back(now);
         (ejected < room) && s.health.failure(now)
     }
 
     /// An attempt was cancelled, by nobody's fault.
-    pub fn cancelled(&mut self, name: &str) {
+    pub fn record_cancel(&mut self, name: &str) {
         if let Some(s) = self.slot_mut(name) {
-            s.flying = s.flying.saturating_sub(1);
+            s.in_flight = s.in_flight.saturating_sub(1);
         }
     }
 
--- a/crates/decide/tests/alloc.rs
+++ b/crates/decide/tests/alloc.rs
@@ -5,7 +5,7 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
-use decide::route::{Ask, PolicyKind, PoolTable, TargetInfo, make_policy};
+use decide::route::{PolicyKind, PoolTable, RouteQuery, TargetInfo, make_policy};
 use model::Time;
 
 thread_local! {
@@ -45,7 +45,8 @@
         let mut picked = 0;
         for prefix in 0..5000 {
             let now = Time::from_millis(prefix);
-            let ask = Ask { now, prefix: prefix % 7, model: None, budget: 500.0, tried: &[] };
+            let ask =
+                RouteQuery { now, prefix: prefix % 7, model: None, budget: 500.0, tried: &[] };
             picked += usize::from(policy.pick(&ask, &table).is_some());
         }
         let after = COUNT.with(Cell::get);
--- a/crates/decide/tests/batch_pool.rs
+++ b/crates/decide/tests/batch_pool.rs
@@ -137,7 +137,7 @@
         }
         Change::Orders => {
             let list = Rollouts { at: revision, ..Rollouts::default() };
-            fleet.versions_mut().take(list, at(now));
+            fleet.versions_mut().apply(list, at(now));
         }
         Change::Limit { which, per_s } => {
             let said = per_s.map_or(NamedLimit::None, NamedLimit::PerSecond);
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -7,7 +7,7 @@
 use decide::deadline::{self, StepTimes};
 use decide::limit::{Bucket, Concurrency, RateHome, Slice};
 use decide::load::{Board, poll_rank};
-use decide::retry::{Budget, backoff};
+use decide::retry::{RetryBudget, backoff};
 use decide::rng::Rng;
 use model::load::Report;
 use model::object::Priority;
@@ -133,7 +133,7 @@
 
 #[test]
 fn retries_are_a_share_of_successes() {
-    let mut b = Budget::new(0.1, 10.0);
+    let mut b = RetryBudget::new(0.1, 10.0);
     let (mut sent, mut retried) = (0, 0);
     // A stage that fails outright: after the reserve no retry is left.
     for _ in 0..1000 {
--- a/crates/decide/tests/resend.rs
+++ b/crates/decide/tests/resend.rs
@@ -2,36 +2,36 @@
 
 use std::time::Duration;
 
-use decide::resend::{BudgetTuning, Ending, Next, Ran, RepeatBudget, Tries};
+use decide::resend::{Attempts, BudgetTuning, Ending, Execution, Next, RepeatBudget};
 use model::Time;
 use model::forward::Repeat;
 
 const LEFT: Duration = Duration::from_millis(500);
 
-fn tries(repeat: Repeat, most: u32, seen: &[Ran]) -> Tries {
-    let mut tries = Tries::new(repeat, most);
+fn tries(repeat: Repeat, most: u32, seen: &[Execution]) -> Attempts {
+    let mut tries = Attempts::new(repeat, most);
     for ran in seen {
         tries.connected();
-        tries.note(*ran);
+        tries.record(*ran);
     }
     tries
 }
 
 #[test]
 fn a_request_that_may_run_once_is_resent_only_if_it_certainly_did_not_run() {
-    use Ran::{Maybe, No};
-    let cases: &[(Repeat, u32, &[Ran], Next)] = &[
+    use Execution::{Excluded, Possible};
+    let cases: &[(Repeat, u32, &[Execution], Next)] = &[
         (Repeat::Once, 1, &[], Next::Resend),
-        (Repeat::Once, 1, &[No], Next::Resend),
-        (Repeat::Once, 3, &[Maybe], Next::End(Ending::Unknown)),
-        (Repeat::Once, 3, &[No, Maybe], Next::End(Ending::Unknown)),
-        (Repeat::StreamOnce, 3, &[Maybe], Next::End(Ending::Unknown)),
-        (Repeat::Idempotent, 2, &[Maybe], Next::Resend),
-        (Repeat::Idempotent, 1, &[Maybe], Next::End(Ending::Unknown)),
-        (Repeat::Idempotent, 2, &[Maybe, Maybe], Next::End(Ending::Unknown)),
-        (Repeat::StreamResumable, 2, &[Maybe], Next::Resend),
-        (Repeat::Once, 1, &[No, No], Next::End(Ending::NotRun)),
-        (Repeat::Idempotent, 2, &[No, No], Next::End(Ending::NotRun)),
+        (Repeat::Once, 1, &[Excluded], Next::Resend),
+        (Repeat::Once, 3, &[Possible], Next::End(Ending::Unknown)),
+        (Repeat::Once, 3, &[Excluded, Possible], Next::End(Ending::Unknown)),
+        (Repeat::StreamOnce, 3, &[Possible], Next::End(Ending::Unknown)),
+        (Repeat::Idempotent, 2, &[Possible], Next::Resend),
+        (Repeat::Idempotent, 1, &[Possible], Next::End(Ending::Unknown)),
+        (Repeat::Idempotent, 2, &[Possible, Possible], Next::End(Ending::Unknown)),
+        (Repeat::StreamResumable, 2, &[Possible], Next::Resend),
+        (Repeat::Once, 1, &[Excluded, Excluded], Next::End(Ending::NotRun)),
+        (Repeat::Idempotent, 2, &[Excluded, Excluded], Next::End(Ending::NotRun)),
     ];
     for (repeat, most, seen, wanted) in cases {
         let next = tries(*repeat, *most, seen).next(LEFT, || true);
@@ -41,30 +41,30 @@
 
 #[test]
 fn a_send_under_way_may_have_run() {
-    let mut tries = Tries::new(Repeat::Once, 1);
+    let mut tries = Attempts::new(Repeat::Once, 1);
     assert_eq!(tries.ending(), Ending::NotRun);
     tries.connected();
     assert_eq!(tries.ending(), Ending::Unknown, "bytes may be at the target");
-    tries.note(Ran::No);
+    tries.record(Execution::Excluded);
     assert_eq!(tries.ending(), Ending::NotRun, "the target said that it did not run it");
 }
 
 #[test]
 fn a_begun_answer_is_broken_off_or_resumed() {
-    let mut once = tries(Repeat::StreamOnce, 3, &[Ran::Maybe]);
-    once.begun = true;
+    let mut once = tries(Repeat::StreamOnce, 3, &[Execution::Possible]);
+    once.response_begun = true;
     assert_eq!(once.next(LEFT, || true), Next::End(Ending::BreakOff));
-    let mut resumable = tries(Repeat::StreamResumable, 3, &[Ran::Maybe]);
-    resumable.begun = true;
+    let mut resumable = tries(Repeat::StreamResumable, 3, &[Execution::Possible]);
+    resumable.response_begun = true;
     assert_eq!(resumable.next(LEFT, || true), Next::Resend);
 }
 
 #[test]
 fn no_repeat_without_budget_or_time() {
-    let tried = tries(Repeat::Idempotent, 2, &[Ran::Maybe]);
+    let tried = tries(Repeat::Idempotent, 2, &[Execution::Possible]);
     assert_eq!(tried.next(LEFT, || false), Next::End(Ending::Unknown));
     assert_eq!(tried.next(Duration::ZERO, || true), Next::End(Ending::Unknown));
-    let first = Tries::new(Repeat::Once, 1);
+    let first = Attempts::new(Repeat::Once, 1);
     assert_eq!(first.next(LEFT, || false), Next::Resend, "a first send needs no budget");
 }
 
@@ -116,7 +116,7 @@
     for ms in (0..40_000).step_by(20) {
         let now = Time::from_millis(ms);
         let node = (ms / 20) as usize % nodes;
-        budgets[node].request(now);
+        budgets[node].record_request(now);
         sent.push((now, false));
         for _ in 0..2 {
             if budgets[node].take(now, nodes) {
@@ -150,7 +150,7 @@
                 // Each process counts time from its own start.
                 let now = Time::from_millis(ms - from);
                 let node = (ms / 25) as usize % nodes;
-                budgets[node].request(now);
+                budgets[node].record_request(now);
                 sent.push((ms, false));
                 for _ in 0..2 {
                     if budgets[node].take(now, nodes) {
--- a/crates/decide/tests/rollout_cost.rs
+++ b/crates/decide/tests/rollout_cost.rs
@@ -19,7 +19,7 @@
         let plain = support::target(&format!("t{n}"), "a");
         fleet.upsert(Target { version: "v1".into(), revision: 5, ..plain }, at(0));
     }
-    fleet.versions_mut().take(Rollouts { at: 10, ..Rollouts::default() }, at(0));
+    fleet.versions_mut().apply(Rollouts { at: 10, ..Rollouts::default() }, at(0));
     let each = || {
         let all = fleet.of_service("engine");
         all.filter(|b| fleet.bars(b, Terms::ANY, at(1)).is_none()).count()
--- a/crates/decide/tests/rollout_evidence.rs
+++ b/crates/decide/tests/rollout_evidence.rs
@@ -10,12 +10,12 @@
 fn take(evidence: &mut Evidence, side: Side, bad: u32, good: u32, ms: u64) {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
     for _ in 0..bad {
-        evidence.sent(&service, &route, side, 1);
-        evidence.bad(&service, &route, side);
+        evidence.record_sent(&service, &route, side, 1);
+        evidence.record_bad(&service, &route, side);
     }
     for _ in 0..good {
-        evidence.sent(&service, &route, side, 1);
-        evidence.good(&service, &route, side, Duration::from_millis(ms));
+        evidence.record_sent(&service, &route, side, 1);
+        evidence.record_good(&service, &route, side, Duration::from_millis(ms));
     }
 }
 
@@ -93,8 +93,14 @@
     for (part, calls, wanted) in [(0.0, 50, 0), (1.0, 7, 7), (1.0 / 12.0, 120, 10), (0.5, 9, 4)] {
         let mut evidence = Evidence::default();
         for _ in 0..calls {
-            evidence.sent(&service, &route, Side::Serving, 12);
-            evidence.partly(&service, &route, Side::Serving, part, Duration::from_millis(5));
+            evidence.record_sent(&service, &route, Side::Serving, 12);
+            evidence.record_partial(
+                &service,
+                &route,
+                Side::Serving,
+                part,
+                Duration::from_millis(5),
+            );
         }
         let [seen] = &evidence.report("s")[..] else {
             panic!("one route");
--- a/crates/decide/tests/rollout_judge.rs
+++ b/crates/decide/tests/rollout_judge.rs
@@ -73,7 +73,7 @@
     }
 
     fn on(&mut self, event: JudgeEvent) {
-        let actions = self.judge.on(Time::from_millis(self.now), event);
+        let actions = self.judge.handle(Time::from_millis(self.now), event);
         self.done.extend(actions.into_iter().map(|action| (self.now, action)));
     }
 
@@ -224,12 +224,12 @@
     let took = Duration::from_millis(5);
     let mut evidence = Evidence::default();
     for _ in 0..100 {
-        evidence.sent(&service, &route, Side::Serving, 16);
-        evidence.good(&service, &route, Side::Serving, took);
+        evidence.record_sent(&service, &route, Side::Serving, 16);
+        evidence.record_good(&service, &route, Side::Serving, took);
     }
     for bad in 1..=16 {
-        evidence.sent(&service, &route, Side::Trial, 16);
-        evidence.bad(&service, &route, Side::Trial);
+        evidence.record_sent(&service, &route, Side::Trial, 16);
+        evidence.record_bad(&service, &route, Side::Trial);
         assert!(bad > 2 || evidence.proves_bad("s").is_none(), "{bad} calls prove nothing");
     }
     let verdict = evidence.proves_bad("s").expect("16 calls do");
--- a/crates/decide/tests/rollout_versions.rs
+++ b/crates/decide/tests/rollout_versions.rs
@@ -36,7 +36,7 @@
     let mut versions = Versions::default();
     versions.follow();
     for (version, revision) in seen {
-        versions.saw(&"engine".into(), &(*version).into(), *revision, 0);
+        versions.add_target(&"engine".into(), &(*version).into(), *revision, 0);
     }
     versions
 }
@@ -47,15 +47,15 @@
 
 /// Part of many attempts that go to the version on trial.
 fn part(versions: &Versions) -> f64 {
-    let is_trial = |n: &u32| versions.turn("engine", &format!("a{n}")) == Side::Trial;
+    let is_trial = |n: &u32| versions.side_for_attempt("engine", &format!("a{n}")) == Side::Trial;
     f64::from((0..10_000).filter(is_trial).count() as u32) / 10_000.0
 }
 
 #[test]
 fn where_no_orders_are_followed_every_version_serves() {
     let mut versions = Versions::default();
-    versions.saw(&"engine".into(), &"v1".into(), 5, 0);
-    versions.saw(&"engine".into(), &"v2".into(), 9, 0);
+    versions.add_target(&"engine".into(), &"v1".into(), 5, 0);
+    versions.add_target(&"engine".into(), &"v2".into(), 9, 0);
     assert!(versions.is_known());
     assert_eq!(sides(&versions), (SERVING, SERVING));
     assert_eq!((versions.unsettled(), part(&versions)), (None, 0.0));
@@ -66,7 +66,7 @@
     let mut versions = versions(&[("v1", 5)]);
     assert!(!versions.is_known());
     assert_eq!(sides(&versions), (None, None));
-    versions.take(list(3, &[]), at(0));
+    versions.apply(list(3, &[]), at(0));
     assert!(versions.is_known());
     assert_eq!(versions.side("engine", "v1"), SERVING, "the only one, though it is news");
 }
@@ -89,7 +89,7 @@
     ];
     for (known, orders, wanted) in cases {
         let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-        versions.take(list(known, &orders), at(0));
+        versions.apply(list(known, &orders), at(0));
         assert_eq!(sides(&versions), wanted, "at {known}: {orders:?}");
         let unsettled = (known < 11).then_some(11);
         assert_eq!(versions.unsettled(), unsettled, "at {known}");
@@ -100,12 +100,12 @@
 fn a_release_without_an_order_goes_on_after_one_was_completed() {
     let completed = order("v2", RolloutState::Completed, 20);
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-    versions.take(list(40, &[completed]), at(0));
-    versions.saw(&"engine".into(), &"v3".into(), 30, 0);
+    versions.apply(list(40, &[completed]), at(0));
+    versions.add_target(&"engine".into(), &"v3".into(), 30, 0);
     assert_eq!(versions.side("engine", "v3"), SERVING);
     assert_eq!(sides(&versions), (None, SERVING));
-    versions.gone(&"engine".into(), &"v1".into());
-    versions.saw(&"engine".into(), &"v1".into(), 35, 0);
+    versions.remove_target(&"engine".into(), &"v1".into());
+    versions.add_target(&"engine".into(), &"v1".into(), 35, 0);
     assert_eq!(versions.side("engine", "v1"), SERVING, "it was started anew");
 }
 
@@ -114,22 +114,22 @@
     use RolloutState::{Active, RolledBack};
     // The completion of v2, after which v1 stopped, is missed between two lists.
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-    versions.take(list(20, &[order("v2", Active, 15)]), at(0));
-    versions.saw(&"engine".into(), &"v3".into(), 30, 0);
-    versions.take(list(40, &[order("v3", Active, 31)]), at(10));
+    versions.apply(list(20, &[order("v2", Active, 15)]), at(0));
+    versions.add_target(&"engine".into(), &"v3".into(), 30, 0);
+    versions.apply(list(40, &[order("v3", Active, 31)]), at(10));
     assert_eq!(sides(&versions), (SERVING, None), "as long as the one before is there");
-    versions.gone(&"engine".into(), &"v1".into());
+    versions.remove_target(&"engine".into(), &"v1".into());
     assert_eq!(versions.side("engine", "v2"), SERVING);
     assert_eq!(versions.side("engine", "v3"), TRIAL);
-    versions.take(list(50, &[order("v3", RolledBack, 45)]), at(20));
+    versions.apply(list(50, &[order("v3", RolledBack, 45)]), at(20));
     assert_eq!(versions.side("engine", "v2"), SERVING);
     assert_eq!(versions.side("engine", "v3"), None);
     // Nor when the end of that one is missed too, beside one that is tried after it.
     let mut versions = self::versions(&[("v2", 11), ("v3", 30)]);
-    versions.take(list(35, &[order("v2", Active, 15)]), at(0));
-    versions.take(list(40, &[order("v3", Active, 31)]), at(10));
-    versions.saw(&"engine".into(), &"v4".into(), 50, 0);
-    versions.take(list(60, &[order("v4", Active, 51)]), at(20));
+    versions.apply(list(35, &[order("v2", Active, 15)]), at(0));
+    versions.apply(list(40, &[order("v3", Active, 31)]), at(10));
+    versions.add_target(&"engine".into(), &"v4".into(), 50, 0);
+    versions.apply(list(60, &[order("v4", Active, 51)]), at(20));
     assert_eq!(versions.side("engine", "v2"), SERVING);
     assert_eq!(versions.side("engine", "v3"), None, "the one before it can serve");
     assert_eq!(versions.side("engine", "v4"), TRIAL);
@@ -149,14 +149,14 @@
     // v1 was taken back before this node started, the completion of v2 is missed.
     fleet.upsert(target("t1", "v1", 5, true), at(0));
     fleet.upsert(target("t2", "v2", 11, false), at(0));
-    fleet.versions_mut().take(list(20, &[order("v2", Active, 15)]), at(0));
+    fleet.versions_mut().apply(list(20, &[order("v2", Active, 15)]), at(0));
     fleet.upsert(target("t3", "v3", 30, false), at(1));
-    fleet.versions_mut().take(list(40, &[order("v3", RolledBack, 31)]), at(1));
+    fleet.versions_mut().apply(list(40, &[order("v3", RolledBack, 31)]), at(1));
     let usable = |fleet: &Fleet| fleet.usable("engine", Terms::ANY, at(2)).count();
     assert_eq!(usable(&fleet), 1, "v2 alone can serve");
     fleet.upsert(target("t1", "v1", 50, false), at(2));
     assert_eq!(usable(&fleet), 0, "orders are not known up to where v1 came back");
-    fleet.versions_mut().take(list(60, &[order("v3", RolledBack, 31)]), at(2));
+    fleet.versions_mut().apply(list(60, &[order("v3", RolledBack, 31)]), at(2));
     assert_eq!(usable(&fleet), 1, "v1 serves, and no version whose end is not known");
 }
 
@@ -164,15 +164,15 @@
 fn a_version_whose_order_is_withdrawn_gets_nothing_while_another_one_can_serve() {
     let active = order("v2", RolloutState::Active, 12);
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-    versions.take(list(12, std::slice::from_ref(&active)), at(0));
-    let changes = versions.take(list(15, &[]), at(1));
+    versions.apply(list(12, std::slice::from_ref(&active)), at(0));
+    let changes = versions.apply(list(15, &[]), at(1));
     assert_eq!(changes, [RolloutChange::Withdrawn(active)]);
     assert_eq!(sides(&versions), (SERVING, None));
     assert_eq!(versions.phase("engine"), None);
-    versions.gone(&"engine".into(), &"v1".into());
+    versions.remove_target(&"engine".into(), &"v1".into());
     assert_eq!(versions.side("engine", "v2"), SERVING, "nothing else is left");
-    versions.saw(&"engine".into(), &"v1".into(), 16, 0);
-    versions.take(list(18, &[order("v2", RolloutState::Ordered, 18)]), at(2));
+    versions.add_target(&"engine".into(), &"v1".into(), 16, 0);
+    versions.apply(list(18, &[order("v2", RolloutState::Ordered, 18)]), at(2));
     assert_eq!(versions.side("engine", "v2"), TRIAL, "a new order names it");
 }
 
@@ -202,29 +202,29 @@
         (list(40, &[back]), vec![]),
     ];
     for (n, (list, changes)) in cases.into_iter().enumerate() {
-        assert_eq!(versions.take(list, at(n as u64)), changes, "{n}");
+        assert_eq!(versions.apply(list, at(n as u64)), changes, "{n}");
     }
-    assert_eq!((versions.at(), versions.running().count()), (Some(50), 0));
+    assert_eq!((versions.revision(), versions.running().count()), (Some(50), 0));
 }
 
 #[test]
 fn what_is_told_of_an_earlier_order_changes_nothing_of_a_later_one() {
     use RolloutState::{Active, Ordered};
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-    versions.take(list(12, &[order("v2", Ordered, 12)]), at(0));
-    versions.take(list(14, &[order("v2", Active, 14)]), at(1));
+    versions.apply(list(12, &[order("v2", Ordered, 12)]), at(0));
+    versions.apply(list(14, &[order("v2", Active, 14)]), at(1));
     let first = versions.order_id("engine").expect("it runs");
-    versions.take(list(20, &[order("v2", Ordered, 20)]), at(100));
+    versions.apply(list(20, &[order("v2", Ordered, 20)]), at(100));
     let second = versions.order_id("engine").expect("it runs");
     let ms = Duration::from_millis;
-    versions.set_age(&first, ms(5000), at(110));
+    versions.raise_age(&first, ms(5000), at(110));
     for phase in [Phase::Share(0.5), Phase::All, Phase::Back] {
         assert!(!versions.set_phase(&first, phase), "{phase:?} of the first");
     }
     let told = (versions.phase("engine"), versions.age("engine", at(110)));
     assert_eq!(told, (Some(Phase::Share(0.0)), Some(ms(10))));
     assert!(versions.set_phase(&second, Phase::Share(0.1)));
-    versions.take(list(22, &[order("v2", Active, 22)]), at(130));
+    versions.apply(list(22, &[order("v2", Active, 22)]), at(130));
     assert!(versions.set_phase(&second, Phase::All), "the same, taken up by now");
     let own = versions.order_id("engine").expect("it runs");
     assert_eq!((own.since, own.at), (20, 22));
@@ -246,13 +246,13 @@
     ];
     for (was, is, anew) in cases {
         let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-        versions.take(list(was.revision, std::slice::from_ref(&was)), at(0));
+        versions.apply(list(was.revision, std::slice::from_ref(&was)), at(0));
         let known = versions.order_id("engine").expect("it runs");
         versions.set_phase(&known, Phase::All);
-        versions.take(list(is.revision, std::slice::from_ref(&is)), at(2));
+        versions.apply(list(is.revision, std::slice::from_ref(&is)), at(2));
         let phase = if anew { Phase::Share(0.0) } else { Phase::All };
         assert_eq!(versions.phase("engine"), Some(phase), "{was:?} {is:?}");
-        assert_eq!(versions.meant(&known).is_none(), anew, "{was:?} {is:?}");
+        assert_eq!(versions.find_order(&known).is_none(), anew, "{was:?} {is:?}");
     }
 }
 
@@ -264,17 +264,17 @@
 #[test]
 fn while_an_order_cannot_be_read_versions_that_did_not_serve_get_nothing() {
     let mut versions = versions(&[("v1", 5)]);
-    versions.take(list(8, &[]), at(0));
-    versions.take(unreadable(10), at(1));
-    versions.saw(&"engine".into(), &"v2".into(), 11, 0);
-    versions.take(unreadable(12), at(2));
+    versions.apply(list(8, &[]), at(0));
+    versions.apply(unreadable(10), at(1));
+    versions.add_target(&"engine".into(), &"v2".into(), 11, 0);
+    versions.apply(unreadable(12), at(2));
     assert_eq!(sides(&versions), (SERVING, None), "it may be ordered");
-    versions.gone(&"engine".into(), &"v1".into());
+    versions.remove_target(&"engine".into(), &"v1".into());
     assert_eq!(versions.side("engine", "v2"), SERVING, "nothing else is there");
-    versions.saw(&"engine".into(), &"v1".into(), 13, 0);
-    versions.take(unreadable(14), at(3));
+    versions.add_target(&"engine".into(), &"v1".into(), 13, 0);
+    versions.apply(unreadable(14), at(3));
     assert_eq!(sides(&versions), (SERVING, None));
-    versions.take(list(16, &[order("v2", RolloutState::Active, 16)]), at(4));
+    versions.apply(list(16, &[order("v2", RolloutState::Active, 16)]), at(4));
     assert_eq!(sides(&versions), (SERVING, TRIAL), "it can be read");
 }
 
@@ -282,19 +282,19 @@
 fn an_order_that_becomes_unreadable_goes_on_as_it_was_known() {
     let active = order("v2", RolloutState::Active, 12);
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-    versions.take(list(12, std::slice::from_ref(&active)), at(0));
+    versions.apply(list(12, std::slice::from_ref(&active)), at(0));
     versions.set_phase(&id("v2"), Phase::All);
     // Told by a peer that has read nothing else of it.
-    assert_eq!(versions.take(unreadable(20), at(2)), []);
-    versions.saw(&"engine".into(), &"v3".into(), 15, 0);
+    assert_eq!(versions.apply(unreadable(20), at(2)), []);
+    versions.add_target(&"engine".into(), &"v3".into(), 15, 0);
     assert_eq!((sides(&versions), part(&versions)), ((None, TRIAL), 1.0));
     assert_eq!(versions.side("engine", "v3"), None);
     let told = versions.list().expect("known");
     assert_eq!((told.orders, told.unreadable), (vec![active.clone()], vec!["engine".into()]));
-    assert_eq!(versions.take(list(30, &[]), at(3)), [RolloutChange::Withdrawn(active)]);
+    assert_eq!(versions.apply(list(30, &[]), at(3)), [RolloutChange::Withdrawn(active)]);
     assert_eq!(sides(&versions), (SERVING, None));
     assert_eq!(versions.side("engine", "v3"), None, "the order may have been for it");
-    versions.gone(&"engine".into(), &"v1".into());
+    versions.remove_target(&"engine".into(), &"v1".into());
     assert_eq!(versions.side("engine", "v2"), SERVING, "the older one of the two");
 }
 
@@ -305,11 +305,11 @@
         for is_list_first in [true, false] {
             let mut versions = versions(&[]);
             if is_list_first {
-                versions.take(unreadable(20), at(0));
+                versions.apply(unreadable(20), at(0));
             }
-            versions.saw(&"engine".into(), &"v2".into(), v2.0, v2.1);
-            versions.saw(&"engine".into(), &"v1".into(), v1.0, v1.1);
-            versions.take(unreadable(20), at(0));
+            versions.add_target(&"engine".into(), &"v2".into(), v2.0, v2.1);
+            versions.add_target(&"engine".into(), &"v1".into(), v1.0, v1.1);
+            versions.apply(unreadable(20), at(0));
             assert_eq!(sides(&versions), (SERVING, None), "{v1:?} {v2:?}");
         }
     }
@@ -320,20 +320,20 @@
     let active = |revision| [order("v2", RolloutState::Active, revision)];
     let seen = [("v1", 5), ("v2", 11)];
     let mut old = versions(&seen);
-    old.take(list(12, &active(12)), at(0));
-    old.take(list(15, &[]), at(1));
+    old.apply(list(12, &active(12)), at(0));
+    old.apply(list(15, &[]), at(1));
     let told = Rollouts { at: 30, ..old.list().expect("known") };
     // When the node that starts first heard of orders by itself, and whether it takes that.
     for (began, is_taken) in [(None, true), (Some(20), true), (Some(14), false)] {
         let mut new = versions(&seen);
         if let Some(began) = began {
-            new.take(list(began, &[]), at(2));
+            new.apply(list(began, &[]), at(2));
         }
-        new.take(told.clone(), at(3));
+        new.apply(told.clone(), at(3));
         let wanted = if is_taken { None } else { SERVING };
         assert_eq!(sides(&new), (SERVING, wanted), "{began:?}");
-        new.take(list(40, &active(40)), at(4));
-        new.take(Rollouts { at: 41, orders: active(40).to_vec(), ..told.clone() }, at(5));
+        new.apply(list(40, &active(40)), at(4));
+        new.apply(Rollouts { at: 41, orders: active(40).to_vec(), ..told.clone() }, at(5));
         assert_eq!(new.side("engine", "v2"), TRIAL, "ordered again since: {began:?}");
     }
 }
@@ -341,15 +341,15 @@
 #[test]
 fn until_peers_have_told_of_withdrawn_orders_the_oldest_version_serves_alone() {
     let mut versions = versions(&[("v2", 11), ("v1", 5)]);
-    versions.set_asks_peers(true);
-    versions.take(list(20, &[]), at(0));
+    versions.set_awaiting_peers(true);
+    versions.apply(list(20, &[]), at(0));
     assert_eq!(sides(&versions), (SERVING, None));
-    versions.take(list(21, &[order("v2", RolloutState::Active, 21)]), at(0));
+    versions.apply(list(21, &[order("v2", RolloutState::Active, 21)]), at(0));
     assert_eq!(sides(&versions), (SERVING, TRIAL), "an order tells");
-    versions.take(list(22, &[order("v2", RolloutState::Completed, 22)]), at(0));
+    versions.apply(list(22, &[order("v2", RolloutState::Completed, 22)]), at(0));
     assert_eq!(sides(&versions), (None, SERVING));
     let mut versions = self::versions(&[("v2", 11), ("v1", 5)]);
-    versions.take(list(20, &[]), at(0));
+    versions.apply(list(20, &[]), at(0));
     assert_eq!(sides(&versions), (SERVING, SERVING), "they have told of none");
 }
 
@@ -358,8 +358,8 @@
     let mut versions = versions(&[("v1", 5)]);
     for n in 0..100 {
         let ordered = order(&format!("w{n}"), RolloutState::Active, 10 + 2 * n);
-        versions.take(list(10 + 2 * n, &[ordered]), at(n));
-        versions.take(list(11 + 2 * n, &[]), at(n));
+        versions.apply(list(10 + 2 * n, &[ordered]), at(n));
+        versions.apply(list(11 + 2 * n, &[]), at(n));
     }
     let withdrawn = versions.list().expect("known").withdrawn;
     let names: Vec<&str> = withdrawn.iter().map(|w| &*w.version).collect();
@@ -374,10 +374,10 @@
         [(5, 100, None), (25, 100, None), (25, 300, SERVING), (25, 0, SERVING), (25, 200, SERVING)]
     {
         let mut versions = versions(&[]);
-        versions.take(list(30, &[order("v2", RolloutState::Completed, 20)]), at(0));
-        versions.saw(&"engine".into(), &"v1".into(), revision, start);
-        versions.saw(&"engine".into(), &"v2".into(), 28, 400);
-        versions.saw(&"engine".into(), &"v2".into(), 11, 200);
+        versions.apply(list(30, &[order("v2", RolloutState::Completed, 20)]), at(0));
+        versions.add_target(&"engine".into(), &"v1".into(), revision, start);
+        versions.add_target(&"engine".into(), &"v2".into(), 28, 400);
+        versions.add_target(&"engine".into(), &"v2".into(), 11, 200);
         assert_eq!(sides(&versions), (wanted, SERVING), "{revision} {start}");
     }
 }
@@ -385,12 +385,12 @@
 #[test]
 fn a_peer_lacks_what_changed_after_the_list_that_it_knows() {
     let mut versions = versions(&[]);
-    assert!(!versions.is_news_since(None), "nobody can be told what is not known");
+    assert!(!versions.has_changed_since(None), "nobody can be told what is not known");
     let orders = [order("v2", RolloutState::Active, 5)];
-    versions.take(list(5, &orders), at(0));
-    versions.take(list(9, &orders), at(1));
+    versions.apply(list(5, &orders), at(0));
+    versions.apply(list(9, &orders), at(1));
     for (at, is_news) in [(None, true), (Some(4), true), (Some(5), false), (Some(9), false)] {
-        assert_eq!(versions.is_news_since(at), is_news, "{at:?}");
+        assert_eq!(versions.has_changed_since(at), is_news, "{at:?}");
     }
     assert_eq!(versions.list(), Some(list(9, &orders)));
 }
@@ -398,7 +398,7 @@
 #[test]
 fn a_request_goes_by_the_phase_and_always_the_same_way() {
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-    versions.take(list(12, &[order("v2", RolloutState::Active, 12)]), at(0));
+    versions.apply(list(12, &[order("v2", RolloutState::Active, 12)]), at(0));
     assert_eq!(part(&versions), 0.0, "no judge has told a share yet");
     // Each phase that is told, whether it changes anything, and the part that goes to v2.
     let cases = [
@@ -422,10 +422,10 @@
 #[test]
 fn the_old_version_serves_again_when_the_new_one_loses_all_targets() {
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
-    versions.take(list(12, &[order("v2", RolloutState::Active, 12)]), at(0));
+    versions.apply(list(12, &[order("v2", RolloutState::Active, 12)]), at(0));
     versions.set_phase(&id("v2"), Phase::All);
     assert_eq!((sides(&versions), part(&versions)), ((None, TRIAL), 1.0));
-    versions.gone(&"engine".into(), &"v2".into());
+    versions.remove_target(&"engine".into(), &"v2".into());
     assert_eq!((versions.side("engine", "v1"), part(&versions)), (SERVING, 0.0));
 }
 
@@ -433,12 +433,12 @@
 fn an_order_is_as_old_as_the_node_that_heard_of_it_first_says() {
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     assert_eq!(versions.age("engine", at(0)), None);
-    versions.take(list(12, &[order("v2", RolloutState::Active, 12)]), at(1000));
+    versions.apply(list(12, &[order("v2", RolloutState::Active, 12)]), at(1000));
     let ms = Duration::from_millis;
     assert_eq!(versions.age("engine", at(1500)), Some(ms(500)));
-    versions.set_age(&id("v2"), ms(300), at(1500));
+    versions.raise_age(&id("v2"), ms(300), at(1500));
     assert_eq!(versions.age("engine", at(1600)), Some(ms(600)), "it is older than that");
-    versions.set_age(&id("v2"), ms(5000), at(1600));
+    versions.raise_age(&id("v2"), ms(5000), at(1600));
     versions.set_phase(&id("v2"), Phase::Share(0.1));
     assert_eq!(versions.age("engine", at(1800)), Some(ms(5200)));
 }
@@ -454,7 +454,7 @@
     fleet.versions_mut().follow();
     fleet.upsert(target("t1", "v1", 5), at(0));
     fleet.upsert(target("t2", "v2", 11), at(0));
-    fleet.versions_mut().take(list(10, &[]), at(0));
+    fleet.versions_mut().apply(list(10, &[]), at(0));
     let usable = |fleet: &Fleet| -> Vec<Name> {
         fleet.usable("engine", Terms::ANY, at(0)).map(|b| b.target.id.name.clone()).collect()
     };
@@ -505,7 +505,7 @@
         if let Some((version, state, revision)) = known {
             let state = [Ordered, Active, Completed, RolledBack][state];
             let orders = [order(versions[version], state, revision)];
-            fleet.versions_mut().take(list(40, &orders), at(0));
+            fleet.versions_mut().apply(list(40, &orders), at(0));
             fleet.versions_mut().set_phase(&id(versions[version]), Phase::All);
         }
         for side in [Side::Serving, Side::Trial] {
@@ -534,16 +534,16 @@
             match item {
                 News::Target(version, revision) => {
                     has_old |= version == "v1";
-                    versions.saw(&"engine".into(), &version.into(), revision, 0);
+                    versions.add_target(&"engine".into(), &version.into(), revision, 0);
                 }
                 News::Orders(revision) => {
-                    versions.take(orders_at(revision), at(0));
+                    versions.apply(orders_at(revision), at(0));
                 }
             }
             let (old, new) = sides(&versions);
             if has_old {
                 prop_assert_ne!(new, SERVING, "{:?}", item);
-                prop_assert_eq!(old, versions.at().and(SERVING), "{:?}", item);
+                prop_assert_eq!(old, versions.revision().and(SERVING), "{:?}", item);
             }
         }
     }
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -4,7 +4,7 @@
 
 use decide::load::Board;
 use decide::rng::Rng;
-use decide::route::{Ask, PolicyKind, PoolTable, TargetInfo, make_policy};
+use decide::route::{PolicyKind, PoolTable, RouteQuery, TargetInfo, make_policy};
 use model::load::{Report, TargetNews};
 use model::{Name, Time};
 
@@ -25,8 +25,8 @@
     t
 }
 
-fn ask(prefix: u64) -> Ask<'static> {
-    Ask { now: NOW, prefix, model: None, budget: 500.0, tried: &[] }
+fn ask(prefix: u64) -> RouteQuery<'static> {
+    RouteQuery { now: NOW, prefix, model: None, budget: 500.0, tried: &[] }
 }
 
 fn pick(kind: PolicyKind, t: &PoolTable, prefix: u64) -> Option<Name> {
@@ -76,17 +76,17 @@
 fn no_policy_takes_a_target_that_is_leaving_unready_or_holds_another_version() {
     for kind in ALL {
         let mut t = table(4, |_| 0);
-        t.leave("t0");
+        t.mark_leaving("t0");
         let down = TargetNews { ready: false, ..news("t1", 1) };
-        t.hear(NOW, &down);
+        t.update(NOW, &down);
         for (name, model) in [("t2", "m@v1"), ("t3", "m@v2")] {
             let mut n = news(name, 1);
             n.report.models = vec![model.into()];
-            t.hear(NOW, &n);
+            t.update(NOW, &n);
         }
         let mut policy = make_policy(kind, 1);
         for prefix in 0..100 {
-            let ask = Ask { model: Some("m@v2"), ..ask(prefix) };
+            let ask = RouteQuery { model: Some("m@v2"), ..ask(prefix) };
             let i = policy.pick(&ask, &t).expect("t3 fits");
             assert_eq!(&*t.slots()[i].info.name, "t3", "{kind:?}");
         }
@@ -95,7 +95,7 @@
 
 #[test]
 fn what_other_nodes_told_of_a_target_does_not_say_which_models_it_holds() {
-    let (name, wanted) = (Name::from("t0"), Ask { model: Some("m@v1"), ..ask(0) });
+    let (name, wanted) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..ask(0) });
     let mut board = Board::default();
     board.set_targets([name.clone()].iter());
     let polled = Report { target: name.clone(), seq: 1, ..Report::default() };
@@ -106,7 +106,7 @@
     elsewhere.heard(rumor).expect("news there");
     for (news, fits) in [(&holds_none, false), (elsewhere.get("t0").expect("heard"), true)] {
         let mut t = table(1, |_| 0);
-        t.hear(NOW, news);
+        t.update(NOW, news);
         let picked = make_policy(PolicyKind::Home, 1).pick(&wanted, &t);
         assert_eq!(picked.is_some(), fits, "{news:?}");
     }
@@ -117,8 +117,8 @@
     let mut t = table(1, |_| 0);
     let mut leaving = news("t0", 5);
     leaving.report.leaving = true;
-    t.hear(NOW, &leaving);
-    t.hear(NOW, &news("t0", 4));
+    t.update(NOW, &leaving);
+    t.update(NOW, &news("t0", 4));
     assert!(t.slots()[0].leaving);
 }
 
@@ -131,7 +131,7 @@
     }
     for name in ["t0", "t1", "t2"] {
         for _ in 0..64 {
-            t.sent(NOW, name);
+            t.record_sent(NOW, name);
         }
     }
     for prefix in 0..100 {
@@ -149,7 +149,7 @@
     for _ in 0..60 {
         let i = policy.pick(&ask(9), &t).expect("a target");
         let name = t.slots()[i].info.name.clone();
-        t.sent(NOW, &name);
+        t.record_sent(NOW, &name);
         taken.insert(name);
     }
     assert!(taken.contains(&home));
@@ -162,8 +162,8 @@
     let mut ejected = 0;
     for i in 0..6 {
         for _ in 0..10 {
-            t.sent(NOW, &format!("t{i}"));
-            ejected += usize::from(t.failed(NOW, &format!("t{i}")));
+            t.record_sent(NOW, &format!("t{i}"));
+            ejected += usize::from(t.record_failure(NOW, &format!("t{i}")));
         }
     }
     assert_eq!(ejected, 2, "a third of six");
@@ -182,15 +182,15 @@
     let mut counts = [0u32; 4];
     for n in 0..2000u64 {
         let now = NOW + Duration::from_millis(n);
-        let i = policy.pick(&Ask { now, ..ask(rng.draw()) }, &t).expect("a target");
+        let i = policy.pick(&RouteQuery { now, ..ask(rng.draw()) }, &t).expect("a target");
         let name = t.slots()[i].info.name.clone();
-        let sent = t.sent(now, &name);
+        let sent = t.record_sent(now, &name);
         counts[i] += 1;
         let ms = if i == 0 { 500 } else { 10 };
-        t.answering(now, &name, sent, Duration::from_millis(ms));
+        t.record_first_frame(now, &name, sent, Duration::from_millis(ms));
         // The slow one holds its calls; the others are done at once.
         if i != 0 || n % 20 == 0 {
-            t.done(now, &name);
+            t.record_success(now, &name);
         }
     }
     assert!(counts[0] * 4 < counts[1], "{counts:?}");
@@ -199,13 +199,13 @@
 #[test]
 fn a_changed_pool_keeps_what_is_known_of_those_that_stay() {
     let mut t = table(3, |_| 0);
-    t.sent(NOW, "t1");
-    t.leave("t2");
+    t.record_sent(NOW, "t1");
+    t.mark_leaving("t2");
     let mut infos: Vec<TargetInfo> = t.slots().iter().map(|s| s.info.clone()).collect();
     infos.remove(0);
     infos.reverse();
     t.set_targets(infos);
-    assert_eq!(t.slot("t1").map(|s| s.flying), Some(1));
+    assert_eq!(t.slot("t1").map(|s| s.in_flight), Some(1));
     assert!(t.slot("t2").is_some_and(|s| s.leaving));
     assert!(t.slot("t0").is_none());
 }
--- a/crates/decide/tests/support/rollout/case.rs
+++ b/crates/decide/tests/support/rollout/case.rs
@@ -129,7 +129,8 @@
 }
 
 /// Bounds of the tests.
-pub const BOUNDS: Bounds = Bounds { share: 0.1, slack: 50, back: Duration::from_millis(5000) };
+pub const BOUNDS: Bounds =
+    Bounds { share: 0.1, slack: 50, rollback_within: Duration::from_millis(5000) };
 
 /// What came of it.
 #[derive(Debug, Clone, Default)]
--- a/crates/decide/tests/support/rollout/mod.rs
+++ b/crates/decide/tests/support/rollout/mod.rs
@@ -107,9 +107,9 @@
     let mut versions = Versions::default();
     versions.follow();
     let (service, v1, v2): (Name, Name, Name) = ("s".into(), "v1".into(), "v2".into());
-    versions.saw(&service, &v1, 5, 0);
-    versions.saw(&service, &v2, 11, 0);
-    versions.take(list(LISTED_AT.max(order.revision), order), now);
+    versions.add_target(&service, &v1, 5, 0);
+    versions.add_target(&service, &v2, 11, 0);
+    versions.apply(list(LISTED_AT.max(order.revision), order), now);
     let id = NodeId { name: format!("n{name}").into(), start };
     let since_ms = now.0 / 1000;
     Node { id, versions, evidence: Evidence::default(), open: 0, since_ms, told_ms: since_ms }
@@ -242,7 +242,7 @@
         let now = self.at();
         for node in &mut self.nodes {
             let list = list(order.revision, &order);
-            node.versions.take(list, now);
+            node.versions.apply(list, now);
         }
         for judge in 0..2 {
             self.on(judge, JudgeEvent::Order(order.clone()));
@@ -301,7 +301,7 @@
         let Some(deciding) = &mut self.judges[judge] else {
             return;
         };
-        for action in deciding.on(now, event) {
+        for action in deciding.handle(now, event) {
             match action {
                 JudgeAction::Write(state) => self.write(judge, state),
                 JudgeAction::Judged { verdict, .. } => {
@@ -369,6 +369,6 @@
         };
         let versions = &mut self.nodes[n].versions;
         versions.set_phase(&order, phase);
-        versions.set_age(&order, Duration::from_millis(age_ms), now);
+        versions.raise_age(&order, Duration::from_millis(age_ms), now);
     }
 }
--- a/crates/decide/tests/support/rollout/traffic.rs
+++ b/crates/decide/tests/support/rollout/traffic.rs
@@ -30,13 +30,13 @@
         match count {
             Count::Parts => {
                 let part = f64::from(*failed) / f64::from(*pieces);
-                evidence.partly(service, route, *side, part, *took);
+                evidence.record_partial(service, route, *side, part, *took);
             }
-            Count::Whole if *failed > 0 => evidence.bad(service, route, *side),
-            Count::Whole => evidence.good(service, route, *side, *took),
+            Count::Whole if *failed > 0 => evidence.record_bad(service, route, *side),
+            Count::Whole => evidence.record_good(service, route, *side, *took),
             Count::Pieces => {
-                (0..*failed).for_each(|_| evidence.bad(service, route, *side));
-                (*failed..*pieces).for_each(|_| evidence.good(service, route, *side, *took));
+                (0..*failed).for_each(|_| evidence.record_bad(service, route, *side));
+                (*failed..*pieces).for_each(|_| evidence.record_good(service, route, *side, *took));
             }
         }
     }
@@ -101,14 +101,14 @@
         let route = self.rng.below(self.routes.len());
         let attempt = format!("{}-{}", self.case.seed, self.attempts);
         let node = &mut self.nodes[n];
-        let side = node.versions.turn("s", &attempt);
+        let side = node.versions.side_for_attempt("s", &attempt);
         let version = if side == Side::Trial { "v2" } else { "v1" };
         let order_state = node.versions.running().next().is_some();
         if order_state {
             assert_eq!(node.versions.side("s", version), Some(side), "at {} ms", self.now);
         }
         let pieces = self.case.calls.map_or(1, |calls| calls.of(side));
-        node.evidence.sent(&self.service, &self.routes[route], side, pieces);
+        node.evidence.record_sent(&self.service, &self.routes[route], side, pieces);
         let new = side == Side::Trial
             || !order_state && node.versions.side("s", "v2") == Some(Side::Serving);
         node.open += u32::from(!new);
@@ -125,7 +125,7 @@
                 self.outcome.after += u64::from(self.now < self.case.lasts_ms);
             }
             self.outcome.last_tried_ms = self.now;
-            let back = BOUNDS.back.as_millis() as u64;
+            let back = BOUNDS.rollback_within.as_millis() as u64;
             self.outcome.late += u64::from(self.fiftieth.is_some_and(|at| self.now > at + back));
         }
         let spread: f64 = (0..6).map(|_| self.rng.unit()).sum::<f64>() - 3.0;
@@ -178,13 +178,13 @@
                     node.take_back();
                 }
                 let took = Duration::from_millis(40 * (1 + answer.route) as u64);
-                node.evidence.good(service, route, answer.side, took);
+                node.evidence.record_good(service, route, answer.side, took);
             } else if let Some(calls) = self.case.calls {
                 answer.count_in(calls.count, &mut node.evidence, service, route);
             } else if answer.fails {
-                node.evidence.bad(service, route, answer.side);
+                node.evidence.record_bad(service, route, answer.side);
             } else {
-                node.evidence.good(service, route, answer.side, answer.took);
+                node.evidence.record_good(service, route, answer.side, answer.took);
             }
             if answer.side == Side::Trial && answer.bad && node.evidence.proves_bad("s").is_some() {
                 node.take_back();
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use decide::request::{Action, Event, Permit, Plan, Run};
-use decide::route::{Ask, prefix};
+use decide::route::{RouteQuery, prefix};
 use model::answer::Piece;
 use model::attempt::{Attempt, Call, Frame};
 use model::claim::{ClaimAsk, ClaimEnd};
@@ -162,7 +162,7 @@
         match told {
             Told::Leaving(attempt) => {
                 if let Some(f) = self.flights.get(&attempt) {
-                    f.pool.lock().table.leave(&f.target);
+                    f.pool.lock().table.mark_leaving(&f.target);
                     self.core.report_refusal(f.target.clone());
                 }
             }
@@ -184,15 +184,15 @@
                 if !f.first {
                     f.first = true;
                     let took = now.since(f.sent);
-                    f.pool.lock().table.answering(now, &f.target, f.expected, took);
+                    f.pool.lock().table.record_first_frame(now, &f.target, f.expected, took);
                 }
                 if let Frame::End { wait, .. } = frame {
-                    f.pool.lock().table.waits(now, &f.target, *wait);
+                    f.pool.lock().table.record_wait(now, &f.target, *wait);
                 }
             }
             Event::NotSent { attempt, .. } | Event::Closed { attempt, .. } => {
                 if let Some(f) = self.flights.remove(attempt)
-                    && f.pool.lock().table.failed(now, &f.target)
+                    && f.pool.lock().table.record_failure(now, &f.target)
                 {
                     log::warn!("route: {} failed again and again, ejected.", f.target);
                 }
@@ -224,7 +224,7 @@
         self.core.fleet.step_took(&self.job.pipeline, step, now.since(self.step_begun));
         for (_, f) in self.flights.drain() {
             let mut pool = f.pool.lock();
-            pool.table.done(now, &f.target);
+            pool.table.record_success(now, &f.target);
             pool.budget.success();
         }
         self.step_begun = now;
@@ -267,7 +267,7 @@
 
     fn pick(&mut self, now: Time, step: usize, tried: &[Name]) -> Event {
         let stage = &self.pipeline.stages[step];
-        let none = Event::NoTarget(decide::retry::COME_BACK);
+        let none = Event::NoTarget(decide::retry::DEFAULT_RETRY_AFTER);
         let Some(pool) = self.core.fleet.pool(&stage.pool) else {
             return none;
         };
@@ -275,8 +275,8 @@
         let left = self.core.fleet.step_budget(&self.job.pipeline, step, now, self.job.deadline);
         let budget = left.as_secs_f64() * 1e3;
         let model = model.as_deref();
-        let ask = Ask { now, prefix: self.prefix, model, budget, tried };
-        let again = Ask { tried: &[], ..ask };
+        let ask = RouteQuery { now, prefix: self.prefix, model, budget, tried };
+        let again = RouteQuery { tried: &[], ..ask };
         let fleet = &self.core.fleet;
         // A target that failed this step before is better than none.
         match fleet.pick(&pool, &ask).or_else(|| fleet.pick(&pool, &again)) {
@@ -307,7 +307,7 @@
         let expected = match self.picked.take() {
             Some((picked, wait)) if picked == target => wait,
             // A resume goes to a target that the router did not count.
-            _ => pool.lock().table.sent(now, &target),
+            _ => pool.lock().table.record_sent(now, &target),
         };
         let version = stage.model.as_ref().and_then(|m| self.config.set.models.get(m));
         let budget = self.core.fleet.step_budget(&self.job.pipeline, step, now, self.job.deadline);
@@ -355,7 +355,7 @@
             return;
         };
         f.task.abort();
-        f.pool.lock().table.cancelled(target);
+        f.pool.lock().table.record_cancel(target);
         if let Some(address) = f.pool.addresses.get(target) {
             attempt::cancel(self.core.client.clone(), address.to_string(), attempt);
         }
@@ -363,7 +363,7 @@
 
     async fn finish(&mut self, end: Final) {
         for (_, f) in self.flights.drain() {
-            f.pool.lock().table.cancelled(&f.target);
+            f.pool.lock().table.record_cancel(&f.target);
         }
         self.core.metrics.ended(&self.job.pipeline, &self.job.workspace, &end);
         if let Some(e) = &end.error {
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -9,8 +9,8 @@
 use decide::config::Change;
 use decide::deadline::{self, StepTimes};
 use decide::request::StepPlan;
-use decide::retry::Budget;
-use decide::route::{Ask, Policy, PolicyKind, PoolTable, TargetInfo, make_policy};
+use decide::retry::RetryBudget;
+use decide::route::{Policy, PolicyKind, PoolTable, RouteQuery, TargetInfo, make_policy};
 use model::load::TargetNews;
 use model::object::{Pipeline, Role, Set};
 use model::{Name, Time};
@@ -47,7 +47,7 @@
     /// Routing policy.
     pub policy: Box<dyn Policy>,
     /// Retry budget.
-    pub budget: Budget,
+    pub budget: RetryBudget,
 }
 
 impl Pool {
@@ -140,7 +140,7 @@
                 _ => Arc::new(Mutex::new(PoolInner {
                     table: PoolTable::default(),
                     policy: make_policy(self.policy, self.seed ^ model::hash::of(name.as_bytes())),
-                    budget: Budget::default(),
+                    budget: RetryBudget::default(),
                 })),
             };
             inner.lock().expect("no panic while held").table.set_targets(infos.collect());
@@ -169,7 +169,7 @@
         let owner =
             self.owners.read().expect("no panic while held").get(&news.report.target).cloned();
         if let Some(pool) = owner.and_then(|o| self.pool(&o)) {
-            pool.lock().table.hear(now, news);
+            pool.lock().table.update(now, news);
         }
     }
 
@@ -187,18 +187,18 @@
                 continue;
             };
             for t in spec.targets.iter().filter(|t| hosts.contains(&t.host)) {
-                pool.lock().table.leave(&t.name);
+                pool.lock().table.mark_leaving(&t.name);
             }
         }
     }
 
     /// Chooses a target and counts the attempt as sent; with the wait expected there.
-    pub fn pick(&self, pool: &Pool, ask: &Ask) -> Option<(Name, f64)> {
+    pub fn pick(&self, pool: &Pool, ask: &RouteQuery) -> Option<(Name, f64)> {
         let mut inner = pool.lock();
         let inner = &mut *inner;
         let i = inner.policy.pick(ask, &inner.table)?;
         let name = inner.table.slots()[i].info.name.clone();
-        let wait = inner.table.sent(ask.now, &name);
+        let wait = inner.table.record_sent(ask.now, &name);
         Some((name, wait))
     }
 
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -240,13 +240,13 @@
     /// Counts a first send to a service.
     pub fn count_request(&self, service: &Name) {
         let now = self.now();
-        self.budget(service, |b| b.request(now));
+        self.budget(service, |b| b.record_request(now));
     }
 
     /// Whether a repeat for a service would be granted now.
     pub fn has_repeat(&self, service: &Name) -> bool {
         let (now, nodes) = (self.now(), self.peers.roster(|r| r.most_seen()));
-        self.budget(service, |b| b.has(now, nodes))
+        self.budget(service, |b| b.permits(now, nodes))
     }
 
     /// Takes a repeat for a service out of this node's part of the budget.
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -78,7 +78,7 @@
     let bounds = Bounds {
         share: settings.share,
         slack: settings.slack as u32,
-        back: Duration::from_millis(settings.back_ms),
+        rollback_within: Duration::from_millis(settings.back_ms),
     };
     let now = node.now();
     let (id, age) = node.fleet(|f| {
@@ -168,7 +168,7 @@
 }
 
 fn feed(node: &Rc<Node>, judging: &Rc<Judging>, event: JudgeEvent) {
-    let actions = judging.machine.borrow_mut().on(node.now(), event);
+    let actions = judging.machine.borrow_mut().handle(node.now(), event);
     for action in actions {
         act(node, judging, action);
     }
--- a/crates/forward/src/rollout/mod.rs
+++ b/crates/forward/src/rollout/mod.rs
@@ -68,7 +68,7 @@
 
 /// The running order that is meant.
 fn running(node: &Node, id: &RolloutId) -> Option<Rollout> {
-    node.fleet(|f| f.versions().meant(id).cloned())
+    node.fleet(|f| f.versions().find_order(id).cloned())
 }
 
 /// What names the running orders.
--- a/crates/forward/src/rollout/report.rs
+++ b/crates/forward/src/rollout/report.rs
@@ -88,7 +88,7 @@
     let RolloutAnswer { order, phase, age_ms } = answer;
     let now = node.now();
     let age = Duration::from_millis(*age_ms);
-    node.fleet(|f| f.versions_mut().set_age(order, age, now));
+    node.fleet(|f| f.versions_mut().raise_age(order, age, now));
     take_phase(node, order, *phase, "judge");
 }
 
@@ -98,7 +98,7 @@
     let now = node.now();
     let (order, phase, age) = node.fleet(|f| {
         let versions = f.versions();
-        versions.meant(order)?;
+        versions.find_order(order)?;
         Some((versions.order_id(service)?, versions.phase(service)?, versions.age(service, now)?))
     })?;
     Some(RolloutReport {
--- a/crates/forward/src/rollout/sent.rs
+++ b/crates/forward/src/rollout/sent.rs
@@ -49,7 +49,7 @@
         let belief = f.get(&target.id);
         belief.zip(limit).is_some_and(|(b, limit)| f.is_cold(b, limit, now))
     });
-    node.rollouts.evidence.borrow_mut().sent(service, route, side, pieces as u32);
+    node.rollouts.evidence.borrow_mut().record_sent(service, route, side, pieces as u32);
     node.metrics.rollout_sent(service, version, pieces);
     Some(Sent(Rc::new(Inner {
         node: node.clone(),
@@ -76,7 +76,7 @@
         node.metrics.rollout_good(&order.service, version, took);
         let mut evidence = node.rollouts.evidence.borrow_mut();
         if !evidence.note_late(&order.service, route, took, node.now()) {
-            evidence.good(&order.service, route, *side, took);
+            evidence.record_good(&order.service, route, *side, took);
         }
     }
 
@@ -93,7 +93,7 @@
             let mut evidence = node.rollouts.evidence.borrow_mut();
             let is_late_again =
                 failed == 0 && evidence.note_late(&order.service, route, took, node.now());
-            !is_late_again && evidence.partly(&order.service, route, *side, part, took)
+            !is_late_again && evidence.record_partial(&order.service, route, *side, part, took)
         };
         node.metrics.rollout_bad(&order.service, version, failed);
         if failed < *pieces {
@@ -127,7 +127,7 @@
         }
         // Once for all pieces of a call, as for good ones: they share one fate, so that each
         // counted by itself would let a single late call take a good version back.
-        node.rollouts.evidence.borrow_mut().bad(&order.service, route, *side);
+        node.rollouts.evidence.borrow_mut().record_bad(&order.service, route, *side);
         node.metrics.rollout_bad(&order.service, version, *pieces);
         if *side == Side::Trial {
             take_back_if_bad(node, order);
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use decide::forecast::{self, Door};
-use decide::retry::COME_BACK;
+use decide::retry::DEFAULT_RETRY_AFTER;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
@@ -51,7 +51,8 @@
     fn unknown(node: &Node, status: StatusCode, why: &'static str) -> Self {
         if node.rules_may_be_old(RULES_FRESH) {
             let why = "rules may be out of date";
-            return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why).come_back(COME_BACK);
+            return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why)
+                .come_back(DEFAULT_RETRY_AFTER);
         }
         Refusal::new(status, why)
     }
@@ -120,7 +121,7 @@
     }
     let request = Taken { method: parts.method, uri: parts.uri, headers: parts.headers, body };
     let version = table.rules.version;
-    let side = node.fleet(|f| f.versions().turn(&service, &head.id));
+    let side = node.fleet(|f| f.versions().side_for_attempt(&service, &head.id));
     let admitted = Admitted {
         request,
         head,
@@ -165,7 +166,9 @@
 fn find(node: &Node, table: &Table, head: &CallerHead) -> Result<Found, Refusal> {
     if !table.known() {
         let why = "no rules are known yet";
-        return Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why).come_back(COME_BACK));
+        return Err(
+            Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why).come_back(DEFAULT_RETRY_AFTER)
+        );
     }
     let route = table
         .route(&head.host, &head.path)
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -160,7 +160,7 @@
             Some(Phase::Share(_)) if is_trial => Side::Trial,
             Some(Phase::Share(_)) => Side::Serving,
             Some(Phase::All | Phase::Back) | None => {
-                f.versions().turn(&self.service, &self.head.id)
+                f.versions().side_for_attempt(&self.service, &self.head.id)
             }
         })
     }
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use decide::quarantine::Hold;
-use decide::resend::{Ending, Tries};
+use decide::resend::{Attempts, Ending};
 use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
 use model::forward::{Allowed, CallerHead, Fingerprint, Rank, Route, Side, Target, TargetId};
 use model::{Name, Time};
@@ -56,7 +56,7 @@
 /// What is known so far of a request's way.
 pub struct Progress {
     /// Tries.
-    pub tries: Tries,
+    pub tries: Attempts,
     /// Targets not to be chosen again.
     pub but: Vec<TargetId>,
     /// The last target.
@@ -134,7 +134,7 @@
     pub fn new(node: Rc<Node>, admitted: Admitted) -> Self {
         let route = &admitted.route;
         let progress = Progress {
-            tries: Tries::new(route.repeat, route.max_attempts),
+            tries: Attempts::new(route.repeat, route.max_attempts),
             but: Vec::new(),
             target: None,
             first: None,
@@ -174,7 +174,7 @@
         let objective = Duration::from_millis(self.route.objective_ms);
         let pause = self.route.pause_ms.map(Duration::from_millis);
         let mut work = std::pin::pin!(work);
-        let patience = self.progress(|p| p.tries.patience(objective, pause));
+        let patience = self.progress(|p| p.tries.silence_timeout(objective, pause));
         if let Some(patience) = patience.filter(|_| self.node.settings().policy.patience) {
             let until = self.node.now() + patience;
             if let Some(done) = self.node.clock.until(until, work.as_mut()).await {
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use decide::fleet::Observation;
-use decide::resend::Ran;
+use decide::resend::Execution;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{HeaderMap, Response, StatusCode};
 use model::Time;
@@ -202,7 +202,7 @@
         }
         heard::take(&self.exchange.node, self.target, &said, self.begun);
         if said.not_run && said.input_gone {
-            self.exchange.progress(|p| p.tries.note(Ran::No));
+            self.exchange.progress(|p| p.tries.record(Execution::Excluded));
             return Outcome::InputGone;
         }
         if said.not_run {
@@ -268,7 +268,7 @@
     /// The target answered the request well.
     fn answered(&self, at_target: &AtTarget) {
         let node = &self.exchange.node;
-        self.exchange.progress(|p| p.tries.note(Ran::Maybe));
+        self.exchange.progress(|p| p.tries.record(Execution::Possible));
         let took = node.now().since(self.begun);
         node.observe(&self.target.id, Observation::Answered(took), "");
         at_target.good(took);
@@ -276,20 +276,20 @@
 
     /// The target failed the request, which may have run there.
     fn may_have_run(&self, why: String) -> Outcome {
-        self.exchange.progress(|p| p.tries.note(Ran::Maybe));
+        self.exchange.progress(|p| p.tries.record(Execution::Possible));
         self.nothing(Observation::Failed, why)
     }
 
     /// The connection ended, or was given up, before a whole answer.
     fn broke_off(&self, why: String) -> Outcome {
         self.exchange.broke_off_at(self.target);
-        self.exchange.progress(|p| p.tries.note(Ran::Maybe));
+        self.exchange.progress(|p| p.tries.record(Execution::Possible));
         self.nothing(Observation::BrokeOff, why)
     }
 
     /// The request surely did not run there.
     fn not_run(&self, observed: Observation, why: String) -> Outcome {
-        self.exchange.progress(|p| p.tries.note(Ran::No));
+        self.exchange.progress(|p| p.tries.record(Execution::Excluded));
         self.nothing(observed, why)
     }
 
@@ -298,9 +298,9 @@
         let Attempt { exchange, target, begun } = self;
         let node = &exchange.node;
         let after_ms = node.now().since(*begun).as_millis() as u64;
-        let ran = match exchange.progress(|p| p.tries.ran) {
-            Ran::No => "no",
-            Ran::Maybe => "maybe",
+        let ran = match exchange.progress(|p| p.tries.execution) {
+            Execution::Excluded => "no",
+            Execution::Possible => "maybe",
         };
         Event::Attempt {
             id: &exchange.head.id,
--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -119,7 +119,7 @@
     let Begun { status, headers, reader, first, at_target } = begun;
     let now = exchange.node.now();
     exchange.progress(|p| {
-        p.tries.begun = true;
+        p.tries.response_begun = true;
         p.first = Some(now);
     });
     let last_event = exchange.head.last_event;
--- a/crates/forward/src/watch/mod.rs
+++ b/crates/forward/src/watch/mod.rs
@@ -41,7 +41,7 @@
     if node.settings().rollouts.is_some() {
         node.feed.follow(Kind::Rollouts);
         node.fleet(|f| f.versions_mut().follow());
-        node.fleet(|f| f.versions_mut().set_asks_peers(true));
+        node.fleet(|f| f.versions_mut().set_awaiting_peers(true));
         tokio::task::spawn_local(lists::follow::<Rollouts>(node.clone()));
         tokio::task::spawn_local(rollouts::ask_peers(node.clone()));
         tokio::task::spawn_local(rollout::run(node.clone()));
--- a/crates/forward/src/watch/rollouts.rs
+++ b/crates/forward/src/watch/rollouts.rs
@@ -67,7 +67,7 @@
     while node.now() < limit && !ask_some(&node).await {
         tokio::time::sleep(ASK_EVERY).await;
     }
-    node.fleet(|f| f.versions_mut().set_asks_peers(false));
+    node.fleet(|f| f.versions_mut().set_awaiting_peers(false));
 }
 
 /// Takes what some peers know of orders; whether any answered.
@@ -106,7 +106,7 @@
     let now = node.now();
     let (was_known, was_unsettled) =
         node.fleet(|f| (f.versions().is_known(), f.versions().unsettled().is_some()));
-    let changes = node.fleet(|f| f.versions_mut().take(list, now));
+    let changes = node.fleet(|f| f.versions_mut().apply(list, now));
     for change in &changes {
         tell(node, change, from);
         node.rollouts.changed(change, now);
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -148,7 +148,7 @@
             at: node.feed.at().unwrap_or(0),
             rules: node.table().rules.version,
             evacuations: node.fleet(|f| f.evacuated().at().filter(|_| f.evacuated().is_current())),
-            rollouts: node.fleet(|f| f.versions().at().filter(|_| f.versions().is_current())),
+            rollouts: node.fleet(|f| f.versions().revision().filter(|_| f.versions().is_current())),
             wait_ms: wait.as_millis() as u64,
             patient,
         };
@@ -375,7 +375,7 @@
         epoch: node.feed.epoch(),
         rules: node.table().rules.version,
         evacuations: node.fleet(|f| f.evacuated().at()),
-        rollouts: node.fleet(|f| f.versions().at()),
+        rollouts: node.fleet(|f| f.versions().revision()),
         out_of_touch: node.feed.is_out_of_touch(),
     };
     node.feed.snapshot.get(key, now, || {
@@ -399,7 +399,7 @@
     let rules_age = node.feed.age_of(Kind::Rules, now);
     let rollouts = node.fleet(|f| {
         let versions = f.versions();
-        let is_newer = versions.is_current() && versions.at() > known_rollouts;
+        let is_newer = versions.is_current() && versions.revision() > known_rollouts;
         is_newer.then(|| versions.list()).flatten()
     });
     let doubt = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(kept));
@@ -423,7 +423,7 @@
     let lacks_targets = !is_same || (known > ask.at && lacks());
     let lacks_lists = node.fleet(|f| {
         f.evacuated().is_news_since(ask.evacuations.filter(|_| is_same))
-            || f.versions().is_news_since(ask.rollouts.filter(|_| is_same))
+            || f.versions().has_changed_since(ask.rollouts.filter(|_| is_same))
     });
     let lacks = lacks_targets || lacks_lists;
     let is_fresh = !node.feed.is_out_of_touch() && !Feed::is_stale(node.feed.age(node.now()));
