--- a/crates/decide/src/retry/mod.rs
+++ b/crates/decide/src/retry/mod.rs
@@ -36,8 +36,8 @@
 
 impl RetryBudget {
     /// Each success adds `share`; at most `most` are kept, which is also the start.
-    pub fn new(share: f64, capacity: f64) -> Self {
-        RetryBudget { tokens: capacity, refill: share, capacity }
+    pub fn new(refill: f64, capacity: f64) -> Self {
+        RetryBudget { tokens: capacity, refill, capacity }
     }
 
     /// A step answered.
--- a/crates/decide/src/rollout/age.rs
+++ b/crates/decide/src/rollout/age.rs
@@ -13,8 +13,8 @@
 
 impl Age {
     /// So old by now.
-    pub fn new(was: Duration, now: Time) -> Self {
-        Age { base: was, at: now }
+    pub fn new(base: Duration, now: Time) -> Self {
+        Age { base, at: now }
     }
 
     /// How old it is by now.
--- a/crates/decide/src/rollout/judge/nodes.rs
+++ b/crates/decide/src/rollout/judge/nodes.rs
@@ -57,8 +57,8 @@
 
     /// A node told how it works.
     pub fn record_report(&mut self, report: &RolloutReport, now: Time) {
-        let is_done = report.phase == Phase::All && report.open == 0;
-        self.last.insert(report.node.clone(), LastReport { at: now, is_drained: is_done });
+        let is_drained = report.phase == Phase::All && report.open == 0;
+        self.last.insert(report.node.clone(), LastReport { at: now, is_drained });
     }
 
     /// A node does not know the order as it is now.
--- a/crates/decide/src/rollout/live.rs
+++ b/crates/decide/src/rollout/live.rs
@@ -12,18 +12,18 @@
     /// Lowest revision of an entry that told of one.
     pub first_revision: u64,
     /// Earliest start that one of them told; 0 if none did.
-    pub first_start: u64,
+    pub start: u64,
 }
 
 impl VersionTargets {
     /// Whether the first of these surely started before the first of others.
     pub fn started_before(&self, other: &VersionTargets) -> bool {
-        self.first_start > 0 && self.first_start < other.first_start
+        self.start > 0 && self.start < other.start
     }
 
     /// Whether these were there before others: by their starts, which an entry that is written
     /// anew does not change, or else by the revisions of their entries.
-    pub fn is_older_than(&self, other: &VersionTargets) -> bool {
+    pub fn came_before(&self, other: &VersionTargets) -> bool {
         self.started_before(other)
             || !other.started_before(self) && self.first_revision < other.first_revision
     }
@@ -41,15 +41,15 @@
     /// A target came, by an entry of this revision.
     pub fn add_target(&mut self, service: &Name, version: &Name, revision: u64, start: u64) {
         let versions = self.services.entry(service.clone()).or_default();
-        let none = VersionTargets { count: 0, first_revision: revision, first_start: start };
+        let none = VersionTargets { count: 0, first_revision: revision, start };
         let targets = versions.entry(version.clone()).or_insert(none);
-        let is_earlier = start > 0 && (targets.first_start == 0 || start < targets.first_start);
+        let is_earlier = start > 0 && (targets.start == 0 || start < targets.start);
         self.changes +=
             u64::from(targets.count == 0 || revision < targets.first_revision || is_earlier);
         targets.count += 1;
         targets.first_revision = targets.first_revision.min(revision);
         if is_earlier {
-            targets.first_start = start;
+            targets.start = start;
         }
     }
 
@@ -86,8 +86,7 @@
 
     /// The version of a service that was there before all others.
     pub fn oldest(&self, service: &str) -> Option<&Name> {
-        let older =
-            self.versions(service).reduce(|a, b| if b.1.is_older_than(a.1) { b } else { a });
+        let older = self.versions(service).reduce(|a, b| if b.1.came_before(a.1) { b } else { a });
         older.map(|(version, _)| version)
     }
 
--- a/crates/decide/src/route/policy.rs
+++ b/crates/decide/src/route/policy.rs
@@ -15,7 +15,7 @@
 /// Targets behind the homes among which a spill goes.
 const SPILL_CANDIDATES: usize = 3;
 /// Distance classes: own failure domain, own region, beyond.
-const DISTANCE_CLASSES: u8 = 3;
+const DISTANCES: u8 = 3;
 
 /// What is asked of a policy.
 #[derive(Debug, Clone, Copy)]
@@ -287,7 +287,7 @@
     fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
         let share = self.shares.count(query.prefix);
         let mut fallback = None;
-        for distance in 0..DISTANCE_CLASSES {
+        for distance in 0..DISTANCES {
             let (top, count) = Self::rank(query, table, distance);
             if top.len == 0 {
                 continue;
