--- a/crates/decide/src/resend/budget.rs
+++ b/crates/decide/src/resend/budget.rs
@@ -1,33 +1,34 @@
-//! The budget for repeats of one service, shared by all nodes without a message:
-//! each node keeps to its part of the allowance.
+//! Budget for repeats of one service, shared by all nodes without communication: each node keeps to
+//! its part of the allowance.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use model::{Time, hash};
 
-/// What the budget is drawn from.
+/// Size of the budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetTuning {
-    /// Repeats allowed for each request of the window.
+    /// Repeats allowed for each request in the window.
     pub ratio: f64,
-    /// Window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// Repeats that all nodes together may add to that.
+    /// Additional repeats that all nodes together may send in a window.
     pub slack: f64,
 }
 
-/// Part of the allowance that is drawn; the rest covers windows that different
-/// nodes see shifted, and repeats that callers of a broken node bring along.
+/// Part of the allowance that is used; the rest covers windows that nodes see shifted, and repeats
+/// that callers of a failed node bring along.
 const DRAWN_PART: f64 = 0.7;
-/// Part of that which a process draws of the slack in its first window, unless the whole system
-/// starts for the first time: what an earlier one drew in the same window, and this, make the
-/// whole slack. Nodes that were killed together spent it twice in one window else.
+/// Part of that slack which a process uses in its first window, unless the whole system starts for
+/// the first time: together with what an earlier process used in the same window, it makes up the
+/// whole slack. Otherwise, nodes that were killed together would spend the slack twice in one
+/// window.
 const RESTART_SLACK_PART: f64 = (1.0 - DRAWN_PART) / DRAWN_PART;
-/// Windows in which each node of a large fleet has its turn with every fraction of a repeat. The
-/// more there are, the fewer nodes have it by turns within one window.
+/// Number of windows in which each node of a large fleet gets its turn with every fraction of a
+/// repeat. With more windows, fewer nodes get their turn within one window.
 const TURN_WINDOWS: u32 = 20;
-/// Standard deviations of the nodes' sum that the undrawn rest has to cover.
+/// Standard deviations of the nodes' sum that the unused rest must cover.
 const DEVIATIONS: f64 = 5.0;
 /// Buckets in one window.
 const BUCKETS: u32 = 20;
@@ -39,36 +40,36 @@
     repeats: u32,
 }
 
-/// Repeats of one service at one node.
+/// One node's part of the repeat budget of one service.
 #[derive(Debug, Clone)]
 pub struct RepeatBudget {
     tuning: BudgetTuning,
     /// Whether an earlier process may have spent some of it.
     may_be_spent: bool,
-    /// Place of this node in the turns, from 0 to 1.
+    /// Position of this node in the rotation, from 0 to 1.
     phase: f64,
     buckets: VecDeque<Bucket>,
 }
 
 impl RepeatBudget {
-    /// A budget that an earlier process may have drawn from, unless this is the first start of
-    /// all. Time counts from the start of the process; `seed` is to differ between nodes.
+    /// Creates a budget that an earlier process may have used, unless this is the first start of
+    /// all. Time counts from the start of the process; `seed` must differ between nodes.
     pub fn new(tuning: BudgetTuning, is_first: bool, seed: u64) -> Self {
         let phase = hash::mix(seed, 0) as f64 / u64::MAX as f64;
         RepeatBudget { tuning, may_be_spent: !is_first, phase, buckets: VecDeque::new() }
     }
 
-    /// Changes what the budget is drawn from.
+    /// Changes the size of the budget.
     pub fn set_tuning(&mut self, tuning: BudgetTuning) {
         self.tuning = tuning;
     }
 
-    /// Counts a request that is sent for the first time.
+    /// Counts the first attempt of a request.
     pub fn record_request(&mut self, now: Time) {
         self.bucket(now).requests += 1;
     }
 
-    /// Whether a repeat would be granted now.
+    /// Whether a repeat would be granted now, to one of `nodes` nodes.
     pub fn permits(&mut self, now: Time, nodes: usize) -> bool {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|b| b.requests).sum();
@@ -82,22 +83,22 @@
         f64::from(repeats + 1) <= whole + f64::from(u8::from(has_turn))
     }
 
-    /// Whether nodes take turns with the repeat that their part holds a fraction of: so many
-    /// nodes have it then as the fractions sum up to. A part that is less than one would be lost
-    /// whole otherwise, and with it all repeats of a large fleet.
+    /// Whether nodes take turns with the fractional repeat of their part: as many nodes then hold
+    /// it as the fractions sum up to. Otherwise, a part of less than one repeat would be lost, and
+    /// with it all repeats of a large fleet.
     fn takes_turns(&self, nodes: usize) -> bool {
         let nodes = nodes.max(1) as f64;
         let excess = nodes / f64::from(TURN_WINDOWS) + DEVIATIONS * nodes.sqrt() / 2.0;
         excess <= self.tuning.slack * (1.0 - DRAWN_PART)
     }
 
-    /// Where this node stands in the turns now, from 0 to 1.
+    /// Position of this node in the rotation now, from 0 to 1.
     fn turn_position(&self, now: Time) -> f64 {
         let round = self.tuning.window * TURN_WINDOWS;
         (self.phase + now.since(Time::ZERO).as_secs_f64() / round.as_secs_f64()).fract()
     }
 
-    /// Takes one repeat if this node's part, one of `nodes`, still holds one.
+    /// Takes one repeat if this node's part, one of `nodes`, has one left.
     pub fn take(&mut self, now: Time, nodes: usize) -> bool {
         let granted = self.permits(now, nodes);
         if granted {
--- a/crates/decide/src/resend/verdict.rs
+++ b/crates/decide/src/resend/verdict.rs
@@ -1,65 +1,65 @@
-//! The verdict after a send that brought no answer to pass on.
+//! The decision after an attempt that brought no answer to pass on.
 
 use std::time::Duration;
 
 use model::forward::Repeat;
 
-/// Least time that a further send is worth starting with.
+/// Minimum time left for a further attempt to be worthwhile.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
 
-/// Pauses between events that a silent stream is waited for.
+/// Multiple of the usual longest pause between events for which a silent stream is waited for.
 const SILENT_PAUSES: u32 = 5;
-/// Least time for which a begun stream may be silent.
+/// Minimum time for which a stream that has begun may be silent.
 const MIN_SILENCE: Duration = Duration::from_millis(1000);
 
-/// What is known of a request's run at the target that it was sent to.
+/// Whether a request may have run at a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Execution {
-    /// No byte was sent, or the target said that it did not run it.
+    /// No byte was sent, or the target reported that it did not run it.
     Excluded,
-    /// Bytes were sent and nothing certain came back.
+    /// Bytes were sent, and whether it ran is unknown.
     Possible,
 }
 
-/// The tries that one request has behind it.
+/// Attempts of one request so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempts {
-    /// Whether the request may be run again.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// Most targets that may run it.
+    /// Maximum number of targets that may run it.
     pub max_targets: u32,
-    /// Targets that it reached, those that said they did not run it included.
+    /// Targets that it reached, including those that reported not to have run it.
     pub reached: u32,
-    /// The surest that is known of all its runs together.
+    /// Whether any of its attempts may have run.
     pub execution: Execution,
-    /// Whether a send is under way, so that bytes may be at a target.
+    /// Whether an attempt is in flight, so that bytes may be at a target.
     pub in_flight: bool,
-    /// Whether part of the answer is with the caller already.
+    /// Whether the caller already has part of the response.
     pub response_begun: bool,
 }
 
-/// How a request ends that is not sent again.
+/// Outcome of a request that is not sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// It has not run and never will; the caller may come back.
+    /// It has not run and never will; the caller may retry.
     NotRun,
-    /// It may have run; nothing is promised.
+    /// It may have run; no guarantee is given.
     Unknown,
-    /// Its answer has begun and cannot be completed: the connection is broken off.
+    /// Its response has begun and cannot be completed: the connection is closed.
     BreakOff,
 }
 
-/// What to do next.
+/// Next step of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Send it to another target, from the beginning or from the last event on.
+    /// Send it to another target, from the start or from the last event on.
     Resend,
-    /// End it.
+    /// End it with this outcome.
     End(Ending),
 }
 
 impl Attempts {
-    /// Tries of a request that was not sent yet.
+    /// Attempts of a request that was not sent yet.
     pub fn new(repeat: Repeat, max_targets: u32) -> Self {
         Attempts {
             repeat,
@@ -71,19 +71,19 @@
         }
     }
 
-    /// A connection to a target is up, and bytes go to it from now on.
+    /// Records a connection to a target, which gets bytes from now on.
     pub fn connected(&mut self) {
         self.reached += 1;
         self.in_flight = true;
     }
 
-    /// Notes whether the target that was reached may have run the request.
+    /// Records whether the target that was reached may have run the request.
     pub fn record(&mut self, execution: Execution) {
         self.in_flight = false;
         self.execution = self.execution.max(execution);
     }
 
-    /// How the request ends if it ends now.
+    /// Outcome of the request if it ends now.
     pub fn ending(&self) -> Ending {
         match (self.response_begun, self.execution, self.in_flight) {
             (true, _, _) => Ending::BreakOff,
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Whether the rules of repetition allow a further send with this time left;
-    /// the budget is asked only then.
+    /// Whether the retry rules allow a further attempt with this time left; the budget is asked
+    /// only then.
     pub fn may_resend(&self, left: Duration) -> bool {
         if left < MIN_TIME_LEFT {
             return false;
@@ -105,8 +105,8 @@
         self.repeat.may_repeat() && resumable && self.reached < self.max_targets
     }
 
-    /// How long a target may be silent before another one is asked in its place;
-    /// `None` if it is waited for to the end. `pause` is the longest between events.
+    /// Time for which a target may be silent before the request is also sent to another one; `None`
+    /// if it is waited for without limit. `pause` is the longest pause between events.
     pub fn silence_timeout(
         &self,
         objective: Duration,
@@ -119,7 +119,7 @@
         Some(if self.response_begun { pauses.max(MIN_SILENCE) } else { objective.max(pauses) })
     }
 
-    /// The verdict, given the time left and whether the budget grants a repeat.
+    /// The next step, given the time left and whether the budget grants a repeat.
     pub fn next(&self, left: Duration, granted: impl FnOnce() -> bool) -> Next {
         let first = self.reached == 0 && left >= MIN_TIME_LEFT;
         if first || (self.may_resend(left) && granted()) {
@@ -129,5 +129,5 @@
     }
 }
 
-/// Targets that may reject a request one after the other before it is given up.
+/// Number of targets that may reject a request before it is given up.
 const MAX_REJECTIONS: u32 = 2;
--- a/crates/decide/src/retry/mod.rs
+++ b/crates/decide/src/retry/mod.rs
@@ -1,26 +1,26 @@
-//! When a retry may be sent: one layer only, out of a budget that successes
-//! fill, after full jitter. Which steps may be retried at all is settled in
-//! [`crate::request`], in one place.
+//! When a retry may be sent: at one layer only, from a budget that successes refill, after a
+//! backoff with full jitter. Which steps may be retried at all is decided in one place,
+//! [`crate::request`].
 
 use std::time::Duration;
 
 use crate::rng::Rng;
 
-/// First bound of the wait before a retry.
+/// Bound of the first backoff.
 const FIRST_BOUND: Duration = Duration::from_millis(10);
-/// Longest bound of the wait before a retry.
+/// Maximum bound of a backoff.
 const MAX_BOUND: Duration = Duration::from_millis(200);
-/// When a caller is told to come back where nothing better is known.
+/// Retry-after sent to callers where no better estimate is known.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(1000);
 
-/// Wait before the next attempt: full jitter under a doubling bound
-/// (Brooker, "Exponential backoff and jitter", 2015).
+/// Backoff before the next attempt: full jitter under a doubling bound (Brooker, "Exponential
+/// backoff and jitter", 2015).
 pub fn backoff(attempts: u16, rng: &mut Rng) -> Duration {
     let bound = FIRST_BOUND * 2u32.pow(u32::from(attempts.saturating_sub(1).min(8)));
     rng.jitter(bound.min(MAX_BOUND))
 }
 
-/// Retries of one stage: a share of its successes, with a small reserve.
+/// Retry budget of one stage: a share of its successes, with a small reserve.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     tokens: f64,
@@ -35,17 +35,17 @@
 }
 
 impl RetryBudget {
-    /// Each success adds `share`; at most `most` are kept, which is also the start.
+    /// Each success adds `refill` tokens, up to `capacity`, which is also the initial number.
     pub fn new(refill: f64, capacity: f64) -> Self {
         RetryBudget { tokens: capacity, refill, capacity }
     }
 
-    /// A step answered.
+    /// Adds the tokens of one success.
     pub fn success(&mut self) {
         self.tokens = (self.tokens + self.refill).min(self.capacity);
     }
 
-    /// Takes one retry if there is one.
+    /// Takes one token; returns false if less than one is left.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/decide/src/rollout/age.rs
+++ b/crates/decide/src/rollout/age.rs
@@ -1,4 +1,4 @@
-//! How old an order is: as long ago as the node that has known of it longest heard of it.
+//! Age of an order, counted from the earliest time at which any node learned of it.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 }
 
 impl Age {
-    /// So old by now.
+    /// An order that has this age now.
     pub fn new(base: Duration, now: Time) -> Self {
         Age { base, at: now }
     }
 
-    /// How old it is by now.
+    /// Age at `now`.
     pub fn elapsed(&self, now: Time) -> Duration {
         self.base + now.since(self.at)
     }
 
-    /// It is at least so old: another node heard of it before.
+    /// Raises the age to `at_least`, as reported by a node that learned of the order earlier.
     pub fn raise(&mut self, at_least: Duration, now: Time) {
         *self = Age::new(self.elapsed(now).max(at_least), now);
     }
--- a/crates/decide/src/rollout/baseline.rs
+++ b/crates/decide/src/rollout/baseline.rs
@@ -1,18 +1,19 @@
-//! What is usual on a route: counted of the version that serves, over the whole time and of
-//! late, since an overload or a fault that hits both versions tells nothing of the new one.
+//! Failure rate and latencies of the serving version on one route. Recent answers are weighted
+//! separately from the total, since an overload or a fault that hits both versions is no evidence
+//! against the new one.
 
 use super::sequential::BaseRate;
 use super::times;
 
-/// Good answers from which on their times tell what is slow.
+/// Successful answers needed before a latency can be called slow.
 const MIN_SAMPLES: u64 = 10;
-/// Buckets by which an answer lies above the slowest tenth if it is slow: 1.4 to 2 times.
+/// Buckets above the 90th percentile at which an answer is slow: 1.4 to 2 times as long.
 const BUCKETS_ABOVE_P90: usize = 1;
-/// Buckets by which it also lies above the middle: 2 to 2.8 times, which a version three times
-/// slower passes.
+/// Buckets above the median that a slow answer must also exceed: 2 to 2.8 times as long, so that a
+/// version three times slower is detected.
 const BUCKETS_ABOVE_MEDIAN: usize = 2;
 
-/// Answers of the version that serves on one route.
+/// Answers of the serving version on one route.
 #[derive(Debug, Default)]
 pub struct Baseline {
     failed: u64,
@@ -22,7 +23,7 @@
 }
 
 impl Baseline {
-    /// Takes answers.
+    /// Adds failures and a latency histogram of successful answers.
     pub fn record(&mut self, failed: u32, good: &[u32]) {
         self.failed += u64::from(failed);
         self.failed_recent += f64::from(failed);
@@ -35,18 +36,18 @@
         }
     }
 
-    /// Keeps this part of the weight of recent answers.
+    /// Multiplies the weight of recent answers by `keep`.
     pub fn decay(&mut self, keep: f64) {
         self.failed_recent *= keep;
         self.times_recent.iter_mut().for_each(|n| *n *= keep);
     }
 
-    /// Failures so far.
+    /// Total number of failures.
     pub fn failed(&self) -> u64 {
         self.failed
     }
 
-    /// How often an answer is a failure.
+    /// Failure rate: the recent one, with the overall rate of this route as its prior.
     pub fn failure_rate(&self, prior: BaseRate) -> BaseRate {
         let good = times::total(&self.times);
         let whole = BaseRate::estimate(self.failed as f64, (self.failed + good) as f64, prior);
@@ -54,7 +55,7 @@
         BaseRate::estimate(self.failed_recent, self.failed_recent + good_recent, whole)
     }
 
-    /// Bucket from which on a time is slow; `None` if too few are known.
+    /// First bucket that counts as slow; `None` while too few answers are known.
     pub fn slow_bucket(&self) -> Option<usize> {
         if times::total(&self.times) < MIN_SAMPLES {
             return None;
@@ -64,7 +65,7 @@
         Some((p90 + BUCKETS_ABOVE_P90).max(median + BUCKETS_ABOVE_MEDIAN) + 1)
     }
 
-    /// How often a time lies in a bucket from this one on.
+    /// Share of successful answers in bucket `from` or above.
     pub fn slow_rate(&self, from: usize) -> BaseRate {
         let slow = times::count_from(&self.times, from);
         let good = times::total(&self.times);
--- a/crates/decide/src/rollout/evidence.rs
+++ b/crates/decide/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! What one node's own requests show of the two versions of a service.
+//! Evidence from one node's own requests for both versions of a service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,32 +10,32 @@
 use super::sequential::{BaseRate, SequentialTest};
 use super::{Cause, Verdict, VersionCounts, times};
 
-/// Part of the weight of recent answers that each new one leaves: the last fifty count.
+/// Factor by which each new answer scales the weight of recent ones: about the last fifty count.
 const DECAY_FACTOR: f64 = 0.98;
-/// Nodes that judge by themselves beside each other; each has its chance of a false alarm.
+/// Assumed number of nodes that judge on their own at the same time, each with its chance of a
+/// false alarm.
 const ASSUMED_NODES: usize = 100;
 
-/// Time within which late answers of one node come together: once a pause of its host or its link
-/// is over, all that it held up comes within milliseconds. So one late answer in 20 ms counts at
-/// most, 50 a second for a node and route, which is enough to prove a slow version.
+/// Time within which late answers at one node count as one burst: when a pause of its host or link
+/// ends, all delayed answers arrive within milliseconds. So at most one late answer in 20 ms
+/// counts, 50 a second for a node and route, which is enough to prove a version slow.
 const BURST_WINDOW: Duration = Duration::from_millis(20);
 
-/// What adding up parts of a call may lack of a whole.
+/// Rounding error of a sum of parts that make a whole.
 const ROUNDING_ERROR: f64 = 1e-6;
 
-/// Answers on one route, and the tests of them against its baseline.
+/// Answers on one route and the tests against its baseline.
 #[derive(Debug)]
 struct RouteTests {
     counts: RouteEvidence,
     baseline: Baseline,
-    /// Good answers of the version on trial that took too long.
+    /// Successful answers of the trial version that were too slow.
     slow: u64,
     failures_test: SequentialTest,
     slow_test: SequentialTest,
-    /// Parts of calls that failed and were not counted yet: of the version that serves, of the
-    /// one on trial.
+    /// Failed parts of calls that are not counted yet: serving version, trial version.
     partial_failures: (f64, f64),
-    /// When a late answer of either version came last.
+    /// Time of the last late answer of either version.
     last_late: Option<Time>,
 }
 
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Whether a call counts as a failure of which this part failed: one does for each whole
-    /// that the parts add up to.
+    /// Adds the failed part of a call; returns whether the sum now completes one failure, which is
+    /// then counted.
     fn completes_failure(&mut self, side: Side, failed: f64) -> bool {
         let owed = match side {
             Side::Serving => &mut self.partial_failures.0,
@@ -107,7 +107,7 @@
     }
 }
 
-/// By service and route, both sides, since the order.
+/// Answers of both versions since the order, by service and route.
 #[derive(Debug, Default)]
 pub struct Evidence {
     services: BTreeMap<Name, BTreeMap<Name, RouteTests>>,
@@ -119,13 +119,15 @@
         routes.entry(route.clone()).or_insert_with(|| RouteTests::new(route.clone()))
     }
 
-    /// Requests went out, repeats included; those that share a call will have one answer.
+    /// Counts requests sent, repeats included; requests that share a call are counted separately,
+    /// though they will have one answer.
     pub fn record_sent(&mut self, service: &Name, route: &Name, side: Side, count: u32) {
         self.route(service, route).side(side).sent += count;
     }
 
-    /// Notes a good answer that came late. Whether it came together with another one, of
-    /// whichever version: one thing held up both then, and it is not to count twice.
+    /// Notes the time of a successful answer that came late. Returns whether another one, of either
+    /// version, came late shortly before: both were then delayed by one cause, which must not count
+    /// twice.
     pub fn note_late(&mut self, service: &Name, route: &Name, took: Duration, now: Time) -> bool {
         let tests = self.route(service, route);
         let from = tests.baseline.slow_bucket();
@@ -136,7 +138,7 @@
         last.is_some_and(|at| now.since(at) < BURST_WINDOW)
     }
 
-    /// A good answer came after this time; from a target that was not cold.
+    /// Records a successful answer after this time, from a target that was not cold.
     pub fn record_good(&mut self, service: &Name, route: &Name, side: Side, took: Duration) {
         let tests = self.route(service, route);
         times::record(&mut tests.side(side).times, took);
@@ -151,8 +153,8 @@
         }
     }
 
-    /// An answer was a failure of the version: not a connection that was refused or broke,
-    /// which tells of a target, nor a refusal because it was full.
+    /// Records an answer that was a failure of the version. A connection that was refused or broke
+    /// concerns the target, and a refusal for lack of capacity is no failure.
     pub fn record_bad(&mut self, service: &Name, route: &Name, side: Side) {
         let tests = self.route(service, route);
         tests.side(side).bad += 1;
@@ -165,9 +167,9 @@
         }
     }
 
-    /// A call was answered after this time, this part of its pieces as failed. It is one answer,
-    /// since its pieces share much of its fate, and a large call with one piece failed is no
-    /// worse than a small one. Returns whether it counts as a failure.
+    /// Records the answer to a call after this time, with the part of its pieces that failed. It
+    /// counts as one answer, since its pieces largely share one fate, and a large call with one
+    /// failed piece is no worse than a small one. Returns whether it counts as a failure.
     pub fn record_partial(
         &mut self,
         service: &Name,
@@ -184,18 +186,18 @@
         is_bad
     }
 
-    /// All of a service, for the judge.
+    /// Cumulative counts of a service, for a report to the judge.
     pub fn report(&self, service: &str) -> Vec<RouteEvidence> {
         let routes = self.services.get(service).into_iter().flat_map(|routes| routes.values());
         routes.map(|route| route.counts.clone()).collect()
     }
 
-    /// The order is over, or another one began.
+    /// Drops the evidence of a service whose order ended or was replaced.
     pub fn forget(&mut self, service: &str) {
         self.services.remove(service);
     }
 
-    /// Whether this node's own requests alone prove the version on trial bad.
+    /// Verdict if this node's own requests alone prove the trial version bad.
     pub fn proves_bad(&self, service: &str) -> Option<Verdict> {
         let routes = self.services.get(service)?;
         let tests = 2 * routes.len() * ASSUMED_NODES;
--- a/crates/decide/src/rollout/judge.rs
+++ b/crates/decide/src/rollout/judge.rs
@@ -1,8 +1,8 @@
-//! Decides one order, at the node that comes first.
+//! Decides one order, on the node that is ranked first for its service.
 //!
-//! Two judges at a time are harmless: each tells the nodes that report to it, a state is written
-//! under the order's revision, and one that the store has as final ends the judge whatever it
-//! decided. A judge keeps nothing that reports do not bring again.
+//! Two judges at once are harmless: each answers only the nodes that report to it, a state is
+//! written conditionally on the order's revision, and a final state in the store ends every judge
+//! whatever it decided. All state of a judge is rebuilt from the reports.
 
 mod nodes;
 mod phases;
@@ -24,57 +24,57 @@
 /// Time between two ticks.
 const TICK: Duration = Duration::from_millis(100);
 
-/// What an operator allows of a version that may be bad.
+/// Operator's limits on the harm done by a bad version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Share of all requests to the service from the order to its deadline that it may get …
+    /// Share of all requests to the service, from the order to its deadline, that it may get …
     pub share: f64,
-    /// … and this many more.
+    /// … plus this number of requests.
     pub slack: u32,
-    /// Time after which it gets nothing once it is seen to be bad.
+    /// Time after its detection as bad within which it must stop getting requests.
     pub rollback_within: Duration,
 }
 
-/// What the judge hears.
+/// Input of a judge.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JudgeEvent {
-    /// A node tells what it saw.
+    /// A node's report.
     Report(RolloutReport),
-    /// Nodes that are up now.
+    /// All nodes that are up now.
     Nodes(Vec<NodeId>),
-    /// The order as the store has it.
+    /// The order as the store holds it.
     Order(Rollout),
-    /// Targets that may be used and are warm.
+    /// Usable targets that are warm.
     Targets {
-        /// Of the version that serves.
+        /// Targets of the serving version.
         serving: usize,
-        /// Of the version on trial.
+        /// Targets of the trial version.
         trial: usize,
     },
-    /// A write of a state ended; whether it stands. After `false` (refused, or its answer
-    /// lost) the order has to be read in the store and told.
+    /// A write of a state ended; `true` if it was applied. After `false` (refused, or the response
+    /// was lost), the order must be read from the store and passed in as `Order`.
     WriteEnded(bool),
-    /// Time passed.
+    /// Time passed; see [`Judge::next_tick`].
     Tick,
 }
 
-/// What the judge asks for.
+/// Output of a judge.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JudgeAction {
-    /// Writes the order's state, if its revision still is that of the last `Order`.
+    /// Write the order's state, on condition that its revision is that of the last `Order`.
     Write(RolloutState),
-    /// The version was judged bad, for a log line.
+    /// The version was judged bad; for a log line.
     Judged {
-        /// Why.
+        /// Reason and counts.
         verdict: Verdict,
         /// Age of the order.
         age: Duration,
     },
-    /// Another phase is in force.
+    /// The phase changed.
     Phase(Phase),
 }
 
-/// Decides one order.
+/// State machine that decides one order.
 #[derive(Debug)]
 pub struct Judge {
     bounds: Bounds,
@@ -85,22 +85,22 @@
     since: u64,
     age: Age,
     phase: Phase,
-    /// Since when the greater share is in force.
+    /// Start of the step at a larger share.
     step_since: Option<Time>,
-    /// Since when all requests go to the version.
+    /// Time since when all requests go to the trial version.
     all_since: Option<Time>,
-    /// Usable warm targets: of the version that serves, of the one on trial.
+    /// Usable warm targets: serving version, trial version.
     targets: (usize, usize),
     pool: EvidencePool,
     nodes: Nodes,
     writes: Writes,
-    /// Since when `Completed` may stand in the store.
+    /// Time since when the store may hold `Completed`.
     completing_since: Option<Time>,
     ended: bool,
 }
 
 impl Judge {
-    /// Takes up an order of this age that is known since a revision.
+    /// Starts to judge an order of this age, known since revision `since`.
     pub fn new(bounds: Bounds, order: Rollout, since: u64, age: Duration, now: Time) -> Self {
         let mut judge = Judge {
             bounds,
@@ -123,7 +123,7 @@
         judge
     }
 
-    /// Takes what happened; returns what is to be done.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, now: Time, event: JudgeEvent) -> Vec<JudgeAction> {
         if self.ended {
             return Vec::new();
@@ -148,23 +148,23 @@
         actions
     }
 
-    /// What every report is answered with.
+    /// Reply to a report.
     pub fn answer(&self, now: Time) -> RolloutAnswer {
         let age_ms = self.age(now).as_millis() as u64;
         RolloutAnswer { order: self.id(), phase: self.phase, age_ms }
     }
 
-    /// The order that is judged.
+    /// Identity of the order that is judged.
     pub fn id(&self) -> RolloutId {
         self.order.id(self.since)
     }
 
-    /// The phase in force.
+    /// Current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When `Tick` is due next.
+    /// Time at which `Tick` is due next; never once the judge has ended.
     pub fn next_tick(&self, now: Time) -> Time {
         if self.ended { Time::NEVER } else { now + TICK }
     }
@@ -178,8 +178,8 @@
         if !report.order.is_alike(&own) {
             return;
         }
-        // What was seen of an earlier order tells nothing of this one, but that the node uses
-        // the old version until it hears of this one.
+        // A report on an earlier order is no evidence for this one; it only shows that the node
+        // uses the old version until it learns of this order.
         if !report.order.is_same(&own) {
             return self.nodes.mark_outdated(report.node, now);
         }
@@ -256,8 +256,8 @@
         if self.phase == Phase::Back {
             return;
         }
-        // The old targets may have been stopped by now: going back would cut everybody off
-        // for as long as the store does not tell, which is worse than some bad answers.
+        // The old targets may be stopped by now: a rollback would leave callers without any target
+        // until the store reports the final state, which is worse than some bad answers.
         if self.completing_since.is_some_and(|since| now < since + self.bounds.rollback_within / 2)
         {
             return;
--- a/crates/decide/src/rollout/judge/nodes.rs
+++ b/crates/decide/src/rollout/judge/nodes.rs
@@ -1,4 +1,4 @@
-//! Which nodes still use the version that serves.
+//! Which nodes still use the serving version.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,9 +7,9 @@
 use model::forward::{Phase, RolloutReport};
 use model::member::NodeId;
 
-/// Time without a report after which a node does not answer; several reports may be lost.
+/// Time without a report after which a node counts as silent; allows for several lost reports.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest time between two events of a judge that was not paused.
+/// Longest gap between two events of a judge that was not paused.
 const MAX_EVENT_GAP: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
@@ -18,26 +18,26 @@
     is_drained: bool,
 }
 
-/// Nodes as the judge knows them.
+/// Nodes that the judge knows.
 #[derive(Debug)]
 pub struct Nodes {
-    /// Those that are up, and since when that is known: one that has just started is not
-    /// silent because nothing was last_event of it yet.
+    /// Nodes that are up, and since when that is known: a node that has just started is not silent
+    /// for lack of a report.
     up: BTreeMap<NodeId, Time>,
     last: BTreeMap<NodeId, LastReport>,
-    /// When the judge last last_event anything, and since when it did so without a pause: what did
-    /// not reach a judge that was paused does not make a node silent.
+    /// Time of the judge's last event, and since when it has run without a pause: reports that a
+    /// paused judge missed do not make a node silent.
     last_event: Time,
     awake_since: Time,
 }
 
 impl Nodes {
-    /// None is known.
+    /// Starts without any node.
     pub fn new(now: Time) -> Self {
         Nodes { up: BTreeMap::new(), last: BTreeMap::new(), last_event: now, awake_since: now }
     }
 
-    /// The judge runs.
+    /// Notes an event of the judge, to detect pauses.
     pub fn note_event(&mut self, now: Time) {
         if now.since(self.last_event) > MAX_EVENT_GAP {
             self.awake_since = now;
@@ -45,8 +45,8 @@
         self.last_event = now;
     }
 
-    /// These are up. One that is not goes on counting until it is known to have started anew:
-    /// it may be cut off and still use the old version.
+    /// Sets the nodes that are up. A node that is down still counts until it is known to have
+    /// restarted: it may be partitioned and still use the old version.
     pub fn set_up(&mut self, up: Vec<NodeId>, now: Time) {
         let before = std::mem::take(&mut self.up);
         let since = |id: &NodeId| before.get(id).copied().unwrap_or(now);
@@ -55,19 +55,19 @@
         self.last.retain(|id, _| starts.get(&id.name).is_none_or(|start| *start == id.start));
     }
 
-    /// A node told how it works.
+    /// Records a node's report on this order.
     pub fn record_report(&mut self, report: &RolloutReport, now: Time) {
         let is_drained = report.phase == Phase::All && report.open == 0;
         self.last.insert(report.node.clone(), LastReport { at: now, is_drained });
     }
 
-    /// A node does not know the order as it is now.
+    /// Records that a node does not know the current order yet.
     pub fn mark_outdated(&mut self, node: NodeId, now: Time) {
         self.last.insert(node, LastReport { at: now, is_drained: false });
     }
 
-    /// Whether no node that answers uses the old version any more, all requests going to the
-    /// new one `since`.
+    /// Whether no responsive node uses the old version any more, given that all requests go to the
+    /// new one since `since`.
     pub fn are_drained(&self, since: Time, now: Time) -> bool {
         let from = since.max(self.awake_since);
         let is_silent = |at: Time| now.since(at.max(from)) > REPORT_TIMEOUT;
--- a/crates/decide/src/rollout/judge/phases.rs
+++ b/crates/decide/src/rollout/judge/phases.rs
@@ -1,4 +1,4 @@
-//! What comes next: which share, when all requests go to the version, and when that is completed.
+//! Phase transitions: the share, the full step and the completion.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use super::super::plan::Observed;
 use super::{Judge, JudgeAction};
 
-/// Time for which a judge only listens: one that begins late learns from two reports of each node
-/// whether all requests go to the version already, and does not take it back for want of that.
+/// Time for which a new judge only listens: one that starts late learns from two reports of each
+/// node whether all requests already go to the version, and does not roll back for lack of that.
 const LISTEN_TIME: Duration = Duration::from_millis(500);
-/// Part of the proof that a version is bad from which on it gets no more than it has: callers are
-/// spared a step that may well end in a roll-back.
+/// Part of the proof that a version is bad from which its share is not raised: callers are spared a
+/// step that is likely to end in a rollback.
 const DOUBT_THRESHOLD: f64 = 0.7;
-/// Targets on trial for each that serves, from which on they can bear all requests. Operators are
-/// asked to start as many as serve; a few of them may be down or cold.
+/// Trial targets per serving target from which they can carry all requests. Operators are asked to
+/// start as many as serve; a few of them may be down or cold.
 const MIN_TARGET_RATIO: f64 = 0.8;
-/// Change of the share, as part of it, up to which the nodes are not told: each that they are
-/// told of is a log line at every node.
+/// Relative change of the share below which nodes are not notified, since every change is a log
+/// line on every node.
 const MIN_SHARE_CHANGE: f64 = 0.25;
 
 impl Judge {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether the last write is due.
+    /// Whether the final write is due.
     fn is_write_due(&self, observed: &Observed, now: Time) -> bool {
         observed.age >= self.plan.write_deadline(observed)
             && now.since(self.started_at) >= LISTEN_TIME
@@ -49,7 +49,7 @@
         trial > 0 && trial as f64 >= MIN_TARGET_RATIO * serving as f64
     }
 
-    /// Chooses the share, and whether all requests may go to the version.
+    /// Chooses the share, and whether all requests may go to the trial version.
     pub(super) fn advance(&mut self, ratio: f64, now: Time, actions: &mut Vec<JudgeAction>) {
         let observed = self.observe(now);
         let is_late = self.is_write_due(&observed, now);
@@ -77,7 +77,7 @@
         if self.has_capacity() && self.plan.fits_full_step(&observed) {
             self.send_all(now);
         } else {
-            // What is left of the cap is kept for the step to all.
+            // The rest of the cap is kept for the full step.
             self.set_share(0.0);
         }
     }
@@ -113,8 +113,8 @@
         let Some(since) = self.all_since else {
             return;
         };
-        // Completing sooner gains nothing: the version gets all requests either way, and can
-        // be taken back until then.
+        // Earlier completion gains nothing: the version gets all requests either way, and can be
+        // rolled back until then.
         let is_shown = now.since(since).as_secs_f64() >= self.plan.detection_time(&observed);
         if is_late && is_shown && ratio < DOUBT_THRESHOLD && self.nodes.are_drained(since, now) {
             self.completing_since = Some(now);
--- a/crates/decide/src/rollout/judge/writes.rs
+++ b/crates/decide/src/rollout/judge/writes.rs
@@ -1,34 +1,35 @@
-//! One write of a state at a time, and none anew before the store has told what became of the
-//! one before.
+//! Writes of the order's state: one at a time, and the next only once the store has shown the
+//! outcome of the one before.
 
 use model::forward::RolloutState;
 
-/// Where the write stands.
+/// Progress of the write.
 #[derive(Debug, Default)]
 pub enum Writes {
-    /// None is under way.
+    /// No write is in flight.
     #[default]
     Idle,
-    /// One is.
+    /// A write of this state is in flight.
     Running(RolloutState),
-    /// One ended; the order as the store has it now is to be heard.
+    /// A write ended, and the order has yet to be read from the store.
     Unconfirmed,
 }
 
 impl Writes {
-    /// Whether the next one may begin.
+    /// Whether the next write may begin.
     pub fn is_idle(&self) -> bool {
         matches!(self, Writes::Idle)
     }
 
-    /// The order was read in the store.
+    /// The order was read from the store.
     pub fn confirm(&mut self) {
         if matches!(self, Writes::Unconfirmed) {
             *self = Writes::Idle;
         }
     }
 
-    /// The write ended; returns the state that stands now, if it does.
+    /// Ends the write; returns its state if it was applied. `stored` is the state last read from
+    /// the store.
     pub fn ended(&mut self, applied: bool, stored: RolloutState) -> Option<RolloutState> {
         let Writes::Running(state) = std::mem::replace(self, Writes::Unconfirmed) else {
             return None;
@@ -39,7 +40,8 @@
         applied.then_some(state)
     }
 
-    /// The state to write now, if the store is to have it and does not.
+    /// Starts a write of `state` unless the store already holds it or a write is in flight; returns
+    /// the state to write.
     pub fn start(&mut self, state: RolloutState, stored: RolloutState) -> Option<RolloutState> {
         if !self.is_idle() || state == stored {
             return None;
--- a/crates/decide/src/rollout/live.rs
+++ b/crates/decide/src/rollout/live.rs
@@ -1,44 +1,44 @@
-//! Versions of services whose targets are there now.
+//! Versions of services that currently have targets.
 
 use std::collections::BTreeMap;
 
 use model::Name;
 
-/// Targets of one version, since there were none before.
+/// Targets of one version since it last had none.
 #[derive(Debug, Clone, Copy)]
 pub struct VersionTargets {
-    /// How many there are.
+    /// Number of targets.
     pub count: usize,
-    /// Lowest revision of an entry that told of one.
+    /// Lowest revision of a target's entry in the store.
     pub first_revision: u64,
-    /// Earliest start that one of them told; 0 if none did.
+    /// Earliest start time among the targets; 0 if none reported one.
     pub start: u64,
 }
 
 impl VersionTargets {
-    /// Whether the first of these surely started before the first of others.
+    /// Whether these targets are known to have started before `other`.
     pub fn started_before(&self, other: &VersionTargets) -> bool {
         self.start > 0 && self.start < other.start
     }
 
-    /// Whether these were there before others: by their starts, which an entry that is written
-    /// anew does not change, or else by the revisions of their entries.
+    /// Whether these targets were there before `other`: by start time, which rewriting an entry
+    /// does not change, otherwise by the revisions of their entries.
     pub fn came_before(&self, other: &VersionTargets) -> bool {
         self.started_before(other)
             || !other.started_before(self) && self.first_revision < other.first_revision
     }
 }
 
-/// By service and version.
+/// Live targets by service and version.
 #[derive(Debug, Default)]
 pub struct LiveVersions {
     services: BTreeMap<Name, BTreeMap<Name, VersionTargets>>,
-    /// Times that a version came or went, or began earlier than was known.
+    /// Number of times that a version appeared, disappeared, or proved to be older than known.
     changes: u64,
 }
 
 impl LiveVersions {
-    /// A target came, by an entry of this revision.
+    /// Adds a target from an entry of this revision.
     pub fn add_target(&mut self, service: &Name, version: &Name, revision: u64, start: u64) {
         let versions = self.services.entry(service.clone()).or_default();
         let none = VersionTargets { count: 0, first_revision: revision, start };
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Times that a version came or went, or began earlier than was known.
+    /// Number of times that a version appeared, disappeared, or proved to be older than known.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// A target is gone.
+    /// Removes a target.
     pub fn remove_target(&mut self, service: &Name, version: &Name) {
         let Some(versions) = self.services.get_mut(service) else {
             return;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Versions of a service.
+    /// Live versions of a service.
     pub fn versions(&self, service: &str) -> impl Iterator<Item = (&Name, &VersionTargets)> {
         self.services.get(service).into_iter().flatten()
     }
@@ -84,13 +84,13 @@
         self.services.get(service)?.get(version)
     }
 
-    /// The version of a service that was there before all others.
+    /// The version of a service that was there first.
     pub fn oldest(&self, service: &str) -> Option<&Name> {
         let older = self.versions(service).reduce(|a, b| if b.1.came_before(a.1) { b } else { a });
         older.map(|(version, _)| version)
     }
 
-    /// Highest first revision of a version that came beside another one.
+    /// Highest first revision among versions that joined an existing one.
     pub fn newest_revision(&self) -> Option<u64> {
         let newest = |versions: &BTreeMap<Name, VersionTargets>| {
             let firsts = || versions.values().map(|targets| targets.first_revision);
--- a/crates/decide/src/rollout/mod.rs
+++ b/crates/decide/src/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Roll-outs of a service's version, judged and taken back by the nodes themselves.
+//! Rollouts of a service's version, judged and rolled back by the nodes themselves.
 //!
-//! Each node holds [`Versions`]: which version of a service serves, which one is on trial and
-//! which gets nothing; and [`Evidence`]: what its own requests showed. One node's [`Judge`]
-//! adds up the evidence of all and decides the phase and the state. Design and ways weighed:
-//! docs/design/rollouts.md.
+//! Each node keeps [`Versions`], which tells the serving version from the one on trial and from
+//! those that get no requests, and [`Evidence`], the outcomes of its own requests. The [`Judge`] on
+//! one node sums the evidence of all nodes and decides the phase and the state. The design and its
+//! alternatives are described in docs/design/rollouts.md.
 
 mod age;
 mod baseline;
--- a/crates/decide/src/rollout/pool.rs
+++ b/crates/decide/src/rollout/pool.rs
@@ -1,7 +1,7 @@
-//! The evidence of all nodes, added up.
+//! Sum of the evidence of all nodes.
 //!
-//! Each report carries a node's counts since the order; what they grew by since its last one is
-//! added, so that a lost report costs nothing and one that comes twice or late adds nothing.
+//! Each report carries a node's cumulative counts since the order. Only the increase since its last
+//! report is added, so a lost report loses nothing and a duplicate or late one adds nothing.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use super::sequential::{BaseRate, SequentialTest};
 use super::{Cause, Verdict, VersionCounts, times};
 
-/// Time in which what counts as recent loses two thirds of its weight.
+/// Time after which recent requests and answers lose two thirds of their weight.
 const DECAY_TIME: Duration = Duration::from_secs(4);
-/// Least time between two losses of weight.
+/// Minimum time between two decay steps.
 const MIN_DECAY_STEP: Duration = Duration::from_millis(50);
 
-/// One route, over all nodes.
+/// Evidence of one route, summed over all nodes.
 #[derive(Debug, Default)]
 struct RouteState {
     baseline: Baseline,
@@ -29,14 +29,14 @@
     slow: SequentialTest,
 }
 
-/// All that is known of both versions.
+/// Evidence for both versions, summed over all nodes and routes.
 #[derive(Debug)]
 pub struct EvidencePool {
     last: BTreeMap<NodeId, BTreeMap<Name, RouteEvidence>>,
     routes: BTreeMap<Name, RouteState>,
     failures: SequentialTest,
     slow: SequentialTest,
-    /// Good answers of the version that serves, all routes.
+    /// Latency histogram of the serving version's successful answers, all routes.
     times: Vec<u32>,
     serving: VersionCounts,
     trial: VersionCounts,
@@ -46,7 +46,7 @@
 }
 
 impl EvidencePool {
-    /// Nothing is known yet.
+    /// Starts without any evidence.
     pub fn new(now: Time) -> Self {
         EvidencePool {
             last: BTreeMap::new(),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes what a node saw.
+    /// Merges the cumulative counts that a node reported.
     pub fn merge_report(&mut self, node: &NodeId, evidence: Vec<RouteEvidence>, now: Time) {
         self.decay(now);
         let is_first = !self.last.contains_key(node);
@@ -98,7 +98,7 @@
         let count_slow = |counts: &[u32]| from.map_or(0, |from| times::count_from(counts, from));
         let slow = count_slow(&trial.times);
         if let Some(from) = from {
-            // What makes both versions late for a moment tells nothing of the new one.
+            // A delay that hits both versions at the same time is no evidence against the new one.
             let (late, all) = (count_slow(&serving.times), times::total(&serving.times));
             let base = route.baseline.slow_rate(from);
             let base = base.max(BaseRate::estimate(late as f64, all as f64, base));
@@ -118,8 +118,8 @@
         }
     }
 
-    /// How often the version that serves fails over all routes: believed of a route on which
-    /// it was not seen.
+    /// Failure rate of the serving version over all routes, the prior for a route on which it was
+    /// not seen.
     fn overall_base_rate(&self) -> BaseRate {
         let failed: u64 = self.routes.values().map(|route| route.baseline.failed()).sum();
         let good = times::total(&self.times);
@@ -137,7 +137,7 @@
         self.routes.values_mut().for_each(|route| route.baseline.decay(keep));
     }
 
-    /// The strongest evidence against the version on trial, as part of what proves it bad.
+    /// Highest test score against the trial version, where 1 proves it bad, and its verdict.
     pub fn strongest(&self) -> (f64, Verdict) {
         let tests = 2 * (self.routes.len() + 1);
         let of_all =
@@ -158,7 +158,7 @@
         strongest
     }
 
-    /// A verdict with all that was counted.
+    /// Builds a verdict with the counts of one route, or of all routes if `route` is `None`.
     pub fn verdict(&self, cause: Cause, route: Option<&Name>) -> Verdict {
         let of_route = route.and_then(|name| self.routes.get(name));
         let (trial, serving) =
@@ -166,17 +166,17 @@
         Verdict { cause, route: route.cloned(), trial, serving }
     }
 
-    /// Requests to either version.
+    /// Requests sent to either version.
     pub fn sent(&self) -> u64 {
         self.serving.sent + self.trial.sent
     }
 
-    /// Requests to the version on trial.
+    /// Requests sent to the trial version.
     pub fn trial_sent(&self) -> u64 {
         self.trial.sent
     }
 
-    /// Requests a second, recently.
+    /// Recent requests a second.
     pub fn rate(&self, now: Time) -> f64 {
         let seen = now.since(self.since).as_secs_f64();
         let weight = DECAY_TIME.as_secs_f64() * (1.0 - (-seen / DECAY_TIME.as_secs_f64()).exp());
@@ -184,13 +184,13 @@
         self.sent_recent * kept / weight.max(0.1)
     }
 
-    /// Time within which this share of the good answers of the version that serves came.
+    /// Quantile of the serving version's successful answer times.
     pub fn latency(&self, share: f64) -> Option<Duration> {
         times::quantile(&self.times, share).map(times::upper_bound)
     }
 }
 
-/// By how much counts grew; `None` if they are older than those known.
+/// Increase of cumulative counts; `None` if `new` is older than `old`.
 fn increase(new: &Answers, old: Option<&Answers>) -> Option<Answers> {
     let Some(old) = old else {
         return Some(new.clone());
--- a/crates/decide/src/rollout/times.rs
+++ b/crates/decide/src/rollout/times.rs
@@ -1,24 +1,24 @@
-//! Times of answers in buckets: the first one ends at a millisecond, each other at √2 times the
-//! one before, the last one has no end.
+//! Latency histogram: the first bucket ends at 1 ms, each further bound is √2 times the one before,
+//! and the last bucket is unbounded.
 
 use std::time::Duration;
 
-/// Count of buckets; the last but one ends after 12 minutes, longer than any request lasts.
+/// Number of buckets; the last but one ends after 12 minutes, longer than any request lasts.
 const BUCKETS: usize = 40;
 
-/// Bucket of a time.
+/// Bucket of a latency.
 pub fn bucket(took: Duration) -> usize {
     let ms = took.as_secs_f64() * 1000.0;
     let place = (2.0 * ms.max(1.0).log2()).ceil();
     (place as usize).min(BUCKETS - 1)
 }
 
-/// Where a bucket ends.
+/// Upper bound of a bucket.
 pub fn upper_bound(bucket: usize) -> Duration {
     Duration::from_secs_f64(2f64.powf(bucket as f64 / 2.0) / 1000.0)
 }
 
-/// Counts a time.
+/// Counts one latency.
 pub fn record(times: &mut Vec<u32>, took: Duration) {
     let bucket = bucket(took);
     if times.len() <= bucket {
@@ -27,7 +27,7 @@
     times[bucket] = times[bucket].saturating_add(1);
 }
 
-/// Adds counts bucket by bucket.
+/// Adds `counts` to `to`, bucket by bucket.
 pub fn merge(to: &mut Vec<u32>, counts: &[u32]) {
     if to.len() < counts.len() {
         to.resize(counts.len(), 0);
@@ -37,17 +37,17 @@
     }
 }
 
-/// How many there are.
+/// Number of samples.
 pub fn total(times: &[u32]) -> u64 {
     times.iter().map(|n| u64::from(*n)).sum()
 }
 
-/// How many lie in buckets from this one on.
+/// Number of samples in this bucket and above.
 pub fn count_from(times: &[u32], bucket: usize) -> u64 {
     total(times.get(bucket..).unwrap_or_default())
 }
 
-/// The bucket up to whose end this share of them lies.
+/// Bucket that contains the quantile `share`, or `None` without samples.
 pub fn quantile(times: &[u32], share: f64) -> Option<usize> {
     let total = total(times);
     let wanted = ((share * total as f64).ceil() as u64).max(1);
--- a/crates/decide/src/rollout/verdict.rs
+++ b/crates/decide/src/rollout/verdict.rs
@@ -2,18 +2,18 @@
 
 use model::Name;
 
-/// What told that it is bad.
+/// Reason for a verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// It fails requests that the version which serves does not.
+    /// It fails more requests than the serving version.
     Failures,
     /// Its answers take several times as long.
     Slow,
-    /// Another node had judged before.
+    /// Another node had already rolled it back.
     Reported,
-    /// It was not shown to be good within the order's time.
+    /// The evidence left it in doubt at the deadline of the order.
     Doubtful,
-    /// Too few of its targets could be used within the order's time.
+    /// Too few of its targets were usable at the deadline of the order.
     Targets,
 }
 
@@ -30,24 +30,24 @@
     }
 }
 
-/// What was counted of one version.
+/// Requests counted for one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct VersionCounts {
-    /// Requests sent there.
+    /// Requests sent to the version.
     pub sent: u64,
-    /// Failures and slow answers.
+    /// Failed and slow answers.
     pub bad: u64,
 }
 
-/// A judgement and what it rests on.
+/// A judgement and the counts behind it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
-    /// What told.
+    /// Reason.
     pub cause: Cause,
-    /// Route whose answers told; `None` if those of all routes did.
+    /// Route that provided the evidence; `None` if all routes did.
     pub route: Option<Name>,
-    /// Of the version on trial.
+    /// Counts of the trial version.
     pub trial: VersionCounts,
-    /// Of the version that serves.
+    /// Counts of the serving version.
     pub serving: VersionCounts,
 }
--- a/crates/decide/src/rollout/versions.rs
+++ b/crates/decide/src/rollout/versions.rs
@@ -1,8 +1,8 @@
 //! Which version of a service gets a request.
 //!
-//! Targets and orders reach a node by different watches, in any order; the store's revisions
-//! tell whether the orders are known up to where a version was first seen. Until they are, a
-//! version that came beside another one gets nothing.
+//! Targets and orders reach a node by separate watches, in any order; the store's revisions tell
+//! whether the orders are known up to the revision at which a version first appeared. Until they
+//! are, a version that joined an existing one gets no requests.
 
 mod list;
 mod side;
@@ -20,38 +20,38 @@
 pub use list::RolloutChange;
 use trial::Trial;
 
-/// Orders, by service.
+/// Orders by service.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Orders {
     known: BTreeMap<Name, Rollout>,
-    /// Services whose order cannot be read; an earlier one may be known.
+    /// Services whose order is unreadable; an earlier one may be known.
     unreadable: BTreeSet<Name>,
 }
 
-/// Versions of services as one node knows them.
+/// Versions of services, as known to one node.
 #[derive(Debug, Default)]
 pub struct Versions {
-    /// If the store is to tell of orders, nothing is sent before it has.
+    /// Once orders are followed, no version is used before the first list arrives.
     orders: Newest<Orders>,
-    /// Revision of the first list of orders that this node heard of.
+    /// Revision of the first list of orders that this node received.
     first_list: Option<u64>,
     live: LiveVersions,
     trials: BTreeMap<Name, Trial>,
     withdrawn: WithdrawnVersions,
-    /// Peers are being asked which orders were withdrawn before this node started.
+    /// Whether peers are being asked which orders were withdrawn before this node started.
     awaiting_peers: bool,
     /// Versions that served when the order of their service became unreadable.
     served: BTreeMap<Name, BTreeSet<Name>>,
 }
 
 impl Versions {
-    /// Orders are followed from now on: no version is used before they are known.
+    /// Starts to follow orders: no version is used before they are known.
     pub fn follow(&mut self) {
         self.orders.follow();
     }
 
-    /// Whether peers are being asked which orders were withdrawn before this node started.
-    /// Until then one of a service's versions serves where no order tells which.
+    /// Sets whether peers are being asked which orders were withdrawn before this node started.
+    /// Until they have answered, only one version of a service serves where no order names one.
     pub fn set_awaiting_peers(&mut self, asks: bool) {
         self.awaiting_peers = asks;
     }
@@ -61,12 +61,12 @@
         self.orders.is_known()
     }
 
-    /// Revision of the newest list; `None` if none is known.
+    /// Revision of the newest list; `None` if no list is known.
     pub fn revision(&self) -> Option<u64> {
         self.orders.at()
     }
 
-    /// The list, for another node.
+    /// The current list, to send to another node.
     pub fn list(&self) -> Option<Rollouts> {
         let orders = self.orders.list()?;
         Some(Rollouts {
@@ -77,38 +77,38 @@
         })
     }
 
-    /// Whether the list is of this epoch of the store.
+    /// Whether the list belongs to the current epoch of the store.
     pub fn is_current(&self) -> bool {
         self.orders.is_current()
     }
 
-    /// The store came back from an older copy.
+    /// Begins a new epoch, after the store was restored from an older copy.
     pub fn begin_epoch(&mut self) {
         self.orders.begin_epoch();
     }
 
-    /// Whether a node that knows the list of a revision, if any, lacks a change.
+    /// Whether a node that holds the list of revision `at`, if any, lacks a change.
     pub fn has_changed_since(&self, at: Option<u64>) -> bool {
         self.orders.is_news_since(at)
     }
 
-    /// A target of a version came, by an entry of this revision, having started then.
+    /// Adds a target of a version, with the revision of its entry and its start time.
     pub fn add_target(&mut self, service: &Name, version: &Name, revision: u64, start: u64) {
         self.live.add_target(service, version, revision, start);
     }
 
-    /// A target of a version is gone.
+    /// Removes a target of a version.
     pub fn remove_target(&mut self, service: &Name, version: &Name) {
         self.live.remove_target(service, version);
     }
 
-    /// Times that the versions that are there changed.
+    /// Number of changes of the live versions so far.
     pub fn changes(&self) -> u64 {
         self.live.changes()
     }
 
-    /// Revision up to which orders have to be known before every version is settled; `None`
-    /// if all are.
+    /// Revision up to which orders must be known before every version is settled; `None` if all
+    /// are.
     pub fn unsettled(&self) -> Option<u64> {
         if !self.orders.is_followed() {
             return None;
@@ -125,7 +125,7 @@
         self.live.get(service, version).map_or(0, |targets| targets.count)
     }
 
-    /// Orders that are under way.
+    /// Orders whose state is not final.
     pub fn running(&self) -> impl Iterator<Item = &Rollout> {
         let orders = self.orders.list().into_iter().flat_map(|orders| orders.known.values());
         orders.filter(|order| !order.state.is_final())
--- a/crates/decide/src/rollout/versions/list.rs
+++ b/crates/decide/src/rollout/versions/list.rs
@@ -1,4 +1,4 @@
-//! What a newer list of orders changes.
+//! Applies newer lists of orders.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 use super::{Orders, Trial, Versions};
 use crate::rollout::age::Age;
 
-/// What a newer list of orders tells of one service.
+/// Change that a newer list makes to one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RolloutChange {
-    /// A roll-out was ordered, or is under way and this node heard of it now.
+    /// A rollout was ordered, or one in progress became known to this node.
     Began(Rollout),
     /// The same order has another state.
     State(Rollout),
-    /// Another order took the place of one.
+    /// Another order replaced the one before.
     Replaced {
-        /// The one before.
+        /// The earlier order.
         before: Rollout,
-        /// The one in force.
+        /// The current order.
         order: Rollout,
     },
     /// The operator withdrew the order.
@@ -28,7 +28,7 @@
 }
 
 impl Versions {
-    /// Takes a list unless a newer one is known; returns what it changes.
+    /// Applies a list unless a newer one is known; returns the changes.
     pub fn apply(&mut self, list: Rollouts, now: Time) -> Vec<RolloutChange> {
         let Rollouts { at, orders, unreadable, withdrawn } = list;
         let known = orders.into_iter().map(|order| (order.service.clone(), order)).collect();
@@ -96,14 +96,14 @@
     }
 
     fn begin(&mut self, order: &Rollout, now: Time) {
-        // Nothing goes there before the judge has told a share: what a node that is out of
-        // touch sends would not be counted against the cap.
+        // The share starts at 0 until the judge sets one: requests sent by a node that the judge
+        // cannot reach would not count against the cap.
         let since = order.revision;
         let trial = Trial { since, phase: Phase::Share(0.0), age: Age::new(Duration::ZERO, now) };
         self.trials.insert(order.service.clone(), trial);
     }
 
-    /// The order is gone from the list of a revision.
+    /// Records an order as withdrawn that is missing from the list of revision `at`.
     fn withdraw(&mut self, order: &Rollout, at: u64) {
         self.trials.remove(&order.service);
         let was_bad = match order.state {
@@ -115,7 +115,7 @@
         self.withdrawn.add(Withdrawn { service, version, was_bad, at });
     }
 
-    /// An order that could not be read is gone: it may have been for any version that it kept
+    /// An unreadable order was withdrawn: it may have been for any of the versions that it kept
     /// from serving.
     fn withdraw_unreadable(&mut self, service: &Name, at: u64) {
         let versions = self.live.versions(service).map(|(version, _)| version);
@@ -126,7 +126,8 @@
         }
     }
 
-    /// What was known of an order holds on while it cannot be read, whoever tells so.
+    /// Keeps the last known state of an order while it is unreadable, whichever source reports
+    /// that.
     fn retain_unreadable(&self, orders: &mut Orders) {
         for service in &orders.unreadable {
             if let Some(known) = self.order(service) {
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Takes from another node which orders were gone before this one heard of any.
+    /// Merges another node's list of the orders that were withdrawn before this node read its first
+    /// one.
     fn merge_withdrawn(&mut self, withdrawn: Vec<Withdrawn>, at: u64) {
         let began = *self.first_list.get_or_insert(at);
         if at < began {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Notes what serves where an order becomes unreadable.
+    /// Records which versions serve at the time when an order becomes unreadable.
     fn record_served(&mut self, unreadable: &BTreeSet<Name>) {
         for service in unreadable {
             if self.served.contains_key(service) {
--- a/crates/decide/src/rollout/versions/side.rs
+++ b/crates/decide/src/rollout/versions/side.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service get anything, and on which side of a roll-out they are.
+//! Which versions of a service get requests, and on which side of a rollout each of them is.
 
 use model::Name;
 use model::forward::{Phase, Rollout, RolloutState, Side};
@@ -6,17 +6,17 @@
 use super::Versions;
 use crate::rollout::live::VersionTargets;
 
-/// Some versions of a service.
+/// A set of versions of one service.
 #[derive(Debug)]
 pub enum VersionSet<'a> {
-    /// Whatever there is.
+    /// Every version.
     All,
-    /// These.
+    /// The listed versions.
     Listed(Vec<&'a Name>),
 }
 
 impl VersionSet<'_> {
-    /// Whether a version is one of them.
+    /// Whether the set contains a version.
     pub fn contains(&self, version: &Name) -> bool {
         match self {
             VersionSet::All => true,
@@ -26,8 +26,8 @@
 }
 
 impl Versions {
-    /// Whether orders are known up to where the version was first seen, or none was seen
-    /// before it.
+    /// Whether orders are known up to the revision at which the version first appeared, or it was
+    /// the first of its service.
     pub(super) fn is_settled(&self, service: &str, version: &str, at: u64) -> bool {
         let Some(targets) = self.live.get(service, version) else {
             return false;
@@ -36,13 +36,13 @@
             || self.live.versions(service).all(|(_, o)| targets.first_revision <= o.first_revision)
     }
 
-    /// Versions of a service on one side.
+    /// Versions of a service on one side of a rollout.
     pub fn on_side(&self, service: &str, side: Side) -> VersionSet<'_> {
         self.select(service, |is| is == Some(side))
     }
 
-    /// Sides to which calls of a stage service may go, each with the part of all pieces that it
-    /// may get if it is on trial.
+    /// Sides to which calls of a stage service may go; the trial side comes with the share of all
+    /// pieces that it may get, if that is limited.
     pub fn call_sides(&self, service: &str) -> Vec<(Side, Option<f64>)> {
         match self.phase(service) {
             Some(Phase::Share(share)) => vec![(Side::Serving, None), (Side::Trial, Some(share))],
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Versions of a service that get anything.
+    /// Versions of a service that get requests.
     pub fn on_any_side(&self, service: &str) -> VersionSet<'_> {
         self.select(service, |is| is.is_some())
     }
@@ -70,7 +70,7 @@
         VersionSet::Listed(versions.filter(wanted).collect())
     }
 
-    /// The side of a roll-out that a version of a service is on; `None` if it gets nothing.
+    /// Side of a rollout on which a version is; `None` if it gets no requests.
     pub fn side(&self, service: &str, version: &str) -> Option<Side> {
         if !self.orders.is_followed() {
             return Some(Side::Serving);
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Whether a version came after an order to another one was completed. An old target may
-    /// write its entry anew before it stops; what started before the completed version did is
-    /// none that came after it.
+    /// Whether a version is a release later than the completion of `order`, which was for another
+    /// version. An old target may rewrite its entry before it stops, so a version that started
+    /// before the completed one does not count as later.
     pub(super) fn is_later_release(&self, service: &str, version: &str, order: &Rollout) -> bool {
         let is_newer = |targets: &&VersionTargets| targets.first_revision > order.revision;
         let Some(targets) = self.live.get(service, version).filter(is_newer) else {
@@ -112,7 +112,8 @@
         completed.is_none_or(|completed| !targets.started_before(completed))
     }
 
-    /// Whether a version serves by the orders, whatever requests go to one on trial now.
+    /// Whether a version serves according to the orders, regardless of the share that a trial
+    /// version gets now.
     pub(super) fn serves_ignoring_phase(&self, service: &str, version: &str) -> bool {
         let running = self.order(service).filter(|order| !order.state.is_final());
         match running {
@@ -124,9 +125,9 @@
         }
     }
 
-    /// Whether the order of its service cannot be read, and may be for this version: it did not
-    /// serve before. A node that saw nothing before lets the oldest one serve, since with none
-    /// the service would be away.
+    /// Whether the unreadable order of its service may be for this version, which is so if it did
+    /// not serve before. A node that had no list before lets the oldest version serve, since
+    /// without any the service would be unavailable.
     pub(super) fn may_be_on_trial(&self, service: &str, version: &str) -> bool {
         let Some(served) = self.served.get(service) else {
             return false;
@@ -153,13 +154,13 @@
         match phase {
             Some(Phase::Back) if is_named => None,
             _ if is_named => Some(Side::Trial),
-            // As long as the new version can take all of them.
+            // As long as the new version has targets for all requests.
             Some(Phase::All) if self.count(service, &order.version) > 0 => None,
             _ => Some(Side::Serving),
         }
     }
 
-    /// Whether its order was withdrawn or replaced, and another version can serve.
+    /// Whether its order was withdrawn or replaced and another version can serve.
     pub(super) fn is_withdrawn(&self, service: &str, version: &str) -> bool {
         let Some(withdrawn) = self.withdrawn.get(service, version) else {
             return false;
--- a/crates/decide/src/rollout/versions/trial.rs
+++ b/crates/decide/src/rollout/versions/trial.rs
@@ -1,4 +1,4 @@
-//! The running order of a service: its phase, its age, and which requests it takes.
+//! The running order of a service: its phase, its age, and the requests that it gets.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use super::Versions;
 use crate::rollout::age::Age;
 
-/// What this node does for a running order.
+/// A running order at this node.
 #[derive(Debug)]
 pub(super) struct Trial {
-    /// First revision at which the order is known here.
+    /// First revision at which this node knows the order.
     pub(super) since: u64,
     pub(super) phase: Phase,
     pub(super) age: Age,
 }
 
 impl Versions {
-    /// The side that a request goes to; always the same for one attempt while the phase holds.
+    /// Side that an attempt goes to; stable for each attempt while the phase holds.
     pub fn side_for_attempt(&self, service: &str, attempt: &str) -> Side {
         let Some(trial) = self.trials.get(service) else {
             return Side::Serving;
@@ -39,13 +39,13 @@
         }
     }
 
-    /// What names a service's running order.
+    /// Identity of a service's running order.
     pub fn order_id(&self, service: &str) -> Option<RolloutId> {
         let trial = self.trials.get(service)?;
         Some(self.order(service)?.id(trial.since))
     }
 
-    /// The running order that is meant.
+    /// The running order with this identity.
     pub fn find_order(&self, id: &RolloutId) -> Option<&Rollout> {
         let own = self.order_id(&id.service)?;
         self.order(&id.service).filter(|_| own.is_same(id))
@@ -56,8 +56,8 @@
         self.trials.get(service).map(|trial| trial.phase)
     }
 
-    /// Works by another phase of an order from now on; returns whether that is a change. What
-    /// was taken back stays so, and what all requests were sent to does not go back to a share.
+    /// Sets the phase of an order; returns whether that is a change. A rollback is final, and an
+    /// order that gets all requests does not return to a share.
     pub fn set_phase(&mut self, id: &RolloutId, phase: Phase) -> bool {
         if self.find_order(id).is_none() {
             return false;
@@ -76,12 +76,12 @@
         true
     }
 
-    /// Time since any node first heard of a service's running order, as far as is known here.
+    /// Time since the earliest known moment at which a node learned of a service's running order.
     pub fn age(&self, service: &str, now: Time) -> Option<Duration> {
         Some(self.trials.get(service)?.age.elapsed(now))
     }
 
-    /// The order is at least so old: another node heard of it before.
+    /// Raises the age of an order to `at_least`, as reported by a node that learned of it earlier.
     pub fn raise_age(&mut self, id: &RolloutId, at_least: Duration, now: Time) {
         let is_meant = self.find_order(id).is_some();
         if let Some(trial) = self.trials.get_mut(&id.service).filter(|_| is_meant) {
@@ -90,8 +90,8 @@
     }
 }
 
-/// A number in 0..1 that belongs to an attempt; by hash, so that nodes need no counts, a
-/// restarted node forgets nothing, and repeats of an attempt count once.
+/// Maps an attempt to a number in 0..1. A hash needs no counters that nodes would share, survives a
+/// restart, and gives repeats of an attempt the same result.
 fn hash_fraction(service: &str, attempt: &str) -> f64 {
     let drawn = hash::mix(hash::of(attempt.as_bytes()), hash::of(service.as_bytes()));
     (drawn >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/decide/src/rollout/withdrawn.rs
+++ b/crates/decide/src/rollout/withdrawn.rs
@@ -1,23 +1,23 @@
-//! Versions whose order was withdrawn or replaced before it was completed.
+//! Versions whose order was withdrawn or replaced before it completed.
 //!
-//! The store tells nothing of them any more, so nodes tell each other: one that starts takes
-//! from the others what happened before it heard of any orders itself.
+//! The store no longer holds them, so nodes exchange them: a starting node learns from its peers
+//! which orders were withdrawn before it read its first list.
 
 use std::collections::BTreeMap;
 
 use model::Name;
 use model::forward::Withdrawn;
 
-/// Versions of one service that are remembered. Those of more orders than this have been
-/// stopped long ago, and their targets take memory and time to look them up no more.
+/// Versions kept for each service. Those of more orders than this were stopped long ago, and
+/// keeping them only costs memory and lookup time.
 const MAX_PER_SERVICE: usize = 8;
 
-/// By service, the oldest first.
+/// Withdrawn versions by service, oldest first.
 #[derive(Debug, Default)]
 pub struct WithdrawnVersions(BTreeMap<Name, Vec<Withdrawn>>);
 
 impl WithdrawnVersions {
-    /// Remembers one; what was known of the same version before is forgotten.
+    /// Adds a version, replacing an earlier entry of the same one.
     pub fn add(&mut self, withdrawn: Withdrawn) {
         self.remove(&withdrawn.service, &withdrawn.version);
         let versions = self.0.entry(withdrawn.service.clone()).or_default();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The version was ordered again.
+    /// Removes a version that was ordered again.
     pub fn remove(&mut self, service: &str, version: &str) {
         let Some(versions) = self.0.get_mut(service) else {
             return;
@@ -39,12 +39,12 @@
         }
     }
 
-    /// What is known of a version.
+    /// Entry of a version.
     pub fn get(&self, service: &str, version: &str) -> Option<&Withdrawn> {
         self.0.get(service)?.iter().find(|known| *known.version == *version)
     }
 
-    /// All of them, for another node.
+    /// All entries, to send to another node.
     pub fn all(&self) -> Vec<Withdrawn> {
         self.0.values().flatten().cloned().collect()
     }
--- a/crates/decide/src/route/health.rs
+++ b/crates/decide/src/route/health.rs
@@ -1,17 +1,17 @@
-//! Ejection of a target that fails again and again.
+//! Ejection of a target after repeated failures.
 
 use std::time::Duration;
 
 use model::Time;
 
-/// Failures in a row that eject a target.
+/// Consecutive failures that eject a target.
 const EJECT_AFTER: u32 = 5;
-/// First ejection; doubles with each further one.
+/// Duration of the first ejection; doubles with each further one.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// Longest ejection.
+/// Maximum duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(30);
 
-/// Whether one target has earned trust lately.
+/// Recent failures and ejections of one target.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     failures: u32,
@@ -20,7 +20,7 @@
 }
 
 impl Health {
-    /// The target answered.
+    /// Records an answer; the ejection backoff resets unless the target is ejected.
     pub fn success(&mut self, now: Time) {
         self.failures = 0;
         if now >= self.until {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The target failed; returns true if this ejects it.
+    /// Records a failure; returns true if it ejects the target.
     pub fn failure(&mut self, now: Time) -> bool {
         self.failures += 1;
         if self.failures < EJECT_AFTER || now < self.until {
@@ -41,7 +41,7 @@
         true
     }
 
-    /// Whether the target is ejected.
+    /// Whether the target is ejected at `now`.
     pub fn ejected(&self, now: Time) -> bool {
         now < self.until
     }
--- a/crates/decide/src/route/mod.rs
+++ b/crates/decide/src/route/mod.rs
@@ -1,8 +1,7 @@
-//! Which target takes a request.
+//! Selection of the target for a request.
 //!
-//! [`PoolTable`] is what one entry node believes about one pool: reports that
-//! lag, what it sent since, and who is ejected or leaving. A [`Policy`] chooses
-//! among its candidates.
+//! [`PoolTable`] is one entry node's view of one pool: reports that lag, the attempts sent since,
+//! and which targets are ejected or leaving. A [`Policy`] chooses among its candidates.
 
 mod health;
 mod policy;
@@ -17,10 +16,10 @@
 pub use share::PrefixShares;
 pub use table::{PoolTable, Slot, TargetInfo};
 
-/// Bytes of a prompt that make its prefix; about the first 64 tokens.
+/// Length of a prompt's prefix in bytes; about the first 64 tokens.
 pub const PREFIX_BYTES: usize = 256;
 
-/// Hash of a prompt's leading block.
+/// Hash of a prompt's prefix.
 pub fn prefix(text: &str) -> u64 {
     let bytes = text.as_bytes();
     model::hash::of(&bytes[..bytes.len().min(PREFIX_BYTES)])
--- a/crates/decide/src/route/policy.rs
+++ b/crates/decide/src/route/policy.rs
@@ -1,4 +1,4 @@
-//! The routing policies: ours and the baselines it is measured against.
+//! The routing policies: the default one and the baselines it is measured against.
 
 use std::fmt;
 
@@ -10,25 +10,25 @@
 use super::table::{PoolTable, Slot};
 use crate::rng::Rng;
 
-/// Targets looked at along the rendezvous order of a prefix.
+/// Targets considered in the rendezvous order of a prefix.
 const MAX_RANKED: usize = 8;
-/// Targets behind the homes among which a spill goes.
+/// Targets after the homes among which a spill chooses.
 const SPILL_CANDIDATES: usize = 3;
 /// Distance classes: own failure domain, own region, beyond.
 const DISTANCES: u8 = 3;
 
-/// What is asked of a policy.
+/// Input of a policy for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteQuery<'a> {
-    /// Now.
+    /// Current time.
     pub now: Time,
     /// Hash of the prompt's leading block, or of the session.
     pub prefix: u64,
     /// `model@version`, for engines.
     pub model: Option<&'a str>,
-    /// Milliseconds that the step has.
+    /// Time left for the step, milliseconds.
     pub budget: f64,
-    /// Targets that failed this step before.
+    /// Targets that already failed this step.
     pub tried: &'a [Name],
 }
 
@@ -44,7 +44,7 @@
     fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize>;
 }
 
-/// The policies by name, as settings and plans give them.
+/// Policies by name, as used in settings and benchmark plans.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyKind {
@@ -52,22 +52,22 @@
     RoundRobin,
     /// Fewest attempts in flight from this node.
     LeastOutstanding,
-    /// Rendezvous of the session, whatever the load.
+    /// Rendezvous hashing of the session, regardless of load.
     SessionHash,
-    /// Rendezvous of the session with a load bound on counts.
+    /// Rendezvous hashing of the session with a load bound on counts.
     SessionHashBound,
-    /// Rendezvous of the prefix with a bound on expected waiting time.
+    /// Rendezvous hashing of the prefix with a bound on the expected wait.
     #[default]
     Home,
     /// [`PolicyKind::Home`] without its load bound.
     HomeUnbound,
-    /// [`PolicyKind::Home`] that spills to the next in order, without two choices.
+    /// [`PolicyKind::Home`] that spills to the next target in order, without two choices.
     HomeNext,
     /// [`PolicyKind::Home`] with one home for every prefix, however hot.
     HomeSingle,
 }
 
-/// Makes a policy.
+/// Creates a policy; `seed` drives its random choices.
 pub fn make(kind: PolicyKind, seed: u64) -> Box<dyn Policy> {
     let tuning = HomeTuning::default();
     match kind {
@@ -115,10 +115,9 @@
     }
 }
 
-/// Rendezvous of the session. With a bound, a target with more than `bound`
-/// times the mean in flight is passed over (Mirrokni, Thorup, Zadimoghaddam,
-/// "Consistent hashing with bounded loads", 2016): the baseline that kvroute
-/// leaves out.
+/// Rendezvous hashing of the session. With a bound, a target with more than `bound` times the mean
+/// in flight is skipped (Mirrokni, Thorup, Zadimoghaddam, "Consistent hashing with bounded loads",
+/// 2016): the baseline that kvroute leaves out.
 #[derive(Debug)]
 pub struct SessionHash {
     bound: Option<f64>,
@@ -144,18 +143,18 @@
 /// Tuning of [`Home`].
 #[derive(Debug, Clone, Copy)]
 pub struct HomeTuning {
-    /// The home is declined only when its expected wait takes more than this
-    /// share of the step's budget; below that a spill buys nothing.
+    /// The home is skipped only if its expected wait takes more than this share of the step's
+    /// budget; below that, a spill gains nothing …
     pub max_wait_share: f64,
-    /// ... and only for a target whose expected wait is shorter by this factor.
+    /// … and only for a target whose expected wait is shorter by this factor …
     pub min_gain: f64,
-    /// ... that has a wait of no more than this share itself: where all are loaded
-    /// a spill only adds cold starts.
+    /// … and is itself at most this share of the budget: where all targets are loaded, a spill only
+    /// adds cold starts.
     pub max_spill_share: f64,
-    /// Homes of a prefix for each target's fair share of the traffic that it has;
-    /// 0 keeps one home.
+    /// Number of homes of a prefix, relative to the number of targets that its share of the traffic
+    /// would fill; 0 keeps one home.
     pub spread: f64,
-    /// Targets compared once the home is declined.
+    /// Targets compared once the home is skipped.
     pub choices: usize,
 }
 
@@ -171,13 +170,13 @@
     }
 }
 
-/// Rendezvous of the prompt's prefix: every node finds the same home without a
-/// shared index. A hot prefix has as many homes as its share of the traffic asks
-/// for; every node sees about the same share in its own slice. A cold start costs the whole fleet prefill that it may not have
-/// to spare, so the home is declined only when staying would put the deadline at
-/// risk; then for the better of the next two in the same order, so that the spill
-/// is warm for all nodes too, and no node herds to the one least loaded by a
-/// stale report.
+/// Rendezvous hashing of the prompt's prefix: every node finds the same home without a shared
+/// index. A hot prefix has as many homes as its share of the traffic requires; every node sees
+/// about the same share in its own slice. A cold start costs the whole fleet prefill capacity that
+/// it may not have to spare, so the home is skipped only when waiting for it would put the deadline
+/// at risk. The request then goes to the better of the next two in the same order, so that all
+/// nodes spill to the same warm targets, and no herd forms at the target that a stale report shows
+/// as least loaded.
 #[derive(Debug)]
 pub struct Home {
     tuning: HomeTuning,
@@ -185,7 +184,7 @@
     rng: Rng,
 }
 
-/// The best slots along the order, in a fixed array: no allocation.
+/// Highest-scored slots of a rendezvous order, in a fixed array to avoid allocation.
 #[derive(Debug, Clone, Copy)]
 struct Ranking {
     len: usize,
@@ -216,12 +215,12 @@
 }
 
 impl Home {
-    /// A policy with this tuning.
+    /// Creates the policy with this tuning.
     pub fn new(tuning: HomeTuning, seed: u64) -> Self {
         Home { tuning, shares: PrefixShares::default(), rng: Rng::new(seed) }
     }
 
-    /// The order of one distance class's candidates, and their count.
+    /// Ranks the candidates of one distance class; also returns their number.
     fn rank(query: &RouteQuery, table: &PoolTable, distance: u8) -> (Ranking, usize) {
         let mut top = Ranking::new();
         let mut count = 0;
@@ -264,7 +263,7 @@
         if full || (idle && wait(other) * self.tuning.min_gain < home_wait) { other } else { home }
     }
 
-    /// The better of two homes drawn from those that a hot prefix has; all are warm.
+    /// The better of two homes drawn at random from those of a hot prefix; all are warm.
     fn best_home(
         &mut self,
         query: &RouteQuery,
@@ -299,7 +298,8 @@
             if s.in_flight < s.limit.width() {
                 return Some(i);
             }
-            // Everything near is at its limit: look further out, but keep this one.
+            // All targets this near are at their limit: try the next distance, but keep this one as
+            // the fallback.
             fallback = fallback.or(Some(i));
         }
         fallback
--- a/crates/decide/src/route/share.rs
+++ b/crates/decide/src/route/share.rs
@@ -1,19 +1,19 @@
-//! How much of a pool's traffic each prefix has, as one node sees it: a sketch
-//! of fixed size that fades, so it needs no allocation and no key is kept.
+//! Share of a pool's traffic that each prefix has, as seen by one node: a sketch of fixed size with
+//! decaying counters, so it needs no allocation and stores no keys.
 
 use model::hash::mix;
 
 /// Counters in one row.
 const WIDTH: usize = 1024;
-/// Rows; the least counter of a prefix is nearest to the truth (count-min,
-/// Cormode and Muthukrishnan 2005).
+/// Number of rows; the lowest counter of a prefix is the best estimate (count-min, Cormode and
+/// Muthukrishnan 2005).
 const ROWS: usize = 2;
 /// Requests after which all counters are halved.
 const HALVE_AFTER: u32 = 2048;
-/// Requests before a share means anything.
+/// Requests needed before a share is significant.
 const MIN_REQUESTS: u32 = 64;
 
-/// Shares of prefixes.
+/// Sketch of the share of each prefix.
 #[derive(Debug, Clone)]
 pub struct PrefixShares {
     counts: Box<[[u32; WIDTH]; ROWS]>,
@@ -27,7 +27,8 @@
 }
 
 impl PrefixShares {
-    /// Counts one request and returns its prefix's share of all, 0 while too few were seen.
+    /// Counts one request and returns its prefix's share of all requests; 0 while too few were
+    /// seen.
     pub fn count(&mut self, prefix: u64) -> f64 {
         self.total += 1;
         let mut least = u32::MAX;
--- a/crates/decide/src/route/table.rs
+++ b/crates/decide/src/route/table.rs
@@ -1,4 +1,4 @@
-//! One pool as one entry node sees it.
+//! One entry node's view of one pool.
 
 use std::time::Duration;
 
@@ -12,44 +12,44 @@
 const SMOOTHING: f64 = 0.2;
 /// Service time assumed before the first answer, milliseconds.
 const DEFAULT_SERVICE_MS: f64 = 20.0;
-/// Least work of a call, milliseconds.
+/// Minimum service time of a call, milliseconds.
 const MIN_WORK_MS: f64 = 0.5;
-/// A reported wait loses half its weight in this time.
+/// Time in which a reported wait loses half its weight.
 const HALF_LIFE: Duration = Duration::from_millis(500);
-/// Largest share of a pool that may be ejected at once.
+/// Maximum share of a pool that may be ejected at once.
 const MAX_EJECTED_SHARE: f64 = 0.34;
 
-/// What is declared about a target.
+/// Configured properties of a target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetInfo {
-    /// Name.
+    /// Unique name.
     pub name: Name,
     /// IP address and port.
     pub address: Name,
-    /// Failure domain.
+    /// Failure domain of its host.
     pub domain: Name,
     /// 0 in the node's own failure domain, 1 in its region, 2 beyond.
     pub distance: u8,
 }
 
-/// One target in a table.
+/// State of one target.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// What is declared.
+    /// Configured properties.
     pub info: TargetInfo,
-    /// Hash of the name, for rendezvous.
+    /// Hash of the name, for rendezvous hashing.
     pub hash: u64,
-    /// Answering, by the last report; true until one says otherwise.
+    /// Whether the last report showed it as ready; true until one says otherwise.
     pub ready: bool,
-    /// Leaving, or drained.
+    /// Whether it is leaving or drained.
     pub leaving: bool,
-    /// Model versions held, or `None` if nothing was reported.
+    /// Model versions it holds, or `None` if nothing was reported.
     pub models: Option<Vec<Name>>,
     /// Attempts that this node has in flight.
     pub in_flight: u32,
     /// Attempts sent since the last report.
     pub sent_since: u32,
-    /// Most attempts in flight.
+    /// Limit on the attempts in flight.
     pub limit: Concurrency,
     health: Health,
     service_ms: f64,
@@ -77,25 +77,25 @@
         }
     }
 
-    /// Expected wait of a new call, milliseconds: the last report fading out,
-    /// and the work of what this node sent since.
+    /// Expected wait of a new call, milliseconds: the last report with decaying weight, plus the
+    /// work of what this node sent since.
     pub fn wait(&self, now: Time) -> f64 {
         let age = now.since(self.reported_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        // Cheap stand-in for 2^-age, within 7 % of it over the first half-life.
+        // Cheap approximation of 2^-age, within 7 % of it over the first half-life.
         let faded = self.wait / (1.0 + age);
         let own = f64::from(self.sent_since) * self.service_ms;
         faded + own
     }
 }
 
-/// What one entry node believes about one pool.
+/// Targets of one pool with all that one entry node knows of them.
 #[derive(Debug, Clone, Default)]
 pub struct PoolTable {
     slots: Vec<Slot>,
 }
 
 impl PoolTable {
-    /// Takes a new list of targets; what is known about those that stay is kept.
+    /// Replaces the list of targets; the state of those that remain is kept.
     pub fn set_targets(&mut self, infos: Vec<TargetInfo>) {
         let mut old: Vec<Option<Slot>> = self.slots.drain(..).map(Some).collect();
         for info in infos {
@@ -114,12 +114,12 @@
         }
     }
 
-    /// The targets.
+    /// All targets.
     pub fn slots(&self) -> &[Slot] {
         &self.slots
     }
 
-    /// One target by name.
+    /// A target by name.
     pub fn slot(&self, name: &str) -> Option<&Slot> {
         self.slots.iter().find(|s| &*s.info.name == name)
     }
@@ -128,7 +128,7 @@
         self.slots.iter_mut().find(|s| &*s.info.name == name)
     }
 
-    /// Takes news about a target; older news than the last is ignored.
+    /// Applies a report about a target; one older than the last is ignored.
     pub fn update(&mut self, now: Time, news: &TargetNews) {
         let Some(s) = self.slot_mut(&news.report.target) else {
             return;
@@ -148,14 +148,14 @@
         s.sent_since = 0;
     }
 
-    /// Marks a target as leaving: by its own refusal, or a drained host.
+    /// Marks a target as leaving, after its own refusal or because its host is drained.
     pub fn mark_leaving(&mut self, name: &str) {
         if let Some(s) = self.slot_mut(name) {
             s.leaving = true;
         }
     }
 
-    /// An attempt was sent; returns the wait expected at that moment, milliseconds.
+    /// Records an attempt that was sent; returns the wait expected at that moment, milliseconds.
     pub fn record_sent(&mut self, now: Time, name: &str) -> f64 {
         let Some(s) = self.slot_mut(name) else {
             return 0.0;
@@ -166,20 +166,21 @@
         wait
     }
 
-    /// The first frame of an attempt came after `took`, where `wait` milliseconds were expected.
+    /// Records the first frame of an attempt after `took`, where a wait of `wait` milliseconds was
+    /// expected.
     pub fn record_first_frame(&mut self, now: Time, name: &str, wait: f64, took: Duration) {
         let Some(s) = self.slot_mut(name) else {
             return;
         };
         let ms = took.as_secs_f64() * 1e3;
-        // What is left of the time once the wait is taken off is the call's own work.
+        // The rest of the time, less the wait, is the call's own work.
         let work = (ms - wait).max(MIN_WORK_MS);
         s.service_ms += SMOOTHING * (work - s.service_ms);
         let in_flight = s.in_flight;
         s.limit.sample(now, ms, in_flight);
     }
 
-    /// An attempt ended well.
+    /// Records an attempt that succeeded.
     pub fn record_success(&mut self, now: Time, name: &str) {
         if let Some(s) = self.slot_mut(name) {
             s.in_flight = s.in_flight.saturating_sub(1);
@@ -187,7 +188,7 @@
         }
     }
 
-    /// The target told its expected wait with an answer.
+    /// Records the expected wait, in milliseconds, that the target sent with an answer.
     pub fn record_wait(&mut self, now: Time, name: &str, wait: u32) {
         if let Some(s) = self.slot_mut(name) {
             s.wait = f64::from(wait);
@@ -196,7 +197,7 @@
         }
     }
 
-    /// An attempt failed; returns true if that ejected the target.
+    /// Records an attempt that failed; returns true if that ejected the target.
     pub fn record_failure(&mut self, now: Time, name: &str) -> bool {
         let ejected = self.slots.iter().filter(|s| s.health.ejected(now)).count();
         let room = ((self.slots.len() as f64 * MAX_EJECTED_SHARE) as usize).max(1);
@@ -208,14 +209,14 @@
         (ejected < room) && s.health.failure(now)
     }
 
-    /// An attempt was cancelled, by nobody's fault.
+    /// Records an attempt that was cancelled through no fault of the target.
     pub fn record_cancel(&mut self, name: &str) {
         if let Some(s) = self.slot_mut(name) {
             s.in_flight = s.in_flight.saturating_sub(1);
         }
     }
 
-    /// Whether a target may take this request at all.
+    /// Whether a target can take a request for this model at all.
     #[inline]
     pub fn fits(s: &Slot, now: Time, model: Option<&str>) -> bool {
         let holds = match (model, &s.models) {
