--- a/crates/decide/src/rollout/versions.rs
+++ b/crates/decide/src/rollout/versions.rs
@@ -13,7 +13,7 @@
 use model::Name;
 use model::forward::{Rollout, Rollouts};
 
-use super::live::LiveVersions;
+use super::present::LiveVersions;
 use super::withdrawn::WithdrawnVersions;
 use crate::relay::Newest;
 
--- a/crates/decide/src/rollout/versions/side.rs
+++ b/crates/decide/src/rollout/versions/side.rs
@@ -4,7 +4,7 @@
 use model::forward::{Phase, Rollout, RolloutState, Side};
 
 use super::Versions;
-use crate::rollout::live::VersionTargets;
+use crate::rollout::present::VersionTargets;
 
 /// A set of versions of one service.
 #[derive(Debug)]
