--- a/crates/decide/src/rollout/age.rs
+++ b/crates/decide/src/rollout/age.rs
@@ -1,4 +1,4 @@
-//! How old an order is: as long ago as the node that has known of it longest heard of it.
+//! Age of an order, counted from the earliest time at which any node learned of it.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 /// Age of an order, which grows with time.
 #[derive(Debug, Clone, Copy)]
 pub struct Age {
-    was: Duration,
+    base: Duration,
     at: Time,
 }
 
 impl Age {
-    /// So old by now.
-    pub fn new(was: Duration, now: Time) -> Self {
-        Age { was, at: now }
+    /// An order that has this age now.
+    pub fn new(base: Duration, now: Time) -> Self {
+        Age { base, at: now }
     }
 
-    /// How old it is by now.
-    pub fn by(&self, now: Time) -> Duration {
-        self.was + now.since(self.at)
+    /// Age at `now`.
+    pub fn elapsed(&self, now: Time) -> Duration {
+        self.base + now.since(self.at)
     }
 
-    /// It is at least so old: another node heard of it before.
+    /// Raises the age to `at_least`, as reported by a node that learned of the order earlier.
     pub fn raise(&mut self, at_least: Duration, now: Time) {
-        *self = Age::new(self.by(now).max(at_least), now);
+        *self = Age::new(self.elapsed(now).max(at_least), now);
     }
 }
--- a/crates/decide/src/rollout/baseline.rs
+++ b/crates/decide/src/rollout/baseline.rs
@@ -1,18 +1,19 @@
-//! What is usual on a route: counted of the version that serves, over the whole time and of
-//! late, since an overload or a fault that hits both versions tells nothing of the new one.
+//! Failure rate and latencies of the serving version on one route. Recent answers are weighted
+//! separately from the total, since an overload or a fault that hits both versions is no evidence
+//! against the new one.
 
-use super::sequential::Usual;
+use super::sequential::BaseRate;
 use super::times;
 
-/// Good answers from which on their times tell what is slow.
-const TIMES_NEEDED: u64 = 10;
-/// Buckets by which an answer lies above the slowest tenth if it is slow: 1.4 to 2 times.
-const ABOVE_MOST: usize = 1;
-/// Buckets by which it also lies above the middle: 2 to 2.8 times, which a version three times
-/// slower passes.
-const ABOVE_MIDDLE: usize = 2;
+/// Successful answers needed before a latency can be called slow.
+const MIN_SAMPLES: u64 = 10;
+/// Buckets above the 90th percentile at which an answer is slow: 1.4 to 2 times as long.
+const BUCKETS_ABOVE_P90: usize = 1;
+/// Buckets above the median that a slow answer must also exceed: 2 to 2.8 times as long, so that a
+/// version three times slower is detected.
+const BUCKETS_ABOVE_MEDIAN: usize = 2;
 
-/// Answers of the version that serves on one route.
+/// Answers of the serving version on one route.
 #[derive(Debug, Default)]
 pub struct Baseline {
     failed: u64,
@@ -22,11 +23,11 @@
 }
 
 impl Baseline {
-    /// Takes answers.
-    pub fn take(&mut self, failed: u32, good: &[u32]) {
+    /// Adds failures and a latency histogram of successful answers.
+    pub fn record(&mut self, failed: u32, good: &[u32]) {
         self.failed += u64::from(failed);
         self.failed_recent += f64::from(failed);
-        times::add(&mut self.times, good);
+        times::merge(&mut self.times, good);
         if self.times_recent.len() < good.len() {
             self.times_recent.resize(good.len(), 0.0);
         }
@@ -35,41 +36,41 @@
         }
     }
 
-    /// Keeps this part of the weight of recent answers.
-    pub fn fade(&mut self, keep: f64) {
+    /// Multiplies the weight of recent answers by `keep`.
+    pub fn decay(&mut self, keep: f64) {
         self.failed_recent *= keep;
         self.times_recent.iter_mut().for_each(|n| *n *= keep);
     }
 
-    /// Failures so far.
+    /// Total number of failures.
     pub fn failed(&self) -> u64 {
         self.failed
     }
 
-    /// How often an answer is a failure.
-    pub fn failures(&self, before: Usual) -> Usual {
+    /// Failure rate: the recent one, with the overall rate of this route as its prior.
+    pub fn failure_rate(&self, prior: BaseRate) -> BaseRate {
         let good = times::total(&self.times);
-        let whole = Usual::seen(self.failed as f64, (self.failed + good) as f64, before);
+        let whole = BaseRate::estimate(self.failed as f64, (self.failed + good) as f64, prior);
         let good_recent: f64 = self.times_recent.iter().sum();
-        Usual::seen(self.failed_recent, self.failed_recent + good_recent, whole)
+        BaseRate::estimate(self.failed_recent, self.failed_recent + good_recent, whole)
     }
 
-    /// Bucket from which on a time is slow; `None` if too few are known.
-    pub fn slow_from(&self) -> Option<usize> {
-        if times::total(&self.times) < TIMES_NEEDED {
+    /// First bucket that counts as slow; `None` while too few answers are known.
+    pub fn slow_bucket(&self) -> Option<usize> {
+        if times::total(&self.times) < MIN_SAMPLES {
             return None;
         }
-        let middle = times::quantile(&self.times, 0.5)?;
-        let most = times::quantile(&self.times, 0.9)?;
-        Some((most + ABOVE_MOST).max(middle + ABOVE_MIDDLE) + 1)
+        let median = times::quantile(&self.times, 0.5)?;
+        let p90 = times::quantile(&self.times, 0.9)?;
+        Some((p90 + BUCKETS_ABOVE_P90).max(median + BUCKETS_ABOVE_MEDIAN) + 1)
     }
 
-    /// How often a time lies in a bucket from this one on.
-    pub fn slow(&self, from: usize) -> Usual {
+    /// Share of successful answers in bucket `from` or above.
+    pub fn slow_rate(&self, from: usize) -> BaseRate {
         let slow = times::count_from(&self.times, from);
         let good = times::total(&self.times);
-        let whole = Usual::seen(slow as f64, good as f64, Usual::UNKNOWN);
+        let whole = BaseRate::estimate(slow as f64, good as f64, BaseRate::UNKNOWN);
         let slow_recent: f64 = self.times_recent.iter().skip(from).sum();
-        Usual::seen(slow_recent, self.times_recent.iter().sum(), whole)
+        BaseRate::estimate(slow_recent, self.times_recent.iter().sum(), whole)
     }
 }
--- a/crates/decide/src/rollout/evidence.rs
+++ b/crates/decide/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! What one node's own requests show of the two versions of a service.
+//! Evidence from one node's own requests for both versions of a service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,36 +7,36 @@
 use model::{Name, Time};
 
 use super::baseline::Baseline;
-use super::sequential::{Test, Usual};
-use super::{Cause, Tally, Verdict, times};
+use super::sequential::{BaseRate, SequentialTest};
+use super::{Cause, Verdict, VersionCounts, times};
 
-/// Part of the weight of recent answers that each new one leaves: the last fifty count.
-const KEEP: f64 = 0.98;
-/// Nodes that judge by themselves beside each other; each has its chance of a false alarm.
-const NODES: usize = 100;
+/// Factor by which each new answer scales the weight of recent ones: about the last fifty count.
+const DECAY_FACTOR: f64 = 0.98;
+/// Assumed number of nodes that judge on their own at the same time, each with its chance of a
+/// false alarm.
+const ASSUMED_NODES: usize = 100;
 
-/// Time within which late answers of one node come together: once a pause of its host or its link
-/// is over, all that it held up comes within milliseconds. So one late answer in 20 ms counts at
-/// most, 50 a second for a node and route, which is enough to prove a slow version.
-const TOGETHER: Duration = Duration::from_millis(20);
+/// Time within which late answers at one node count as one burst: when a pause of its host or link
+/// ends, all delayed answers arrive within milliseconds. So at most one late answer in 20 ms
+/// counts, 50 a second for a node and route, which is enough to prove a version slow.
+const BURST_WINDOW: Duration = Duration::from_millis(20);
 
-/// What adding up parts of a call may lack of a whole.
-const ROUNDING: f64 = 1e-6;
+/// Rounding error of a sum of parts that make a whole.
+const ROUNDING_ERROR: f64 = 1e-6;
 
-/// Answers on one route, and the tests of them against its baseline.
+/// Answers on one route and the tests against its baseline.
 #[derive(Debug)]
 struct RouteTests {
     counts: RouteEvidence,
     baseline: Baseline,
-    /// Good answers of the version on trial that took too long.
+    /// Successful answers of the trial version that were too slow.
     slow: u64,
-    failures_test: Test,
-    slow_test: Test,
-    /// Parts of calls that failed and were not counted yet: of the version that serves, of the
-    /// one on trial.
-    owed: (f64, f64),
-    /// When a late answer of either version came last.
-    late: Option<Time>,
+    failures_test: SequentialTest,
+    slow_test: SequentialTest,
+    /// Failed parts of calls that are not counted yet: serving version, trial version.
+    partial_failures: (f64, f64),
+    /// Time of the last late answer of either version.
+    last_late: Option<Time>,
 }
 
 impl RouteTests {
@@ -47,10 +47,10 @@
             counts,
             baseline: Baseline::default(),
             slow: 0,
-            failures_test: Test::default(),
-            slow_test: Test::default(),
-            owed: (0.0, 0.0),
-            late: None,
+            failures_test: SequentialTest::default(),
+            slow_test: SequentialTest::default(),
+            partial_failures: (0.0, 0.0),
+            last_late: None,
         }
     }
 
@@ -61,15 +61,15 @@
         }
     }
 
-    /// Whether a call counts as a failure of which this part failed: one does for each whole
-    /// that the parts add up to.
-    fn owes(&mut self, side: Side, failed: f64) -> bool {
+    /// Adds the failed part of a call; returns whether the sum now completes one failure, which is
+    /// then counted.
+    fn completes_failure(&mut self, side: Side, failed: f64) -> bool {
         let owed = match side {
-            Side::Serving => &mut self.owed.0,
-            Side::Trial => &mut self.owed.1,
+            Side::Serving => &mut self.partial_failures.0,
+            Side::Trial => &mut self.partial_failures.1,
         };
         *owed += failed;
-        let is_whole = *owed >= 1.0 - ROUNDING;
+        let is_whole = *owed >= 1.0 - ROUNDING_ERROR;
         if is_whole {
             *owed -= 1.0;
         }
@@ -77,37 +77,37 @@
     }
 
     fn add_serving(&mut self, failed: u32, good: &[u32]) {
-        self.baseline.fade(KEEP);
-        self.baseline.take(failed, good);
+        self.baseline.decay(DECAY_FACTOR);
+        self.baseline.record(failed, good);
     }
 
     fn add_good_trial(&mut self, bucket: usize) {
-        self.failures_test.take(0.0, 1.0, self.baseline.failures(Usual::UNKNOWN));
-        let Some(from) = self.baseline.slow_from() else {
+        self.failures_test.record(0.0, 1.0, self.baseline.failure_rate(BaseRate::UNKNOWN));
+        let Some(from) = self.baseline.slow_bucket() else {
             return;
         };
         let slow = if bucket >= from { 1.0 } else { 0.0 };
         self.slow += u64::from(bucket >= from);
-        self.slow_test.take(slow, 1.0 - slow, self.baseline.slow(from));
+        self.slow_test.record(slow, 1.0 - slow, self.baseline.slow_rate(from));
     }
 
     fn verdict(&self, cause: Cause) -> Verdict {
         let Answers { sent, bad, .. } = self.counts.trial;
-        let trial = Tally { sent: u64::from(sent), bad: u64::from(bad) + self.slow };
+        let trial = VersionCounts { sent: u64::from(sent), bad: u64::from(bad) + self.slow };
         let Answers { sent, bad, .. } = self.counts.serving;
-        let serving = Tally { sent: u64::from(sent), bad: u64::from(bad) };
+        let serving = VersionCounts { sent: u64::from(sent), bad: u64::from(bad) };
         Verdict { cause, route: Some(self.counts.route.clone()), trial, serving }
     }
 
     fn proves_bad(&self, tests: usize) -> Option<Verdict> {
-        if self.failures_test.proof(tests) >= 1.0 {
+        if self.failures_test.threshold_ratio(tests) >= 1.0 {
             return Some(self.verdict(Cause::Failures));
         }
-        (self.slow_test.proof(tests) >= 1.0).then(|| self.verdict(Cause::Slow))
+        (self.slow_test.threshold_ratio(tests) >= 1.0).then(|| self.verdict(Cause::Slow))
     }
 }
 
-/// By service and route, both sides, since the order.
+/// Answers of both versions since the order, by service and route.
 #[derive(Debug, Default)]
 pub struct Evidence {
     services: BTreeMap<Name, BTreeMap<Name, RouteTests>>,
@@ -119,56 +119,58 @@
         routes.entry(route.clone()).or_insert_with(|| RouteTests::new(route.clone()))
     }
 
-    /// Requests went out, repeats included; those that share a call will have one answer.
-    pub fn sent(&mut self, service: &Name, route: &Name, side: Side, count: u32) {
+    /// Counts requests sent, repeats included; requests that share a call are counted separately,
+    /// though they will have one answer.
+    pub fn record_sent(&mut self, service: &Name, route: &Name, side: Side, count: u32) {
         self.route(service, route).side(side).sent += count;
     }
 
-    /// Notes a good answer that came late. Whether it came together with another one, of
-    /// whichever version: one thing held up both then, and it is not to count twice.
+    /// Notes the time of a successful answer that came late. Returns whether another one, of either
+    /// version, came late shortly before: both were then delayed by one cause, which must not count
+    /// twice.
     pub fn note_late(&mut self, service: &Name, route: &Name, took: Duration, now: Time) -> bool {
         let tests = self.route(service, route);
-        let from = tests.baseline.slow_from();
+        let from = tests.baseline.slow_bucket();
         if from.is_none_or(|from| times::bucket(took) < from) {
             return false;
         }
-        let last = tests.late.replace(now);
-        last.is_some_and(|at| now.since(at) < TOGETHER)
+        let last = tests.last_late.replace(now);
+        last.is_some_and(|at| now.since(at) < BURST_WINDOW)
     }
 
-    /// A good answer came after this time; from a target that was not cold.
-    pub fn good(&mut self, service: &Name, route: &Name, side: Side, took: Duration) {
+    /// Records a successful answer after this time, from a target that was not cold.
+    pub fn record_good(&mut self, service: &Name, route: &Name, side: Side, took: Duration) {
         let tests = self.route(service, route);
-        times::count(&mut tests.side(side).times, took);
+        times::record(&mut tests.side(side).times, took);
         let bucket = times::bucket(took);
         match side {
             Side::Serving => {
                 let mut good = Vec::new();
-                times::count(&mut good, took);
+                times::record(&mut good, took);
                 tests.add_serving(0, &good);
             }
             Side::Trial => tests.add_good_trial(bucket),
         }
     }
 
-    /// An answer was a failure of the version: not a connection that was refused or broke,
-    /// which tells of a target, nor a refusal because it was full.
-    pub fn bad(&mut self, service: &Name, route: &Name, side: Side) {
+    /// Records an answer that was a failure of the version. A connection that was refused or broke
+    /// concerns the target, and a refusal for lack of capacity is no failure.
+    pub fn record_bad(&mut self, service: &Name, route: &Name, side: Side) {
         let tests = self.route(service, route);
         tests.side(side).bad += 1;
         match side {
             Side::Serving => tests.add_serving(1, &[]),
             Side::Trial => {
-                let usual = tests.baseline.failures(Usual::UNKNOWN);
-                tests.failures_test.take(1.0, 0.0, usual);
+                let base = tests.baseline.failure_rate(BaseRate::UNKNOWN);
+                tests.failures_test.record(1.0, 0.0, base);
             }
         }
     }
 
-    /// A call was answered after this time, this part of its pieces as failed. It is one answer,
-    /// since its pieces share much of its fate, and a large call with one piece failed is no
-    /// worse than a small one. Returns whether it counts as a failure.
-    pub fn partly(
+    /// Records the answer to a call after this time, with the part of its pieces that failed. It
+    /// counts as one answer, since its pieces largely share one fate, and a large call with one
+    /// failed piece is no worse than a small one. Returns whether it counts as a failure.
+    pub fn record_partial(
         &mut self,
         service: &Name,
         route: &Name,
@@ -176,29 +178,29 @@
         failed: f64,
         took: Duration,
     ) -> bool {
-        let is_bad = self.route(service, route).owes(side, failed);
+        let is_bad = self.route(service, route).completes_failure(side, failed);
         match is_bad {
-            true => self.bad(service, route, side),
-            false => self.good(service, route, side, took),
+            true => self.record_bad(service, route, side),
+            false => self.record_good(service, route, side, took),
         }
         is_bad
     }
 
-    /// All of a service, for the judge.
+    /// Cumulative counts of a service, for a report to the judge.
     pub fn report(&self, service: &str) -> Vec<RouteEvidence> {
         let routes = self.services.get(service).into_iter().flat_map(|routes| routes.values());
         routes.map(|route| route.counts.clone()).collect()
     }
 
-    /// The order is over, or another one began.
+    /// Drops the evidence of a service whose order ended or was replaced.
     pub fn forget(&mut self, service: &str) {
         self.services.remove(service);
     }
 
-    /// Whether this node's own requests alone prove the version on trial bad.
+    /// Verdict if this node's own requests alone prove the trial version bad.
     pub fn proves_bad(&self, service: &str) -> Option<Verdict> {
         let routes = self.services.get(service)?;
-        let tests = 2 * routes.len() * NODES;
+        let tests = 2 * routes.len() * ASSUMED_NODES;
         routes.values().find_map(|route| route.proves_bad(tests))
     }
 }
--- a/crates/decide/src/rollout/judge.rs
+++ b/crates/decide/src/rollout/judge.rs
@@ -1,8 +1,8 @@
-//! Decides one order, at the node that comes first.
+//! Decides one order, on the node that is ranked first for its service.
 //!
-//! Two judges at a time are harmless: each tells the nodes that report to it, a state is written
-//! under the order's revision, and one that the store has as final ends the judge whatever it
-//! decided. A judge keeps nothing that reports do not bring again.
+//! Two judges at once are harmless: each answers only the nodes that report to it, a state is
+//! written conditionally on the order's revision, and a final state in the store ends every judge
+//! whatever it decided. All state of a judge is rebuilt from the reports.
 
 mod nodes;
 mod phases;
@@ -16,7 +16,7 @@
 
 use super::age::Age;
 use super::plan::Plan;
-use super::pool::Pool;
+use super::pool::EvidencePool;
 use super::{Cause, Verdict};
 use nodes::Nodes;
 use writes::Writes;
@@ -24,119 +24,119 @@
 /// Time between two ticks.
 const TICK: Duration = Duration::from_millis(100);
 
-/// What an operator allows of a version that may be bad.
+/// Operator's limits on the harm done by a bad version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Share of all requests to the service from the order to its deadline that it may get …
+    /// Share of all requests to the service, from the order to its deadline, that it may get …
     pub share: f64,
-    /// … and this many more.
+    /// … plus this number of requests.
     pub slack: u32,
-    /// Time after which it gets nothing once it is seen to be bad.
-    pub back: Duration,
+    /// Time after its detection as bad within which it must stop getting requests.
+    pub rollback_within: Duration,
 }
 
-/// What the judge hears.
+/// Input of a judge.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JudgeEvent {
-    /// A node tells what it saw.
+    /// A node's report.
     Report(RolloutReport),
-    /// Nodes that are up now.
+    /// All nodes that are up now.
     Nodes(Vec<NodeId>),
-    /// The order as the store has it.
+    /// The order as the store holds it.
     Order(Rollout),
-    /// Targets that may be used and are warm.
+    /// Usable targets that are warm.
     Targets {
-        /// Of the version that serves.
+        /// Targets of the serving version.
         serving: usize,
-        /// Of the version on trial.
+        /// Targets of the trial version.
         trial: usize,
     },
-    /// A write of a state ended; whether it stands. After `false` (refused, or its answer
-    /// lost) the order has to be read in the store and told.
+    /// A write of a state ended; `true` if it was applied. After `false` (refused, or the response
+    /// was lost), the order must be read from the store and passed in as `Order`.
     WriteEnded(bool),
-    /// Time passed.
+    /// Time passed; see [`Judge::next_tick`].
     Tick,
 }
 
-/// What the judge asks for.
+/// Output of a judge.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JudgeAction {
-    /// Writes the order's state, if its revision still is that of the last `Order`.
+    /// Write the order's state, on condition that its revision is that of the last `Order`.
     Write(RolloutState),
-    /// The version was judged bad, for a log line.
+    /// The version was judged bad; for a log line.
     Judged {
-        /// Why.
+        /// Reason and counts.
         verdict: Verdict,
         /// Age of the order.
         age: Duration,
     },
-    /// Another phase is in force.
+    /// The phase changed.
     Phase(Phase),
 }
 
-/// Decides one order.
+/// State machine that decides one order.
 #[derive(Debug)]
 pub struct Judge {
     bounds: Bounds,
     plan: Plan,
-    begun: Time,
+    started_at: Time,
     order: Rollout,
     /// First revision at which the order is known.
     since: u64,
     age: Age,
     phase: Phase,
-    /// Since when the greater share is in force.
-    step: Option<Time>,
-    /// Since when all requests go to the version.
-    all: Option<Time>,
-    /// Usable warm targets: of the version that serves, of the one on trial.
+    /// Start of the step at a larger share.
+    step_since: Option<Time>,
+    /// Time since when all requests go to the trial version.
+    all_since: Option<Time>,
+    /// Usable warm targets: serving version, trial version.
     targets: (usize, usize),
-    pool: Pool,
+    pool: EvidencePool,
     nodes: Nodes,
     writes: Writes,
-    /// Since when `Completed` may stand in the store.
-    completing: Option<Time>,
+    /// Time since when the store may hold `Completed`.
+    completing_since: Option<Time>,
     ended: bool,
 }
 
 impl Judge {
-    /// Takes up an order of this age that is known since a revision.
+    /// Starts to judge an order of this age, known since revision `since`.
     pub fn new(bounds: Bounds, order: Rollout, since: u64, age: Duration, now: Time) -> Self {
         let mut judge = Judge {
             bounds,
             plan: Plan::new(bounds, Duration::from_millis(order.lasts_ms)),
-            begun: now,
+            started_at: now,
             order,
             since,
             age: Age::new(age, now),
             phase: Phase::Share(0.0),
-            step: None,
-            all: None,
+            step_since: None,
+            all_since: None,
             targets: (0, 0),
-            pool: Pool::new(now),
+            pool: EvidencePool::new(now),
             nodes: Nodes::new(now),
             writes: Writes::default(),
-            completing: None,
+            completing_since: None,
             ended: false,
         };
         judge.end_if_final();
         judge
     }
 
-    /// Takes what happened; returns what is to be done.
-    pub fn on(&mut self, now: Time, event: JudgeEvent) -> Vec<JudgeAction> {
+    /// Handles an event and returns the actions to take.
+    pub fn handle(&mut self, now: Time, event: JudgeEvent) -> Vec<JudgeAction> {
         if self.ended {
             return Vec::new();
         }
         let before = self.phase;
         let mut actions = Vec::new();
-        self.nodes.awake(now);
+        self.nodes.note_event(now);
         match event {
             JudgeEvent::Report(report) => self.report(report, now, &mut actions),
             JudgeEvent::Nodes(up) => self.nodes.set_up(up, now),
-            JudgeEvent::Order(order) => self.take_order(order),
+            JudgeEvent::Order(order) => self.update_order(order),
             JudgeEvent::Targets { serving, trial } => self.targets = (serving, trial),
-            JudgeEvent::WriteEnded(stands) => self.write_ended(stands),
+            JudgeEvent::WriteEnded(applied) => self.write_ended(applied),
             JudgeEvent::Tick => {}
         }
         if !self.ended {
@@ -148,29 +148,29 @@
         actions
     }
 
-    /// What every report is answered with.
+    /// Reply to a report.
     pub fn answer(&self, now: Time) -> RolloutAnswer {
         let age_ms = self.age(now).as_millis() as u64;
         RolloutAnswer { order: self.id(), phase: self.phase, age_ms }
     }
 
-    /// The order that is judged.
+    /// Identity of the order that is judged.
     pub fn id(&self) -> RolloutId {
         self.order.id(self.since)
     }
 
-    /// The phase in force.
+    /// Current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When `Tick` is due next.
+    /// Time at which `Tick` is due next; never once the judge has ended.
     pub fn next_tick(&self, now: Time) -> Time {
         if self.ended { Time::NEVER } else { now + TICK }
     }
 
     fn age(&self, now: Time) -> Duration {
-        self.age.by(now)
+        self.age.elapsed(now)
     }
 
     fn report(&mut self, report: RolloutReport, now: Time, actions: &mut Vec<JudgeAction>) {
@@ -178,22 +178,22 @@
         if !report.order.is_alike(&own) {
             return;
         }
-        // What was seen of an earlier order tells nothing of this one, but that the node uses
-        // the old version until it hears of this one.
+        // A report on an earlier order is no evidence for this one; it only shows that the node
+        // uses the old version until it learns of this order.
         if !report.order.is_same(&own) {
-            return self.nodes.behind(report.node, now);
+            return self.nodes.mark_outdated(report.node, now);
         }
         self.age.raise(Duration::from_millis(report.age_ms), now);
-        self.nodes.reported(&report, now);
-        self.pool.take(&report.node, report.evidence, now);
+        self.nodes.record_report(&report, now);
+        self.pool.merge_report(&report.node, report.evidence, now);
         match report.phase {
-            Phase::Back => self.take_back(Cause::Reported, now, actions),
-            Phase::All => self.all_from(now),
+            Phase::Back => self.roll_back(Cause::Reported, now, actions),
+            Phase::All => self.send_all(now),
             Phase::Share(_) => {}
         }
     }
 
-    fn take_order(&mut self, order: Rollout) {
+    fn update_order(&mut self, order: Rollout) {
         if order.revision < self.order.revision {
             return;
         }
@@ -204,9 +204,9 @@
         }
         self.plan = Plan::new(self.bounds, Duration::from_millis(order.lasts_ms));
         self.order = order;
-        self.writes.order_seen();
+        self.writes.confirm();
         if self.writes.is_idle() {
-            self.completing = None;
+            self.completing_since = None;
         }
         self.end_if_final();
     }
@@ -220,8 +220,8 @@
         self.ended = true;
     }
 
-    fn write_ended(&mut self, stands: bool) {
-        let Some(state) = self.writes.ended(stands, self.order.state) else {
+    fn write_ended(&mut self, applied: bool) {
+        let Some(state) = self.writes.ended(applied, self.order.state) else {
             return;
         };
         if state.is_final() {
@@ -231,44 +231,45 @@
     }
 
     fn decide(&mut self, now: Time, actions: &mut Vec<JudgeAction>) {
-        let (proof, verdict) = self.pool.strongest();
-        if proof >= 1.0 {
-            self.judge_bad(verdict, now, actions);
+        let (ratio, verdict) = self.pool.strongest();
+        if ratio >= 1.0 {
+            self.reject(verdict, now, actions);
         }
         match self.phase {
             Phase::Back => {}
-            Phase::Share(_) => self.go_on(proof, now, actions),
-            Phase::All => self.finish(proof, now, actions),
+            Phase::Share(_) => self.advance(ratio, now, actions),
+            Phase::All => self.finish(ratio, now, actions),
         }
         let state = match self.phase {
             Phase::Back => RolloutState::RolledBack,
-            Phase::All if self.completing.is_some() => RolloutState::Completed,
+            Phase::All if self.completing_since.is_some() => RolloutState::Completed,
             Phase::All | Phase::Share(_) => RolloutState::Active,
         };
-        actions.extend(self.writes.want(state, self.order.state).map(JudgeAction::Write));
+        actions.extend(self.writes.start(state, self.order.state).map(JudgeAction::Write));
     }
 
-    fn take_back(&mut self, cause: Cause, now: Time, actions: &mut Vec<JudgeAction>) {
-        self.judge_bad(self.pool.verdict(cause, None), now, actions);
+    fn roll_back(&mut self, cause: Cause, now: Time, actions: &mut Vec<JudgeAction>) {
+        self.reject(self.pool.verdict(cause, None), now, actions);
     }
 
-    fn judge_bad(&mut self, verdict: Verdict, now: Time, actions: &mut Vec<JudgeAction>) {
+    fn reject(&mut self, verdict: Verdict, now: Time, actions: &mut Vec<JudgeAction>) {
         if self.phase == Phase::Back {
             return;
         }
-        // The old targets may have been stopped by now: going back would cut everybody off
-        // for as long as the store does not tell, which is worse than some bad answers.
-        if self.completing.is_some_and(|since| now < since + self.bounds.back / 2) {
+        // The old targets may be stopped by now: a rollback would leave callers without any target
+        // until the store reports the final state, which is worse than some bad answers.
+        if self.completing_since.is_some_and(|since| now < since + self.bounds.rollback_within / 2)
+        {
             return;
         }
         self.phase = Phase::Back;
         actions.push(JudgeAction::Judged { verdict, age: self.age(now) });
     }
 
-    fn all_from(&mut self, now: Time) {
+    fn send_all(&mut self, now: Time) {
         if self.phase != Phase::Back {
             self.phase = Phase::All;
-            self.all.get_or_insert(now);
+            self.all_since.get_or_insert(now);
         }
     }
 }
--- a/crates/decide/src/route/policy.rs
+++ b/crates/decide/src/route/policy.rs
@@ -1,4 +1,4 @@
-//! The routing policies: ours and the baselines it is measured against.
+//! The routing policies: the default one and the baselines it is measured against.
 
 use std::fmt;
 
@@ -6,33 +6,33 @@
 use model::{Name, Time};
 use serde::{Deserialize, Serialize};
 
-use super::share::Shares;
+use super::share::PrefixShares;
 use super::table::{PoolTable, Slot};
 use crate::rng::Rng;
 
-/// Targets looked at along the rendezvous order of a prefix.
-const ORDER: usize = 8;
-/// Targets behind the homes among which a spill goes.
-const SPILL: usize = 3;
+/// Targets considered in the rendezvous order of a prefix.
+const MAX_RANKED: usize = 8;
+/// Targets after the homes among which a spill chooses.
+const SPILL_CANDIDATES: usize = 3;
 /// Distance classes: own failure domain, own region, beyond.
 const DISTANCES: u8 = 3;
 
-/// What is asked of a policy.
+/// Input of a policy for one request.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
-    /// Now.
+pub struct RouteQuery<'a> {
+    /// Current time.
     pub now: Time,
     /// Hash of the prompt's leading block, or of the session.
     pub prefix: u64,
     /// `model@version`, for engines.
     pub model: Option<&'a str>,
-    /// Milliseconds that the step has.
+    /// Time left for the step, milliseconds.
     pub budget: f64,
-    /// Targets that failed this step before.
+    /// Targets that already failed this step.
     pub tried: &'a [Name],
 }
 
-impl Ask<'_> {
+impl RouteQuery<'_> {
     fn fits(&self, s: &Slot) -> bool {
         PoolTable::fits(s, self.now, self.model) && !self.tried.contains(&s.info.name)
     }
@@ -41,10 +41,10 @@
 /// Chooses a target.
 pub trait Policy: Send + fmt::Debug {
     /// Index of the chosen slot, or `None` if no candidate fits.
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize>;
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize>;
 }
 
-/// The policies by name, as settings and plans give them.
+/// Policies by name, as used in settings and benchmark plans.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyKind {
@@ -52,22 +52,22 @@
     RoundRobin,
     /// Fewest attempts in flight from this node.
     LeastOutstanding,
-    /// Rendezvous of the session, whatever the load.
+    /// Rendezvous hashing of the session, regardless of load.
     SessionHash,
-    /// Rendezvous of the session with a load bound on counts.
+    /// Rendezvous hashing of the session with a load bound on counts.
     SessionHashBound,
-    /// Rendezvous of the prefix with a bound on expected waiting time.
+    /// Rendezvous hashing of the prefix with a bound on the expected wait.
     #[default]
     Home,
     /// [`PolicyKind::Home`] without its load bound.
     HomeUnbound,
-    /// [`PolicyKind::Home`] that spills to the next in order, without two choices.
+    /// [`PolicyKind::Home`] that spills to the next target in order, without two choices.
     HomeNext,
     /// [`PolicyKind::Home`] with one home for every prefix, however hot.
     HomeSingle,
 }
 
-/// Makes a policy.
+/// Creates a policy; `seed` drives its random choices.
 pub fn make(kind: PolicyKind, seed: u64) -> Box<dyn Policy> {
     let tuning = HomeTuning::default();
     match kind {
@@ -77,7 +77,7 @@
         PolicyKind::SessionHashBound => Box::new(SessionHash { bound: Some(1.25) }),
         PolicyKind::Home => Box::new(Home::new(tuning, seed)),
         PolicyKind::HomeUnbound => {
-            Box::new(Home::new(HomeTuning { share: f64::INFINITY, ..tuning }, seed))
+            Box::new(Home::new(HomeTuning { max_wait_share: f64::INFINITY, ..tuning }, seed))
         }
         PolicyKind::HomeSingle => Box::new(Home::new(HomeTuning { spread: 0.0, ..tuning }, seed)),
         PolicyKind::HomeNext => Box::new(Home::new(HomeTuning { choices: 1, ..tuning }, seed)),
@@ -91,12 +91,12 @@
 }
 
 impl Policy for RoundRobin {
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
         let n = table.slots().len();
         for _ in 0..n {
             let i = self.next % n;
             self.next = i + 1;
-            if ask.fits(&table.slots()[i]) {
+            if query.fits(&table.slots()[i]) {
                 return Some(i);
             }
         }
@@ -109,94 +109,100 @@
 pub struct LeastOutstanding(Rng);
 
 impl Policy for LeastOutstanding {
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
-        let fitting = table.slots().iter().enumerate().filter(|(_, s)| ask.fits(s));
-        fitting.min_by_key(|(_, s)| (s.flying, self.0.next_u64())).map(|(i, _)| i)
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
+        let fitting = table.slots().iter().enumerate().filter(|(_, s)| query.fits(s));
+        fitting.min_by_key(|(_, s)| (s.in_flight, self.0.next_u64())).map(|(i, _)| i)
     }
 }
 
-/// Rendezvous of the session. With a bound, a target with more than `bound`
-/// times the mean in flight is passed over (Mirrokni, Thorup, Zadimoghaddam,
-/// "Consistent hashing with bounded loads", 2016): the baseline that kvroute
-/// leaves out.
+/// Rendezvous hashing of the session. With a bound, a target with more than `bound` times the mean
+/// in flight is skipped (Mirrokni, Thorup, Zadimoghaddam, "Consistent hashing with bounded loads",
+/// 2016): the baseline that kvroute leaves out.
 #[derive(Debug)]
 pub struct SessionHash {
     bound: Option<f64>,
 }
 
 impl Policy for SessionHash {
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
-        let most = self.bound.map(|b| {
-            let (mut n, mut flying) = (0.0, 1.0);
-            for s in table.slots().iter().filter(|s| ask.fits(s)) {
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
+        let max_in_flight = self.bound.map(|b| {
+            let (mut n, mut in_flight) = (0.0, 1.0);
+            for s in table.slots().iter().filter(|s| query.fits(s)) {
                 n += 1.0;
-                flying += f64::from(s.flying);
+                in_flight += f64::from(s.in_flight);
             }
-            (b * flying / n).ceil()
+            (b * in_flight / n).ceil()
         });
-        let fitting = table.slots().iter().enumerate().filter(|(_, s)| ask.fits(s));
-        let open = fitting.filter(|(_, s)| most.is_none_or(|m| f64::from(s.flying) < m));
-        open.max_by_key(|(_, s)| mix(ask.prefix, s.hash)).map(|(i, _)| i)
+        let fitting = table.slots().iter().enumerate().filter(|(_, s)| query.fits(s));
+        let has_room =
+            fitting.filter(|(_, s)| max_in_flight.is_none_or(|m| f64::from(s.in_flight) < m));
+        has_room.max_by_key(|(_, s)| mix(query.prefix, s.hash)).map(|(i, _)| i)
     }
 }
 
 /// Tuning of [`Home`].
 #[derive(Debug, Clone, Copy)]
 pub struct HomeTuning {
-    /// The home is declined only when its expected wait takes more than this
-    /// share of the step's budget; below that a spill buys nothing.
-    pub share: f64,
-    /// ... and only for a target whose expected wait is shorter by this factor.
-    pub gain: f64,
-    /// ... that has a wait of no more than this share itself: where all are loaded
-    /// a spill only adds cold starts.
-    pub idle: f64,
-    /// Homes of a prefix for each target's fair share of the traffic that it has;
-    /// 0 keeps one home.
+    /// The home is skipped only if its expected wait takes more than this share of the step's
+    /// budget; below that, a spill gains nothing …
+    pub max_wait_share: f64,
+    /// … and only for a target whose expected wait is shorter by this factor …
+    pub min_gain: f64,
+    /// … and is itself at most this share of the budget: where all targets are loaded, a spill only
+    /// adds cold starts.
+    pub max_spill_share: f64,
+    /// Number of homes of a prefix, relative to the number of targets that its share of the traffic
+    /// would fill; 0 keeps one home.
     pub spread: f64,
-    /// Targets compared once the home is declined.
+    /// Targets compared once the home is skipped.
     pub choices: usize,
 }
 
 impl Default for HomeTuning {
     fn default() -> Self {
-        HomeTuning { share: 0.2, gain: 2.0, idle: 0.05, spread: 1.5, choices: 2 }
+        HomeTuning {
+            max_wait_share: 0.2,
+            min_gain: 2.0,
+            max_spill_share: 0.05,
+            spread: 1.5,
+            choices: 2,
+        }
     }
 }
 
-/// Rendezvous of the prompt's prefix: every node finds the same home without a
-/// shared index. A hot prefix has as many homes as its share of the traffic asks
-/// for; every node sees about the same share in its own slice. A cold start costs the whole fleet prefill that it may not have
-/// to spare, so the home is declined only when staying would put the deadline at
-/// risk; then for the better of the next two in the same order, so that the spill
-/// is warm for all nodes too, and no node herds to the one least loaded by a
-/// stale report.
+/// Rendezvous hashing of the prompt's prefix: every node finds the same home without a shared
+/// index. A hot prefix has as many homes as its share of the traffic requires; every node sees
+/// about the same share in its own slice. A cold start costs the whole fleet prefill capacity that
+/// it may not have to spare, so the home is skipped only when waiting for it would put the deadline
+/// at risk. The request then goes to the better of the next two in the same order, so that all
+/// nodes spill to the same warm targets, and no herd forms at the target that a stale report shows
+/// as least loaded.
 #[derive(Debug)]
 pub struct Home {
     tuning: HomeTuning,
-    shares: Shares,
+    shares: PrefixShares,
     rng: Rng,
 }
 
-/// The best slots along the order, in a fixed array: no allocation.
+/// Highest-scored slots of a rendezvous order, in a fixed array to avoid allocation.
 #[derive(Debug, Clone, Copy)]
-struct Top {
+struct Ranking {
     len: usize,
-    score: [u64; ORDER],
-    index: [usize; ORDER],
+    score: [u64; MAX_RANKED],
+    index: [usize; MAX_RANKED],
 }
 
-impl Top {
+impl Ranking {
     fn new() -> Self {
-        Top { len: 0, score: [0; ORDER], index: [0; ORDER] }
+        Ranking { len: 0, score: [0; MAX_RANKED], index: [0; MAX_RANKED] }
     }
 
     #[inline]
     fn offer(&mut self, score: u64, index: usize) {
-        if self.len == ORDER && score <= self.score[ORDER - 1] {
+        if self.len == MAX_RANKED && score <= self.score[MAX_RANKED - 1] {
             return;
         }
-        let mut at = self.len.min(ORDER - 1);
+        let mut at = self.len.min(MAX_RANKED - 1);
         while at > 0 && self.score[at - 1] < score {
             self.score[at] = self.score[at - 1];
             self.index[at] = self.index[at - 1];
@@ -204,41 +210,47 @@
         }
         self.score[at] = score;
         self.index[at] = index;
-        self.len = (self.len + 1).min(ORDER);
+        self.len = (self.len + 1).min(MAX_RANKED);
     }
 }
 
 impl Home {
-    /// A policy with this tuning.
+    /// Creates the policy with this tuning.
     pub fn new(tuning: HomeTuning, seed: u64) -> Self {
-        Home { tuning, shares: Shares::default(), rng: Rng::new(seed) }
+        Home { tuning, shares: PrefixShares::default(), rng: Rng::new(seed) }
     }
 
-    /// The order of one distance class's candidates, and their count.
-    fn scan(ask: &Ask, table: &PoolTable, distance: u8) -> (Top, usize) {
-        let mut top = Top::new();
+    /// Ranks the candidates of one distance class; also returns their number.
+    fn rank(query: &RouteQuery, table: &PoolTable, distance: u8) -> (Ranking, usize) {
+        let mut top = Ranking::new();
         let mut count = 0;
         for (i, s) in table.slots().iter().enumerate() {
-            if s.info.distance == distance && ask.fits(s) {
-                top.offer(mix(ask.prefix, s.hash), i);
+            if s.info.distance == distance && query.fits(s) {
+                top.offer(mix(query.prefix, s.hash), i);
                 count += 1;
             }
         }
         (top, count)
     }
 
-    fn choose(&mut self, ask: &Ask, table: &PoolTable, top: &Top, homes: usize) -> usize {
-        let wait = |i: usize| table.slots()[i].wait(ask.now);
-        let open = |i: usize| table.slots()[i].flying < table.slots()[i].limit.max_in_flight();
-        let home = self.best_home(ask, table, top, homes);
+    fn home_or_spill(
+        &mut self,
+        query: &RouteQuery,
+        table: &PoolTable,
+        top: &Ranking,
+        homes: usize,
+    ) -> usize {
+        let wait = |i: usize| table.slots()[i].wait(query.now);
+        let has_room = |i: usize| table.slots()[i].in_flight < table.slots()[i].limit.max_in_flight();
+        let home = self.best_home(query, table, top, homes);
         if top.len <= homes {
             return home;
         }
-        let at_home = wait(home);
-        if open(home) && at_home <= self.tuning.share * ask.budget {
+        let home_wait = wait(home);
+        if has_room(home) && home_wait <= self.tuning.max_wait_share * query.budget {
             return home;
         }
-        let rest = &top.index[homes..top.len.min(homes + SPILL)];
+        let rest = &top.index[homes..top.len.min(homes + SPILL_CANDIDATES)];
         let mut other = rest[0];
         if self.tuning.choices > 1 && rest.len() > 1 {
             let second = rest[1 + self.rng.below(rest.len() - 1)];
@@ -246,14 +258,20 @@
                 other = second;
             }
         }
-        let full = !open(home) && open(other);
-        let idle = wait(other) <= self.tuning.idle * ask.budget;
-        if full || (idle && wait(other) * self.tuning.gain < at_home) { other } else { home }
+        let full = !has_room(home) && has_room(other);
+        let idle = wait(other) <= self.tuning.max_spill_share * query.budget;
+        if full || (idle && wait(other) * self.tuning.min_gain < home_wait) { other } else { home }
     }
 
-    /// The better of two homes drawn from those that a hot prefix has; all are warm.
-    fn best_home(&mut self, ask: &Ask, table: &PoolTable, top: &Top, homes: usize) -> usize {
-        let wait = |i: usize| table.slots()[i].wait(ask.now);
+    /// The better of two homes drawn at random from those of a hot prefix; all are warm.
+    fn best_home(
+        &mut self,
+        query: &RouteQuery,
+        table: &PoolTable,
+        top: &Ranking,
+        homes: usize,
+    ) -> usize {
+        let wait = |i: usize| table.slots()[i].wait(query.now);
         if homes < 2 {
             return top.index[0];
         }
@@ -265,22 +283,23 @@
 }
 
 impl Policy for Home {
-    fn pick(&mut self, ask: &Ask, table: &PoolTable) -> Option<usize> {
-        let share = self.shares.count(ask.prefix);
+    fn pick(&mut self, query: &RouteQuery, table: &PoolTable) -> Option<usize> {
+        let share = self.shares.count(query.prefix);
         let mut fallback = None;
         for distance in 0..DISTANCES {
-            let (top, count) = Self::scan(ask, table, distance);
+            let (top, count) = Self::rank(query, table, distance);
             if top.len == 0 {
                 continue;
             }
             let fair = (share * count as f64 * self.tuning.spread).ceil() as usize;
             let homes = fair.clamp(1, top.len);
-            let i = self.choose(ask, table, &top, homes);
+            let i = self.home_or_spill(query, table, &top, homes);
             let s = &table.slots()[i];
-            if s.flying < s.limit.max_in_flight() {
+            if s.in_flight < s.limit.max_in_flight() {
                 return Some(i);
             }
-            // Everything near is at its limit: look further out, but keep this one.
+            // All targets this near are at their limit: try the next distance, but keep this one as
+            // the fallback.
             fallback = fallback.or(Some(i));
         }
         fallback
