--- a/crates/bench/src/slopes/members.rs
+++ b/crates/bench/src/slopes/members.rs
@@ -53,7 +53,7 @@
                 capacity: 0,
             };
             let mut m = Member::new(node, Tuning::default(), d.wire.rng.draw());
-            m.on(Time::ZERO, Event::Seeds((0..3.min(n)).map(address).collect()));
+            m.handle_event(Time::ZERO, Event::Seeds((0..3.min(n)).map(address).collect()));
             d.nodes.push(Some(m));
             let at = Time(d.wire.rng.below(1_000_000) as u64);
             d.wire.at(at, Todo::Tick(i));
@@ -109,7 +109,7 @@
             return;
         };
         let begun = Instant::now();
-        let actions = m.on(self.wire.now, event);
+        let actions = m.handle_event(self.wire.now, event);
         self.spent += begun.elapsed();
         for action in actions {
             match action {
@@ -126,7 +126,7 @@
                     let who = (0..self.nodes.len()).find(|n| address(*n) == r.node.address);
                     self.dead.extend(who.map(|w| (i, w, self.wire.now)));
                 }
-                Action::Changed(_) | Action::Heard(..) => {}
+                Action::Changed(_) | Action::NewerManifest(..) => {}
             }
         }
     }
--- a/crates/bench/src/slopes/starts.rs
+++ b/crates/bench/src/slopes/starts.rs
@@ -51,9 +51,9 @@
             domain: format!("d{}", i % DOMAINS).into(),
             capacity: u8::from((i / DOMAINS).is_multiple_of(HUB_EVERY)),
         };
-        let mut member = Member::new(node, Tuning::of_nodes(), self.wire.rng.draw());
+        let mut member = Member::new(node, Tuning::for_serving_nodes(), self.wire.rng.draw());
         self.born[i] = self.wire.now;
-        member.on(Time::ZERO, Event::Seeds((1..4).map(address).collect()));
+        member.handle_event(Time::ZERO, Event::Seeds((1..4).map(address).collect()));
         self.nodes[i] = Some(member);
         self.wire.at(self.wire.now, Todo::Tick(i));
     }
@@ -63,7 +63,7 @@
             return;
         };
         let now = Time::ZERO + self.wire.now.since(self.born[i]);
-        for action in member.on(now, event) {
+        for action in member.handle_event(now, event) {
             if let Action::Send(to, packet) = action {
                 let bytes = length(&packet);
                 self.wire.send(i, to, packet, bytes);
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -48,8 +48,8 @@
         let settings = &args.shared.settings;
         let mut machine = Member::new(args.me, Tuning::default(), rand::random());
         let now = args.shared.clock.now();
-        machine.on(now, Event::Seeds(settings.seeds.clone()));
-        machine.on(now, Event::Links(settings.links.clone()));
+        machine.handle_event(now, Event::Seeds(settings.seeds.clone()));
+        machine.handle_event(now, Event::Links(settings.links.clone()));
         tokio::spawn(receive(args.socket.clone(), me.clone()));
         let mut actor = Membership {
             shared: args.shared,
@@ -81,7 +81,7 @@
     async fn feed(&mut self, event: Event, me: &ActorRef<Self>) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            for action in self.machine.on(self.shared.clock.now(), event) {
+            for action in self.machine.handle_event(self.shared.clock.now(), event) {
                 if let Some(next) = self.act(action).await {
                     events.push(next);
                 }
@@ -99,7 +99,7 @@
                 let _ = self.socket.send_to(&bytes, to).await;
                 None
             }
-            Action::Heard(number, from) => {
+            Action::NewerManifest(number, from) => {
                 let from = Source::Peer(from.to_string().into());
                 let heard = FollowerEvent::Heard { number, from };
                 let _ = self.config.tell(crate::config::Happened(heard)).await;
@@ -121,7 +121,7 @@
         let members = Members {
             nodes,
             relays: self.machine.relays(),
-            in_force: self.machine.in_force(number),
+            in_force: self.machine.manifest_progress(number),
         };
         self.shared.members.store(Arc::new(members));
     }
--- a/crates/decide/src/member/gossip.rs
+++ b/crates/decide/src/member/gossip.rs
@@ -11,18 +11,18 @@
 use super::types::Action;
 
 /// Peers told at once of a refutation.
-const ACQUIT: usize = 5;
+const REFUTATION_FANOUT: usize = 5;
 /// Least time between two answers to a digest that differs.
-const SYNC_EVERY: Duration = Duration::from_secs(2);
+const SYNC_INTERVAL: Duration = Duration::from_secs(2);
 /// Time for which changes count as recent. Rumors reach nearly everybody sooner.
-const RECENT: Duration = Duration::from_secs(4);
+const RECENT_WINDOW: Duration = Duration::from_secs(4);
 /// Part of the list up to which the recent changes are told in its place.
-const RECENT_MOST: f64 = 0.25;
+const MAX_RECENT_SHARE: f64 = 0.25;
 /// Time between two exchanges of whole lists for each peer on them, so that a node's part of
 /// them does not grow with the fleet.
-const FULL_SYNC_EACH: Duration = Duration::from_millis(60);
+const FULL_SYNC_PER_PEER: Duration = Duration::from_millis(60);
 /// Most that a node blames itself.
-pub(super) const SELF_MAX: u32 = 4;
+pub(super) const MAX_HEALTH_SCORE: u32 = 4;
 
 impl Member {
     pub(super) fn declare(
@@ -34,25 +34,25 @@
     ) {
         if let Some(peer) = self.peers.get(id) {
             let rumor = Rumor { health, ..peer.rumor(now) };
-            self.learn(now, &rumor, out);
+            self.apply_rumor(now, &rumor, out);
         }
     }
 
     /// Takes news about another node and passes it on if it is new.
-    pub(super) fn learn(&mut self, now: Time, rumor: &Rumor, out: &mut Vec<Action>) {
-        let was = self.peers.get(&rumor.node.id).map(|p| p.health);
-        if !self.peers.take(now, rumor) {
+    pub(super) fn apply_rumor(&mut self, now: Time, rumor: &Rumor, out: &mut Vec<Action>) {
+        let previous = self.peers.get(&rumor.node.id).map(|p| p.health);
+        if !self.peers.apply(now, rumor) {
             return;
         }
-        if was == Some(Health::Suspect) && rumor.health == Health::Alive {
-            self.acquit(rumor, out);
+        if previous == Some(Health::Suspect) && rumor.health == Health::Alive {
+            self.broadcast_refutation(rumor, out);
         }
         self.outbox.push(rumor.clone());
         out.push(Action::Changed(rumor.clone()));
         match rumor.health {
-            Health::Suspect => self.warn(rumor, out),
+            Health::Suspect => self.notify_suspect(rumor, out),
             Health::Alive => {
-                self.greet(now, rumor, out);
+                self.announce_to_hub(now, rumor, out);
                 for id in self.peers.earlier_starts(&rumor.node.id, now) {
                     self.declare(now, &id, Health::Dead, out);
                 }
@@ -63,9 +63,9 @@
 
     /// Tells a suspect directly, so that it can refute to whoever suspects it in
     /// one round trip, long before rumors would have gone to it and back.
-    pub(super) fn warn(&mut self, rumor: &Rumor, out: &mut Vec<Action>) {
+    pub(super) fn notify_suspect(&mut self, rumor: &Rumor, out: &mut Vec<Action>) {
         let start = rumor.node.id.start;
-        let mut packet = self.bare(Purpose::Ping { start });
+        let mut packet = self.empty_packet(Purpose::Ping { start });
         packet.rumors.push(rumor.clone());
         out.push(Action::Send(rumor.node.address, packet));
     }
@@ -87,25 +87,27 @@
         p: &Packet,
         out: &mut Vec<Action>,
     ) {
-        let due = self.last_sync == Time::ZERO || now.since(self.last_sync) >= SYNC_EVERY;
-        if p.digest == self.digest() || !due || self.peers.get(&p.from).is_none() {
+        let is_due = self.last_sync == Time::ZERO || now.since(self.last_sync) >= SYNC_INTERVAL;
+        if p.digest == self.digest() || !is_due || self.peers.get(&p.from).is_none() {
             return;
         }
         self.last_sync = now;
-        let most = (self.peers.up() as f64 * RECENT_MOST) as usize;
-        let since = Time(now.0.saturating_sub(RECENT.as_micros() as u64));
-        let recent: Vec<Rumor> = self.peers.news_since(since, now).take(most + 1).collect();
-        let is_full_due = now.since(self.full_sync) >= FULL_SYNC_EACH * self.peers.up() as u32;
-        if is_full_due || recent.len() > most {
-            self.full_sync = now;
+        let max_recent = (self.peers.up() as f64 * MAX_RECENT_SHARE) as usize;
+        let window_start = Time(now.0.saturating_sub(RECENT_WINDOW.as_micros() as u64));
+        let recent: Vec<Rumor> =
+            self.peers.rumors_since(window_start, now).take(max_recent + 1).collect();
+        let is_full_due =
+            now.since(self.last_full_sync) >= FULL_SYNC_PER_PEER * self.peers.up() as u32;
+        if is_full_due || recent.len() > max_recent {
+            self.last_full_sync = now;
             return self.push_all(from, out);
         }
         self.push_each(from, &recent, out);
     }
 
-    pub(super) fn hear(&mut self, now: Time, rumor: &Rumor, out: &mut Vec<Action>) {
+    pub(super) fn handle_rumor(&mut self, now: Time, rumor: &Rumor, out: &mut Vec<Action>) {
         if rumor.node.id != self.me.id {
-            return self.learn(now, rumor, out);
+            return self.apply_rumor(now, rumor, out);
         }
         if rumor.health >= Health::Dead {
             // Buried while paused or cut off: come back as a new member.
@@ -115,17 +117,17 @@
         } else if rumor.health == Health::Suspect && rumor.incarnation >= self.incarnation {
             // Somebody doubts this node: refute, and take it as a hint of slowness.
             self.incarnation = rumor.incarnation + 1;
-            self.blame = (self.blame + 1).min(SELF_MAX);
+            self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
             self.outbox.push(self.own_rumor());
             let rumor = self.own_rumor();
-            self.acquit(&rumor, out);
+            self.broadcast_refutation(&rumor, out);
         }
     }
 
     /// Passes a refutation on at once: it races with the suspicion's end.
-    pub(super) fn acquit(&mut self, rumor: &Rumor, out: &mut Vec<Action>) {
-        for to in self.sample(ACQUIT, &rumor.node.id) {
-            let mut packet = self.bare(Purpose::News);
+    pub(super) fn broadcast_refutation(&mut self, rumor: &Rumor, out: &mut Vec<Action>) {
+        for to in self.sample(REFUTATION_FANOUT, &rumor.node.id) {
+            let mut packet = self.empty_packet(Purpose::News);
             packet.rumors.push(rumor.clone());
             out.push(Action::Send(to, packet));
         }
--- a/crates/decide/src/member/machine.rs
+++ b/crates/decide/src/member/machine.rs
@@ -14,31 +14,31 @@
 use crate::rng::Rng;
 
 /// One period in this many tries a seed that nobody is known to be at.
-const SEED_EVERY: usize = 5;
+const SEED_RETRY_PERIODS: usize = 5;
 /// Time for which the addresses of peers that left or died are tried: most come back at
 /// the same address within seconds, and their seeds may be down by then.
-const GONE_TRIED: Duration = Duration::from_secs(60);
+const LOST_RETRY_WINDOW: Duration = Duration::from_secs(60);
 /// Such addresses tried in one period, in turn.
-const GONE_EACH: usize = 3;
+const LOST_PER_PERIOD: usize = 3;
 /// Times the patience after which a probe has failed: the direct one, and the
 /// two hops of the helpers' one.
-const ROUNDS: u32 = 3;
+const PROBE_TIMEOUTS: u32 = 3;
 
 #[derive(Debug)]
 pub(super) struct Probe {
     pub(super) seq: u32,
     pub(super) target: NodeId,
     pub(super) sent: Time,
-    pub(super) asked: bool,
+    pub(super) helpers_asked: bool,
 }
 
 #[derive(Debug)]
-pub(super) struct Errand {
+pub(super) struct IndirectProbe {
     pub(super) seq: u32,
     pub(super) origin: SocketAddr,
     pub(super) origin_seq: u32,
     pub(super) target: NodeId,
-    pub(super) until: Time,
+    pub(super) expires: Time,
 }
 
 /// Membership as one node sees it.
@@ -47,24 +47,24 @@
     pub(super) me: Node,
     pub(super) tuning: Tuning,
     pub(super) incarnation: u32,
-    pub(super) number: u64,
+    pub(super) manifest: u64,
     pub(super) peers: Peers,
-    pub(super) order: Vec<NodeId>,
+    pub(super) probe_order: Vec<NodeId>,
     pub(super) probe: Option<Probe>,
-    pub(super) errands: Vec<Errand>,
+    pub(super) indirect_probes: Vec<IndirectProbe>,
     pub(super) outbox: Outbox,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) links: Vec<SocketAddr>,
-    pub(super) blame: u32,
-    pub(super) failed: bool,
+    pub(super) health_score: u32,
+    pub(super) last_probe_failed: bool,
     pub(super) last_sync: Time,
     /// When a peer was last told the whole list since digests differed.
-    pub(super) full_sync: Time,
-    pub(super) retell: u8,
+    pub(super) last_full_sync: Time,
+    pub(super) rebroadcasts: u8,
     /// Which of the lost addresses is tried next.
-    pub(super) turn: usize,
+    pub(super) next_lost: usize,
     pub(super) seq: u32,
-    pub(super) next: Time,
+    pub(super) next_period: Time,
     pub(super) now: Time,
     pub(super) left: bool,
     pub(super) joining: Joining,
@@ -87,22 +87,22 @@
             me,
             tuning,
             incarnation: 0,
-            number: 0,
+            manifest: 0,
             peers: Peers::default(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
-            errands: Vec::new(),
+            indirect_probes: Vec::new(),
             outbox,
             seeds: Vec::new(),
             links: Vec::new(),
-            blame: 0,
-            failed: false,
+            health_score: 0,
+            last_probe_failed: false,
             last_sync: Time::ZERO,
-            full_sync: Time::ZERO,
-            retell: 0,
-            turn: 0,
+            last_full_sync: Time::ZERO,
+            rebroadcasts: 0,
+            next_lost: 0,
             seq: 0,
-            next: Time::ZERO,
+            next_period: Time::ZERO,
             now: Time::ZERO,
             left: false,
             joining: Joining::default(),
@@ -140,7 +140,7 @@
 
     /// Manifest in force on this node.
     pub fn applied(&self) -> u64 {
-        self.number
+        self.manifest
     }
 
     /// Nodes that are up, this one included.
@@ -149,9 +149,9 @@
     }
 
     /// Nodes up, those with the manifest `number` or a higher one, and the lowest.
-    pub fn in_force(&self, number: u64) -> (usize, usize, u64) {
-        let own = std::iter::once(self.number);
-        let all = own.chain(self.peers().map(|p| p.number));
+    pub fn manifest_progress(&self, number: u64) -> (usize, usize, u64) {
+        let own = std::iter::once(self.manifest);
+        let all = own.chain(self.peers().map(|p| p.manifest));
         let (mut nodes, mut applied, mut lowest) = (0, 0, u64::MAX);
         for n in all {
             nodes += 1;
@@ -167,119 +167,120 @@
             return Time::NEVER;
         }
         let probe = match &self.probe {
-            Some(p) if !p.asked => p.sent + self.patience(),
-            Some(p) => p.sent + self.patience() * ROUNDS,
+            Some(p) if !p.helpers_asked => p.sent + self.probe_timeout(),
+            Some(p) => p.sent + self.probe_timeout() * PROBE_TIMEOUTS,
             None => Time::NEVER,
         };
-        self.next.min(probe).min(self.joining.next(self.now))
+        self.next_period.min(probe).min(self.joining.next(self.now))
     }
 
     /// Takes one event; returns what is to be done.
-    pub fn on(&mut self, now: Time, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.now = now;
-        self.begin(now);
+        self.mark_started(now);
         match event {
             Event::Tick => self.tick(now, &mut out),
-            Event::Packet { from, packet } => self.packet(now, from, packet, &mut out),
+            Event::Packet { from, packet } => self.handle_packet(now, from, packet, &mut out),
             Event::Seeds(mut seeds) => {
                 seeds.retain(|s| *s != self.me.address);
                 self.seeds = seeds;
             }
             Event::Links(links) => self.links = links,
-            Event::Applied(number) => self.put_in_force(number, &mut out),
+            Event::Applied(number) => self.set_manifest(number, &mut out),
             Event::Load(load) => self.outbox.push_load(load),
             Event::Leave => self.leave(&mut out),
         }
         out
     }
 
-    pub(super) fn patience(&self) -> Duration {
-        self.tuning.timeout * (self.blame + 1)
+    pub(super) fn probe_timeout(&self) -> Duration {
+        self.tuning.timeout * (self.health_score + 1)
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.left {
             return;
         }
-        self.ask_helpers(now, out);
-        let patience = self.patience();
-        let over = self.probe.as_ref().is_some_and(|p| now >= p.sent + patience * ROUNDS);
-        if over {
-            self.end_probe(now, out);
-            self.bury(now, out);
+        self.request_indirect_probes(now, out);
+        let timeout = self.probe_timeout();
+        let timed_out =
+            self.probe.as_ref().is_some_and(|p| now >= p.sent + timeout * PROBE_TIMEOUTS);
+        if timed_out {
+            self.fail_probe(now, out);
+            self.expire_suspects(now, out);
         }
         self.pull(now, out);
-        if now < self.next {
+        if now < self.next_period {
             return;
         }
-        self.end_probe(now, out);
-        self.bury(now, out);
-        self.errands.retain(|e| now < e.until);
+        self.fail_probe(now, out);
+        self.expire_suspects(now, out);
+        self.indirect_probes.retain(|e| now < e.expires);
         if self.peers.up() == 0 {
-            return self.seek(now, out);
+            return self.contact_seed(now, out);
         }
-        self.next = now + self.tuning.period;
+        self.next_period = now + self.tuning.period;
         self.start_probe(now, out);
-        self.tell_link(out);
-        self.tell_reporters(out);
-        self.try_lost(now, out);
+        self.notify_link(out);
+        self.notify_reporters(out);
+        self.ping_lost_addresses(now, out);
     }
 
     /// Probes addresses where peers were lately, or now and then a seed, that nobody is
     /// known to be at: so nodes that restarted while their seeds were down, and the two
     /// sides of a healed partition, find each other.
-    fn try_lost(&mut self, now: Time, out: &mut Vec<Action>) {
-        let is_lost = |a: &SocketAddr| *a != self.me.address && !self.peers.is_at(*a);
-        let mut lost = self.peers.gone_since(now, GONE_TRIED);
+    fn ping_lost_addresses(&mut self, now: Time, out: &mut Vec<Action>) {
+        let is_lost = |a: &SocketAddr| *a != self.me.address && !self.peers.has_address(*a);
+        let mut lost = self.peers.departed_since(now, LOST_RETRY_WINDOW);
         lost.retain(is_lost);
-        if lost.is_empty() && self.rng.below(SEED_EVERY) == 0 {
+        if lost.is_empty() && self.rng.below(SEED_RETRY_PERIODS) == 0 {
             let seeds: Vec<SocketAddr> = self.seeds.iter().copied().filter(is_lost).collect();
             if !seeds.is_empty() {
                 lost.push(seeds[self.rng.below(seeds.len())]);
             }
         }
-        let all = lost.len();
-        for i in 0..all.min(GONE_EACH) {
-            let to = lost[(self.turn + i) % all];
+        let count = lost.len();
+        for i in 0..count.min(LOST_PER_PERIOD) {
+            let to = lost[(self.next_lost + i) % count];
             let packet = self.hello();
             out.push(Action::Send(to, packet));
         }
-        self.turn = self.turn.wrapping_add(GONE_EACH);
+        self.next_lost = self.next_lost.wrapping_add(LOST_PER_PERIOD);
     }
 
-    fn packet(&mut self, now: Time, from: SocketAddr, p: Packet, out: &mut Vec<Action>) {
+    fn handle_packet(&mut self, now: Time, from: SocketAddr, p: Packet, out: &mut Vec<Action>) {
         if self.left || p.from == self.me.id {
             return;
         }
         for rumor in &p.rumors {
-            self.hear(now, rumor, out);
+            self.handle_rumor(now, rumor, out);
         }
         for load in &p.loads {
             out.push(Action::Load(*load));
         }
-        self.peers.note_number(&p.from, p.number);
-        if p.number > self.number {
-            out.push(Action::Heard(p.number, from));
+        self.peers.note_manifest(&p.from, p.number);
+        if p.number > self.manifest {
+            out.push(Action::NewerManifest(p.number, from));
         }
         if matches!(p.purpose, Purpose::Ping { .. } | Purpose::Ack) {
             self.anti_entropy(now, from, &p, out);
         }
         match p.purpose {
-            Purpose::Ping { start } => self.ping(from, start, &p, out),
-            Purpose::Ack => self.ack(now, &p.from, p.seq, out),
-            Purpose::Ask(node) => self.errand(now, from, p.seq, node, out),
-            Purpose::Answered(id) => self.settle(&id, p.seq),
-            Purpose::News => self.news(from, &p.from, p.number, out),
+            Purpose::Ping { start } => self.handle_ping(from, start, &p, out),
+            Purpose::Ack => self.handle_ack(now, &p.from, p.seq, out),
+            Purpose::Ask(node) => self.handle_ask(now, from, p.seq, node, out),
+            Purpose::Answered(id) => self.complete_probe(&id, p.seq),
+            Purpose::News => self.handle_news(from, &p.from, p.number, out),
         }
     }
 
     fn leave(&mut self, out: &mut Vec<Action>) {
         self.incarnation += 1;
         let rumor = Rumor { health: Health::Left, ..self.own_rumor() };
-        let all: Vec<_> = self.peers().map(|p| p.node.address).collect();
-        for to in all {
-            let mut packet = self.bare(Purpose::News);
+        let addresses: Vec<_> = self.peers().map(|p| p.node.address).collect();
+        for to in addresses {
+            let mut packet = self.empty_packet(Purpose::News);
             packet.rumors.push(rumor.clone());
             out.push(Action::Send(to, packet));
         }
--- a/crates/decide/src/member/manifests.rs
+++ b/crates/decide/src/member/manifests.rs
@@ -8,38 +8,38 @@
 use super::types::Action;
 
 /// Peers told at once about a new manifest.
-const PUSH: usize = 3;
+const PUSH_FANOUT: usize = 3;
 /// Times that the reporters are told again of a manifest; datagrams get lost.
-const RETELL: u8 = 2;
+const REBROADCASTS: u8 = 2;
 
 impl Member {
-    pub(super) fn news(
+    pub(super) fn handle_news(
         &mut self,
         from: SocketAddr,
         sender: &NodeId,
         number: u64,
         out: &mut Vec<Action>,
     ) {
-        let stranger = self.peers.get(sender).is_none();
-        if stranger && number < self.number {
-            let packet = self.bare(Purpose::News);
+        let is_unknown = self.peers.get(sender).is_none();
+        if is_unknown && number < self.manifest {
+            let packet = self.empty_packet(Purpose::News);
             out.push(Action::Send(from, packet));
         }
     }
 
-    pub(super) fn put_in_force(&mut self, number: u64, out: &mut Vec<Action>) {
-        if number <= self.number {
+    pub(super) fn set_manifest(&mut self, number: u64, out: &mut Vec<Action>) {
+        if number <= self.manifest {
             return;
         }
-        self.number = number;
-        self.retell = RETELL;
+        self.manifest = number;
+        self.rebroadcasts = REBROADCASTS;
         let id = self.me.id.clone();
-        let mut told = self.sample(PUSH, &id);
-        told.extend(self.reporters());
-        told.sort_unstable();
-        told.dedup();
-        for to in told {
-            let packet = self.bare(Purpose::News);
+        let mut recipients = self.sample(PUSH_FANOUT, &id);
+        recipients.extend(self.reporters());
+        recipients.sort_unstable();
+        recipients.dedup();
+        for to in recipients {
+            let packet = self.empty_packet(Purpose::News);
             out.push(Action::Send(to, packet));
         }
     }
@@ -60,22 +60,22 @@
         model::hash::rendezvous("relay", names.into_iter(), RELAYS)
     }
 
-    pub(super) fn tell_link(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn notify_link(&mut self, out: &mut Vec<Action>) {
         if self.links.is_empty() || !self.relays().contains(&self.me.id.name) {
             return;
         }
         let to = self.links[self.rng.below(self.links.len())];
-        let packet = self.bare(Purpose::News);
+        let packet = self.empty_packet(Purpose::News);
         out.push(Action::Send(to, packet));
     }
 
-    pub(super) fn tell_reporters(&mut self, out: &mut Vec<Action>) {
-        if self.retell == 0 {
+    pub(super) fn notify_reporters(&mut self, out: &mut Vec<Action>) {
+        if self.rebroadcasts == 0 {
             return;
         }
-        self.retell -= 1;
+        self.rebroadcasts -= 1;
         for to in self.reporters() {
-            let packet = self.bare(Purpose::News);
+            let packet = self.empty_packet(Purpose::News);
             out.push(Action::Send(to, packet));
         }
     }
--- a/crates/decide/src/member/packets.rs
+++ b/crates/decide/src/member/packets.rs
@@ -8,9 +8,9 @@
 use super::machine::Member;
 
 /// Most rumors in one packet; keeps it under one Ethernet frame.
-const RUMORS: usize = 6;
+const MAX_RUMORS: usize = 6;
 /// Most loads in one packet.
-const LOADS: usize = 20;
+const MAX_LOADS: usize = 20;
 
 impl Member {
     pub(super) fn own_rumor(&self) -> Rumor {
@@ -18,26 +18,26 @@
             node: self.me.clone(),
             health: Health::Alive,
             incarnation: self.incarnation,
-            number: self.number,
+            number: self.manifest,
             up_ms: self.now.since(Time::ZERO).as_millis() as u64,
         }
     }
 
-    pub(super) fn bare(&self, purpose: Purpose) -> Packet {
+    pub(super) fn empty_packet(&self, purpose: Purpose) -> Packet {
         Packet {
             from: self.me.id.clone(),
             seq: 0,
             purpose,
-            number: self.number,
+            number: self.manifest,
             digest: self.digest(),
             rumors: Vec::new(),
             loads: Vec::new(),
         }
     }
 
-    pub(super) fn packet_of(&mut self, purpose: Purpose, seq: u32) -> Packet {
+    pub(super) fn gossip_packet(&mut self, purpose: Purpose, seq: u32) -> Packet {
         let packet = self.join_packet(purpose, seq);
-        let loads = self.outbox.take_loads(LOADS, self.peers.up() + 1);
+        let loads = self.outbox.take_loads(MAX_LOADS, self.peers.up() + 1);
         Packet { loads, ..packet }
     }
 
@@ -45,7 +45,7 @@
     /// It carries no loads: unlike rumors, nothing makes up for loads that the others missed.
     pub(super) fn join_packet(&mut self, purpose: Purpose, seq: u32) -> Packet {
         let nodes = self.peers.up() + 1;
-        let mut rumors = self.outbox.take(RUMORS, nodes);
+        let mut rumors = self.outbox.take(MAX_RUMORS, nodes);
         // The suspected hear of it first of all from whoever probes them.
         if matches!(purpose, Purpose::Ping { .. })
             && let Some(p) = self.probe.as_ref().and_then(|p| self.peers.get(&p.target))
@@ -53,11 +53,11 @@
         {
             rumors.push(p.rumor(self.now));
         }
-        Packet { seq, rumors, ..self.bare(purpose) }
+        Packet { seq, rumors, ..self.empty_packet(purpose) }
     }
 
-    pub(super) fn sample(&mut self, n: usize, but: &NodeId) -> Vec<SocketAddr> {
-        let drawn = self.peers.sample(n, but, &mut self.rng);
+    pub(super) fn sample(&mut self, n: usize, except: &NodeId) -> Vec<SocketAddr> {
+        let drawn = self.peers.sample(n, except, &mut self.rng);
         drawn.into_iter().map(|p| p.node.address).collect()
     }
 }
--- a/crates/decide/src/member/peers.rs
+++ b/crates/decide/src/member/peers.rs
@@ -11,7 +11,7 @@
 use crate::rng::Rng;
 
 /// How long the dead are remembered, so that old news cannot bring them back.
-const BURIED: Duration = Duration::from_secs(120);
+const DEAD_RETENTION: Duration = Duration::from_secs(120);
 
 /// Least difference by which a known uptime is corrected: what news of it was under way.
 const UPTIME_NOISE: Duration = Duration::from_millis(50);
@@ -19,7 +19,7 @@
 /// Least difference of uptimes from which two starts of a name are two processes. A process that
 /// was taken for dead goes on under a new start with the same uptime, which others know to within
 /// the time that news of it took.
-const RESTARTED: Duration = Duration::from_secs(2);
+const RESTART_UPTIME_GAP: Duration = Duration::from_secs(2);
 
 /// Peers looked at to tell whether any has run for long.
 const OLD_SAMPLE: usize = 32;
@@ -34,10 +34,10 @@
     /// Highest incarnation heard.
     pub incarnation: u32,
     /// Highest manifest known to be in force there.
-    pub number: u64,
-    /// Time that its process had run at `heard`.
-    up: Duration,
-    heard: Time,
+    pub manifest: u64,
+    /// Time that its process had run at `updated`.
+    uptime: Duration,
+    updated: Time,
     /// When this health began.
     pub since: Time,
     /// Independent suspicions heard.
@@ -52,7 +52,7 @@
 
     /// How long its process has run, as far as is known.
     pub fn uptime(&self, now: Time) -> Duration {
-        self.up + now.since(self.heard)
+        self.uptime + now.since(self.updated)
     }
 
     /// News of this peer.
@@ -61,7 +61,7 @@
             node: self.node.clone(),
             health: self.health,
             incarnation: self.incarnation,
-            number: self.number,
+            number: self.manifest,
             up_ms: self.uptime(now).as_millis() as u64,
         }
     }
@@ -72,15 +72,15 @@
 pub struct Peers {
     map: BTreeMap<NodeId, Peer>,
     /// Those that are up.
-    all: SampleSet<NodeId>,
+    live: SampleSet<NodeId>,
     /// The same by what their hosts bear.
-    up: BTreeMap<u8, SampleSet<NodeId>>,
+    by_capacity: BTreeMap<u8, SampleSet<NodeId>>,
     addresses: HashMap<SocketAddr, NodeId>,
     suspects: BTreeSet<NodeId>,
     /// Since when each has been as it is; the latest news of a fleet is at the end.
-    since: BTreeSet<(Time, NodeId)>,
+    by_change: BTreeSet<(Time, NodeId)>,
     /// Those that left or died, and when.
-    gone: BTreeSet<(Time, NodeId)>,
+    departed: BTreeSet<(Time, NodeId)>,
     /// Those of which something changed that others look at.
     changed: BTreeSet<NodeId>,
     digest: u32,
@@ -94,7 +94,7 @@
 impl Peers {
     /// Count of peers that are up.
     pub fn up(&self) -> usize {
-        self.all.len()
+        self.live.len()
     }
 
     /// Digest of the peers that are up; the same for all that agree.
@@ -114,29 +114,29 @@
 
     /// Peers whose hosts bear most, with how much that is.
     pub fn hubs(&self) -> Option<(u8, &SampleSet<NodeId>)> {
-        self.up.last_key_value().map(|(capacity, hubs)| (*capacity, hubs))
+        self.by_capacity.last_key_value().map(|(capacity, hubs)| (*capacity, hubs))
     }
 
     /// Up to `n` peers that are up but one, at random.
-    pub fn sample(&self, n: usize, but: &NodeId, rng: &mut Rng) -> Vec<&Peer> {
-        let drawn = self.all.sample(n, Some(but), rng);
+    pub fn sample(&self, n: usize, except: &NodeId, rng: &mut Rng) -> Vec<&Peer> {
+        let drawn = self.live.sample(n, Some(except), rng);
         drawn.into_iter().filter_map(|id| self.map.get(id)).collect()
     }
 
     /// Whether a peer is up at an address.
-    pub fn is_at(&self, address: SocketAddr) -> bool {
+    pub fn has_address(&self, address: SocketAddr) -> bool {
         self.addresses.contains_key(&address)
     }
 
     /// Addresses of peers that left or died within this time.
-    pub fn gone_since(&self, now: Time, within: Duration) -> Vec<SocketAddr> {
-        let gone = self.gone.iter().rev().take_while(|(at, _)| now.since(*at) < within);
+    pub fn departed_since(&self, now: Time, within: Duration) -> Vec<SocketAddr> {
+        let gone = self.departed.iter().rev().take_while(|(at, _)| now.since(*at) < within);
         gone.filter_map(|(_, id)| self.map.get(id)).map(|p| p.node.address).collect()
     }
 
     /// News of the peers whose health changed since this time, the latest first.
-    pub fn news_since(&self, since: Time, now: Time) -> impl Iterator<Item = Rumor> {
-        let recent = self.since.iter().rev().take_while(move |(at, _)| *at >= since);
+    pub fn rumors_since(&self, since: Time, now: Time) -> impl Iterator<Item = Rumor> {
+        let recent = self.by_change.iter().rev().take_while(move |(at, _)| *at >= since);
         recent.filter_map(|(_, id)| self.map.get(id)).map(move |p| p.rumor(now))
     }
 
@@ -153,9 +153,9 @@
     }
 
     /// Notes the manifest in force on a peer.
-    pub fn note_number(&mut self, id: &NodeId, number: u64) {
+    pub fn note_manifest(&mut self, id: &NodeId, number: u64) {
         if let Some(p) = self.map.get_mut(id) {
-            p.number = p.number.max(number);
+            p.manifest = p.manifest.max(number);
         }
     }
 
@@ -167,27 +167,27 @@
     }
 
     /// Takes news; returns whether it changed what is believed.
-    pub fn take(&mut self, now: Time, r: &Rumor) -> bool {
+    pub fn apply(&mut self, now: Time, r: &Rumor) -> bool {
         let id = &r.node.id;
         let Some(p) = self.map.get_mut(id) else {
-            let is_news = r.health < Health::Dead && !self.has_later_start(now, r);
-            return is_news && self.meet(now, r);
+            let is_new = r.health < Health::Dead && !self.has_later_start(now, r);
+            return is_new && self.add(now, r);
         };
-        p.number = p.number.max(r.number);
+        p.manifest = p.manifest.max(r.number);
         let up = Duration::from_millis(r.up_ms);
         if up > p.uptime(now) + UPTIME_NOISE {
-            (p.up, p.heard) = (up, now);
+            (p.uptime, p.updated) = (up, now);
             self.changed.insert(id.clone());
         }
-        let final_state = p.health >= Health::Dead;
-        let newer = (r.incarnation, r.health) > (p.incarnation, p.health);
-        let buries = r.health >= Health::Dead && !final_state;
-        if (final_state || !newer) && !buries {
+        let is_final = p.health >= Health::Dead;
+        let supersedes = (r.incarnation, r.health) > (p.incarnation, p.health);
+        let marks_dead = r.health >= Health::Dead && !is_final;
+        if (is_final || !supersedes) && !marks_dead {
             return false;
         }
         let was_up = p.is_up();
-        self.since.remove(&(p.since, id.clone()));
-        self.since.insert((now, id.clone()));
+        self.by_change.remove(&(p.since, id.clone()));
+        self.by_change.insert((now, id.clone()));
         p.health = r.health;
         p.incarnation = r.incarnation.max(p.incarnation);
         p.since = now;
@@ -200,7 +200,7 @@
             self.suspects.remove(id);
         }
         if was_up && !is_up {
-            self.lose(now, id);
+            self.mark_down(now, id);
         }
         true
     }
@@ -215,7 +215,7 @@
     /// Whether a later start of the node of which this tells is known.
     fn has_later_start(&self, now: Time, r: &Rumor) -> bool {
         let up = Duration::from_millis(r.up_ms);
-        self.other_starts(&r.node.id).any(|p| p.uptime(now) + RESTARTED < up)
+        self.other_starts(&r.node.id).any(|p| p.uptime(now) + RESTART_UPTIME_GAP < up)
     }
 
     /// Earlier starts of a peer, which are gone: a name runs once.
@@ -223,27 +223,27 @@
         let Some(up) = self.map.get(id).map(|p| p.uptime(now)) else {
             return Vec::new();
         };
-        let earlier = self.other_starts(id).filter(|p| p.uptime(now) > up + RESTARTED);
+        let earlier = self.other_starts(id).filter(|p| p.uptime(now) > up + RESTART_UPTIME_GAP);
         earlier.map(|p| p.node.id.clone()).collect()
     }
 
     /// Takes a peer that was not known.
-    fn meet(&mut self, now: Time, r: &Rumor) -> bool {
+    fn add(&mut self, now: Time, r: &Rumor) -> bool {
         let id = &r.node.id;
         let peer = Peer {
             node: r.node.clone(),
             health: r.health,
             incarnation: r.incarnation,
-            number: r.number,
-            up: Duration::from_millis(r.up_ms),
-            heard: now,
+            manifest: r.number,
+            uptime: Duration::from_millis(r.up_ms),
+            updated: now,
             since: now,
             confirms: 0,
         };
         self.map.insert(id.clone(), peer);
-        self.since.insert((now, id.clone()));
-        self.all.insert(id.clone());
-        self.up.entry(r.node.capacity).or_default().insert(id.clone());
+        self.by_change.insert((now, id.clone()));
+        self.live.insert(id.clone());
+        self.by_capacity.entry(r.node.capacity).or_default().insert(id.clone());
         self.addresses.insert(r.node.address, id.clone());
         if r.health == Health::Suspect {
             self.suspects.insert(id.clone());
@@ -254,32 +254,32 @@
     }
 
     /// A known peer is not up any more.
-    fn lose(&mut self, now: Time, id: &NodeId) {
+    fn mark_down(&mut self, now: Time, id: &NodeId) {
         let Some(p) = self.map.get(id) else {
             return;
         };
         self.digest ^= digest_of(id);
-        self.gone.insert((now, id.clone()));
-        self.all.remove(id);
+        self.departed.insert((now, id.clone()));
+        self.live.remove(id);
         if self.addresses.get(&p.node.address) == Some(id) {
             self.addresses.remove(&p.node.address);
         }
-        if let Some(alike) = self.up.get_mut(&p.node.capacity) {
-            alike.remove(id);
-            if alike.is_empty() {
-                self.up.remove(&p.node.capacity);
+        if let Some(same_capacity) = self.by_capacity.get_mut(&p.node.capacity) {
+            same_capacity.remove(id);
+            if same_capacity.is_empty() {
+                self.by_capacity.remove(&p.node.capacity);
             }
         }
     }
 
     /// Forgets those buried long ago.
-    pub fn forget(&mut self, now: Time) {
-        while let Some((at, id)) = self.gone.first().cloned() {
-            if now.since(at) < BURIED {
+    pub fn purge_departed(&mut self, now: Time) {
+        while let Some((at, id)) = self.departed.first().cloned() {
+            if now.since(at) < DEAD_RETENTION {
                 break;
             }
-            self.gone.remove(&(at, id.clone()));
-            self.since.remove(&(at, id.clone()));
+            self.departed.remove(&(at, id.clone()));
+            self.by_change.remove(&(at, id.clone()));
             // Not every program takes what changed.
             self.changed.remove(&id);
             self.map.remove(&id);
@@ -288,7 +288,8 @@
 
     /// Suspects whose time to refute is over.
     pub fn expired(&self, now: Time, wait: impl Fn(&Peer) -> Duration) -> Vec<NodeId> {
-        let over = |id: &&NodeId| self.map.get(*id).is_some_and(|p| now.since(p.since) >= wait(p));
-        self.suspects.iter().filter(over).cloned().collect()
+        let is_expired =
+            |id: &&NodeId| self.map.get(*id).is_some_and(|p| now.since(p.since) >= wait(p));
+        self.suspects.iter().filter(is_expired).cloned().collect()
     }
 }
--- a/crates/decide/src/member/probes.rs
+++ b/crates/decide/src/member/probes.rs
@@ -5,8 +5,8 @@
 use model::Time;
 use model::member::{Health, Node, NodeId, Packet, Purpose, Rumor};
 
-use super::gossip::SELF_MAX;
-use super::machine::{Errand, Member, Probe};
+use super::gossip::MAX_HEALTH_SCORE;
+use super::machine::{IndirectProbe, Member, Probe};
 use super::peers::Peer;
 use super::types::Action;
 
@@ -21,8 +21,8 @@
         let address = p.node.address;
         let start = target.start;
         self.seq = self.seq.wrapping_add(1);
-        self.probe = Some(Probe { seq: self.seq, target, sent: now, asked: false });
-        let packet = self.packet_of(Purpose::Ping { start }, self.seq);
+        self.probe = Some(Probe { seq: self.seq, target, sent: now, helpers_asked: false });
+        let packet = self.gossip_packet(Purpose::Ping { start }, self.seq);
         out.push(Action::Send(address, packet));
     }
 
@@ -30,52 +30,53 @@
     /// a bounded time (SWIM, section 4.3).
     fn next_target(&mut self, now: Time) -> Option<NodeId> {
         loop {
-            if self.order.is_empty() {
-                self.peers.forget(now);
-                self.order = self.peers.iter_up().map(|p| p.node.id.clone()).collect();
-                self.rng.shuffle(&mut self.order);
+            if self.probe_order.is_empty() {
+                self.peers.purge_departed(now);
+                self.probe_order = self.peers.iter_up().map(|p| p.node.id.clone()).collect();
+                self.rng.shuffle(&mut self.probe_order);
             }
-            let id = self.order.pop()?;
+            let id = self.probe_order.pop()?;
             if self.peers.get(&id).is_some_and(Peer::is_up) {
                 return Some(id);
             }
         }
     }
 
-    pub(super) fn ask_helpers(&mut self, now: Time, out: &mut Vec<Action>) {
-        let patience = self.patience();
+    pub(super) fn request_indirect_probes(&mut self, now: Time, out: &mut Vec<Action>) {
+        let timeout = self.probe_timeout();
         let Some(p) = &mut self.probe else {
             return;
         };
-        if p.asked || now < p.sent + patience {
+        if p.helpers_asked || now < p.sent + timeout {
             return;
         }
-        p.asked = true;
+        p.helpers_asked = true;
         let (seq, target) = (p.seq, p.target.clone());
         let Some(node) = self.peers.get(&target).map(|p| p.node.clone()) else {
             return;
         };
         for helper in self.sample(self.tuning.helpers, &target) {
-            let packet = self.packet_of(Purpose::Ask(node.clone()), seq);
+            let packet = self.gossip_packet(Purpose::Ask(node.clone()), seq);
             out.push(Action::Send(helper, packet));
         }
     }
 
-    pub(super) fn end_probe(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn fail_probe(&mut self, now: Time, out: &mut Vec<Action>) {
         let Some(p) = self.probe.take() else {
             return;
         };
         // One probe without an answer speaks against its target, several in a row
         // against this node.
-        self.blame = (self.blame + u32::from(self.failed)).min(SELF_MAX);
-        self.failed = true;
+        self.health_score =
+            (self.health_score + u32::from(self.last_probe_failed)).min(MAX_HEALTH_SCORE);
+        self.last_probe_failed = true;
         let Some(peer) = self.peers.get(&p.target) else {
             return;
         };
         match peer.health {
             Health::Alive => {
                 let rumor = Rumor { health: Health::Suspect, ..peer.rumor(now) };
-                self.learn(now, &rumor, out);
+                self.apply_rumor(now, &rumor, out);
             }
             Health::Suspect => {
                 self.peers.confirm(&p.target);
@@ -87,20 +88,20 @@
         }
     }
 
-    pub(super) fn bury(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn expire_suspects(&mut self, now: Time, out: &mut Vec<Action>) {
         let t = self.tuning;
-        let stretch = f64::from(self.blame + 1);
+        let multiplier = f64::from(self.health_score + 1);
         let wait = |p: &Peer| {
             let share = f64::from(p.confirms + 1).ln() / f64::from(t.confirms + 1).ln();
-            let span = t.suspect_most.saturating_sub(t.suspect).mul_f64(share.min(1.0));
-            (t.suspect_most - span).mul_f64(stretch.sqrt())
+            let span = t.max_suspicion.saturating_sub(t.min_suspicion).mul_f64(share.min(1.0));
+            (t.max_suspicion - span).mul_f64(multiplier.sqrt())
         };
         for id in self.peers.expired(now, wait) {
             self.declare(now, &id, Health::Dead, out);
         }
     }
 
-    pub(super) fn ping(
+    pub(super) fn handle_ping(
         &mut self,
         from: SocketAddr,
         start: u64,
@@ -108,28 +109,29 @@
         out: &mut Vec<Action>,
     ) {
         let sender = &ping.from;
-        let asks = start == 0 && ping.digest != self.digest();
-        let newcomer = asks || self.peers.get(sender).is_none();
+        let requests_list = start == 0 && ping.digest != self.digest();
+        let is_newcomer = requests_list || self.peers.get(sender).is_none();
         let mut packet = match start {
             0 => self.join_packet(Purpose::Ack, ping.seq),
-            _ => self.packet_of(Purpose::Ack, ping.seq),
+            _ => self.gossip_packet(Purpose::Ack, ping.seq),
         };
         if start != self.me.id.start {
             packet.rumors.insert(0, self.own_rumor());
         }
         // A node that is suspected or was buried learns it from whom it probes.
-        let doubted = self.peers.get(sender).filter(|p| p.health != Health::Alive);
-        packet.rumors.extend(doubted.map(|p| p.rumor(self.now)));
+        let suspected = self.peers.get(sender).filter(|p| p.health != Health::Alive);
+        packet.rumors.extend(suspected.map(|p| p.rumor(self.now)));
         out.push(Action::Send(from, packet));
-        if newcomer {
+        if is_newcomer {
             self.push_members(from, out);
         }
     }
 
-    pub(super) fn ack(&mut self, now: Time, from: &NodeId, seq: u32, out: &mut Vec<Action>) {
-        if let Some(i) = self.errands.iter().position(|e| e.seq == seq && e.target == *from) {
-            let e = self.errands.swap_remove(i);
-            let packet = self.packet_of(Purpose::Answered(e.target), e.origin_seq);
+    pub(super) fn handle_ack(&mut self, now: Time, from: &NodeId, seq: u32, out: &mut Vec<Action>) {
+        if let Some(i) = self.indirect_probes.iter().position(|e| e.seq == seq && e.target == *from)
+        {
+            let e = self.indirect_probes.swap_remove(i);
+            let packet = self.gossip_packet(Purpose::Answered(e.target), e.origin_seq);
             out.push(Action::Send(e.origin, packet));
         }
         let Some(target) = self.probe.as_ref().filter(|p| p.seq == seq).map(|p| p.target.clone())
@@ -137,8 +139,8 @@
             return;
         };
         if target == *from {
-            self.note_round_trip(now);
-            self.settle(from, seq);
+            self.record_round_trip(now);
+            self.complete_probe(from, seq);
         } else if target.name == from.name {
             // The name was started anew: its former self is gone.
             self.probe = None;
@@ -147,7 +149,7 @@
     }
 
     /// The probe was answered by its target itself.
-    fn note_round_trip(&mut self, now: Time) {
+    fn record_round_trip(&mut self, now: Time) {
         let Some(probe) = &self.probe else {
             return;
         };
@@ -156,15 +158,15 @@
         }
     }
 
-    pub(super) fn settle(&mut self, id: &NodeId, seq: u32) {
-        let answered = self.probe.take_if(|p| p.seq == seq && p.target == *id);
-        if answered.is_some() {
-            self.blame = self.blame.saturating_sub(1);
-            self.failed = false;
+    pub(super) fn complete_probe(&mut self, id: &NodeId, seq: u32) {
+        let completed = self.probe.take_if(|p| p.seq == seq && p.target == *id);
+        if completed.is_some() {
+            self.health_score = self.health_score.saturating_sub(1);
+            self.last_probe_failed = false;
         }
     }
 
-    pub(super) fn errand(
+    pub(super) fn handle_ask(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -174,9 +176,15 @@
     ) {
         self.seq = self.seq.wrapping_add(1);
         let (seq, start) = (self.seq, node.id.start);
-        let until = now + self.tuning.period;
-        self.errands.push(Errand { seq, origin: from, origin_seq, target: node.id, until });
-        let packet = self.packet_of(Purpose::Ping { start }, seq);
+        let expires = now + self.tuning.period;
+        self.indirect_probes.push(IndirectProbe {
+            seq,
+            origin: from,
+            origin_seq,
+            target: node.id,
+            expires,
+        });
+        let packet = self.gossip_packet(Purpose::Ping { start }, seq);
         out.push(Action::Send(node.address, packet));
     }
 }
--- a/crates/decide/src/member/rumors.rs
+++ b/crates/decide/src/member/rumors.rs
@@ -6,11 +6,11 @@
 use model::member::{LoadRumor, NodeId, Rumor};
 
 /// Times a rumor is sent, per logarithm of the count of nodes.
-const REPEAT: u32 = 3;
+const RETRANSMIT_FACTOR: u32 = 3;
 /// Times a load is sent; the next change follows soon.
-const LOAD_REPEAT: u32 = 2;
+const LOAD_TRANSMITS: u32 = 2;
 /// Bit of [`LoadRumor::flags`] that lets `leaving` jump the queue.
-const LEAVING: u8 = 2;
+const LEAVING_FLAG: u8 = 2;
 
 /// Queues of rumors and loads.
 #[derive(Debug, Default)]
@@ -38,7 +38,7 @@
 
     /// Takes up to `n` rumors for one packet.
     pub fn take(&mut self, n: usize, nodes: usize) -> Vec<Rumor> {
-        let most = REPEAT * (usize::BITS - nodes.leading_zeros()).max(1);
+        let max_sends = RETRANSMIT_FACTOR * (usize::BITS - nodes.leading_zeros()).max(1);
         let first: Vec<(u32, NodeId)> = self.order.iter().take(n).cloned().collect();
         let mut out = Vec::new();
         for (was_sent, id) in first {
@@ -48,7 +48,7 @@
             };
             *sent += 1;
             out.push(rumor.clone());
-            if *sent < most {
+            if *sent < max_sends {
                 self.order.insert((*sent, id));
             } else {
                 self.rumors.remove(&id);
@@ -60,11 +60,14 @@
     /// Takes up to `n` loads for one packet, leaving targets first.
     pub fn take_loads(&mut self, n: usize, nodes: usize) -> Vec<LoadRumor> {
         let log = (usize::BITS - nodes.leading_zeros()).max(1);
-        let most = |l: &LoadRumor| {
-            if l.flags & LEAVING != 0 { REPEAT * log } else { LOAD_REPEAT }
+        let max_sends = |l: &LoadRumor| {
+            if l.flags & LEAVING_FLAG != 0 { RETRANSMIT_FACTOR * log } else { LOAD_TRANSMITS }
         };
-        let mut order: Vec<(bool, u32, u32)> =
-            self.loads.iter().map(|(t, (sent, l))| (l.flags & LEAVING == 0, *sent, *t)).collect();
+        let mut order: Vec<(bool, u32, u32)> = self
+            .loads
+            .iter()
+            .map(|(t, (sent, l))| (l.flags & LEAVING_FLAG == 0, *sent, *t))
+            .collect();
         order.sort_unstable();
         let mut out = Vec::new();
         for (_, _, target) in order.into_iter().take(n) {
@@ -73,7 +76,7 @@
                 out.push(*load);
             }
         }
-        self.loads.retain(|_, (sent, l)| *sent < most(l));
+        self.loads.retain(|_, (sent, l)| *sent < max_sends(l));
         out
     }
 }
--- a/crates/decide/src/member/sample.rs
+++ b/crates/decide/src/member/sample.rs
@@ -44,19 +44,19 @@
     }
 
     /// Up to `n` different members but one, in random order.
-    pub(super) fn sample(&self, n: usize, but: Option<&T>, rng: &mut Rng) -> Vec<&T> {
-        let but = but.and_then(|member| self.numbers.get(member).copied());
-        let most = n.min(self.len() - usize::from(but.is_some()));
+    pub(super) fn sample(&self, n: usize, except: Option<&T>, rng: &mut Rng) -> Vec<&T> {
+        let except = except.and_then(|member| self.numbers.get(member).copied());
+        let count = n.min(self.len() - usize::from(except.is_some()));
         // Robert Floyd's: as many draws as members are wanted.
-        let mut numbers: Vec<usize> = Vec::with_capacity(most);
-        let others = self.len() - usize::from(but.is_some());
-        for last in others - most..others {
+        let mut numbers: Vec<usize> = Vec::with_capacity(count);
+        let others = self.len() - usize::from(except.is_some());
+        for last in others - count..others {
             let drawn = rng.below(last + 1);
             numbers.push(if numbers.contains(&drawn) { last } else { drawn });
         }
         rng.shuffle(&mut numbers);
         // The last one has the number of the one that is left out.
-        let number = |n: usize| if Some(n) == but { others } else { n };
+        let number = |n: usize| if Some(n) == except { others } else { n };
         numbers.into_iter().map(|n| &self.members[number(n)]).collect()
     }
 }
--- a/crates/decide/src/member/types.rs
+++ b/crates/decide/src/member/types.rs
@@ -15,24 +15,24 @@
     /// Peers asked to probe for us.
     pub helpers: usize,
     /// Shortest time to refute, once others confirm.
-    pub suspect: Duration,
+    pub min_suspicion: Duration,
     /// Longest time to refute.
-    pub suspect_most: Duration,
+    pub max_suspicion: Duration,
     /// Confirmations that bring the shortest time.
     pub confirms: u32,
     /// How often seeds are tried while no peer is known.
-    pub seek: Duration,
+    pub seed_interval: Duration,
 }
 
 impl Tuning {
     /// Of the nodes that serve customers: a lost peer is known within two seconds.
-    pub fn of_nodes() -> Self {
+    pub fn for_serving_nodes() -> Self {
         Tuning {
             period: Duration::from_millis(400),
             timeout: Duration::from_millis(120),
-            suspect: Duration::from_millis(600),
-            suspect_most: Duration::from_millis(1200),
-            seek: Duration::from_millis(250),
+            min_suspicion: Duration::from_millis(600),
+            max_suspicion: Duration::from_millis(1200),
+            seed_interval: Duration::from_millis(250),
             ..Tuning::default()
         }
     }
@@ -44,10 +44,10 @@
             period: Duration::from_millis(700),
             timeout: Duration::from_millis(200),
             helpers: 3,
-            suspect: Duration::from_millis(800),
-            suspect_most: Duration::from_millis(1600),
+            min_suspicion: Duration::from_millis(800),
+            max_suspicion: Duration::from_millis(1600),
             confirms: 2,
-            seek: Duration::from_millis(500),
+            seed_interval: Duration::from_millis(500),
         }
     }
 }
@@ -83,7 +83,7 @@
     /// Send a datagram.
     Send(SocketAddr, Packet),
     /// A peer has this manifest in force, and this node has not.
-    Heard(u64, SocketAddr),
+    NewerManifest(u64, SocketAddr),
     /// A peer came up, or its health changed.
     Changed(Rumor),
     /// A load was heard.
--- a/crates/decide/src/quarantine/case.rs
+++ b/crates/decide/src/quarantine/case.rs
@@ -5,29 +5,29 @@
 use model::forward::{EndNews, Fingerprint, HeldRecord, SuspectNews, TargetId};
 use model::{Name, Time};
 
-use super::HELD_FROM;
-use super::news::Tellings;
+use super::HOLD_THRESHOLD;
+use super::news::GossipState;
 
 /// Times for which a request is held before it is let through the first time and the second: what
 /// ended the targets may have been mended, or may not have been the request. After these it is
 /// held until an operator releases it or it has not come for an hour.
-const HOLDS: [Duration; 2] = [Duration::from_secs(60), Duration::from_secs(600)];
+const HOLD_DURATIONS: [Duration; 2] = [Duration::from_secs(60), Duration::from_secs(600)];
 /// Ends remembered of one request.
-const ENDS_MOST: usize = 16;
+const MAX_CRASHES: usize = 16;
 /// Time after which others are told again that a held request still comes.
-const CAME_TOLD: Duration = Duration::from_secs(10 * 60);
+const REANNOUNCE_INTERVAL: Duration = Duration::from_secs(10 * 60);
 
 /// Why a request is not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
     /// Targets that ended under it.
-    pub ends: usize,
+    pub crashes: usize,
     /// Time after which it is let through once more; `None` if only an operator releases it.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
 }
 
 #[derive(Debug, Clone)]
-struct End {
+struct Crash {
     target: TargetId,
     at: Time,
     cleared: bool,
@@ -35,179 +35,179 @@
 
 /// One request.
 #[derive(Debug)]
-pub(super) struct Case {
+pub(super) struct Suspect {
     service: Name,
-    ends: Vec<End>,
-    tries: u32,
-    tried: Time,
-    came: Time,
-    came_told: Time,
+    crashes: Vec<Crash>,
+    trials: u32,
+    last_trial: Time,
+    last_arrival: Time,
+    announced: Time,
     /// The store has it.
     pub(super) is_stored: bool,
-    pub(super) tellings: Tellings,
+    pub(super) gossip: GossipState,
 }
 
-impl Case {
+impl Suspect {
     pub(super) fn new(service: Name, now: Time) -> Self {
-        Case {
+        Suspect {
             service,
-            ends: Vec::new(),
-            tries: 0,
-            tried: Time::ZERO,
-            came: now,
-            came_told: now,
+            crashes: Vec::new(),
+            trials: 0,
+            last_trial: Time::ZERO,
+            last_arrival: now,
+            announced: now,
             is_stored: false,
-            tellings: Tellings::default(),
+            gossip: GossipState::default(),
         }
     }
 
     /// Targets whose ends speak against it.
-    pub(super) fn standing(&self) -> impl Iterator<Item = &TargetId> {
-        self.ends.iter().filter(|e| !e.cleared).map(|e| &e.target)
+    pub(super) fn active_crashes(&self) -> impl Iterator<Item = &TargetId> {
+        self.crashes.iter().filter(|e| !e.cleared).map(|e| &e.target)
     }
 
     /// Whether it is held, or was until it may be let through once more.
     pub(super) fn is_held(&self) -> bool {
-        self.standing().count() >= HELD_FROM
+        self.active_crashes().count() >= HOLD_THRESHOLD
     }
 
     /// Whether every node is to know: it is held, or was and some may hold it still.
-    pub(super) fn concerns_all(&self) -> bool {
-        self.ends.len() >= HELD_FROM
+    pub(super) fn is_global(&self) -> bool {
+        self.crashes.len() >= HOLD_THRESHOLD
     }
 
     pub(super) fn hold(&self, now: Time) -> Option<Hold> {
-        let ends = self.standing().count();
-        if ends < HELD_FROM {
+        let ends = self.active_crashes().count();
+        if ends < HOLD_THRESHOLD {
             return None;
         }
-        let Some(time) = HOLDS.get(self.tries as usize) else {
-            return Some(Hold { ends, left: None });
+        let Some(time) = HOLD_DURATIONS.get(self.trials as usize) else {
+            return Some(Hold { crashes: ends, remaining: None });
         };
-        let last = self.ends.iter().filter(|e| !e.cleared).map(|e| e.at).max();
-        let since = last.unwrap_or_default().max(self.tried);
+        let last = self.crashes.iter().filter(|e| !e.cleared).map(|e| e.at).max();
+        let since = last.unwrap_or_default().max(self.last_trial);
         let left = time.saturating_sub(now.since(since));
-        (!left.is_zero()).then_some(Hold { ends, left: Some(left) })
+        (!left.is_zero()).then_some(Hold { crashes: ends, remaining: Some(left) })
     }
 
     /// When something was last known of it.
-    pub(super) fn last(&self) -> Time {
-        let ends = self.ends.iter().map(|e| e.at).max().unwrap_or_default();
-        ends.max(self.came)
+    pub(super) fn last_activity(&self) -> Time {
+        let ends = self.crashes.iter().map(|e| e.at).max().unwrap_or_default();
+        ends.max(self.last_arrival)
     }
 
-    pub(super) fn comes(&mut self, now: Time) {
-        self.came = now;
-        if now.since(self.came_told) >= CAME_TOLD {
-            self.came_told = now;
-            self.tellings.changed();
+    pub(super) fn record_arrival(&mut self, now: Time) {
+        self.last_arrival = now;
+        if now.since(self.announced) >= REANNOUNCE_INTERVAL {
+            self.announced = now;
+            self.gossip.mark_changed();
         }
     }
 
     /// It is sent; if it had been held the others hear at once that it is let through. Returns
     /// whether it had been.
-    pub(super) fn sends(&mut self, now: Time) -> bool {
-        self.came = now;
+    pub(super) fn record_send(&mut self, now: Time) -> bool {
+        self.last_arrival = now;
         let was_held = self.is_held();
         if was_held {
-            self.tries += 1;
-            self.tried = now;
-            self.tellings.changed();
+            self.trials += 1;
+            self.last_trial = now;
+            self.gossip.mark_changed();
         }
         was_held
     }
 
     /// A target ended under it; returns whether that is new.
-    pub(super) fn ended(&mut self, target: &TargetId, now: Time) -> bool {
+    pub(super) fn record_crash(&mut self, target: &TargetId, now: Time) -> bool {
         let is_new = self.add(target, now, false);
         if is_new {
-            self.tellings.changed();
+            self.gossip.mark_changed();
         }
         is_new
     }
 
     fn add(&mut self, target: &TargetId, at: Time, cleared: bool) -> bool {
-        if let Some(end) = self.ends.iter_mut().find(|e| e.target == *target) {
+        if let Some(end) = self.crashes.iter_mut().find(|e| e.target == *target) {
             let is_new = cleared && !end.cleared;
             end.cleared |= cleared;
             return is_new;
         }
-        if self.ends.len() >= ENDS_MOST {
-            let Some(old) = self.ends.iter().position(|e| e.cleared) else {
+        if self.crashes.len() >= MAX_CRASHES {
+            let Some(old) = self.crashes.iter().position(|e| e.cleared) else {
                 return false;
             };
-            self.ends.remove(old);
+            self.crashes.remove(old);
         }
-        self.ends.push(End { target: target.clone(), at, cleared });
+        self.crashes.push(Crash { target: target.clone(), at, cleared });
         true
     }
 
     /// It is not to blame for the ends of these targets.
     pub(super) fn clear(&mut self, targets: &[TargetId]) {
         let mut has_changed = false;
-        for end in self.ends.iter_mut().filter(|e| !e.cleared && targets.contains(&e.target)) {
+        for end in self.crashes.iter_mut().filter(|e| !e.cleared && targets.contains(&e.target)) {
             end.cleared = true;
             has_changed = true;
         }
         if has_changed {
             self.is_stored &= self.is_held();
-            self.tellings.changed();
+            self.gossip.mark_changed();
         }
     }
 
     /// It is not to blame for any end so far.
     pub(super) fn clear_all(&mut self) {
-        self.tries = 0;
-        let all: Vec<TargetId> = self.standing().cloned().collect();
+        self.trials = 0;
+        let all: Vec<TargetId> = self.active_crashes().cloned().collect();
         self.clear(&all);
     }
 
     /// As the store is to keep it, held since so many milliseconds of Unix time.
-    pub(super) fn record(&self, request: Fingerprint, since: u64) -> HeldRecord {
-        let targets = self.standing().cloned().collect();
+    pub(super) fn to_record(&self, request: Fingerprint, since: u64) -> HeldRecord {
+        let targets = self.active_crashes().cloned().collect();
         HeldRecord { request, service: self.service.clone(), targets, since }
     }
 
     /// Takes what another node knows of it; returns whether anything was new.
-    pub(super) fn hear(&mut self, news: &SuspectNews, now: Time) -> bool {
+    pub(super) fn merge(&mut self, news: &SuspectNews, now: Time) -> bool {
         let ago = |ms: u64| now - Duration::from_millis(ms);
         let mut is_new = false;
         for end in &news.ends {
             is_new |= self.add(&end.target, ago(end.age_ms), end.cleared);
         }
-        if news.tries > self.tries {
-            self.tries = news.tries;
-            self.tried = ago(news.tried_ms);
+        if news.tries > self.trials {
+            self.trials = news.tries;
+            self.last_trial = ago(news.tried_ms);
             is_new = true;
         }
-        self.came = self.came.max(ago(news.came_ms));
+        self.last_arrival = self.last_arrival.max(ago(news.came_ms));
         if is_new {
-            self.tellings.heard(now);
+            self.gossip.heard(now);
         }
         is_new
     }
 
     /// What this node knows of it.
-    pub(super) fn news(&self, request: Fingerprint, now: Time) -> SuspectNews {
+    pub(super) fn to_news(&self, request: Fingerprint, now: Time) -> SuspectNews {
         let age = |at: Time| now.since(at).as_millis() as u64;
         let end =
-            |e: &End| EndNews { target: e.target.clone(), age_ms: age(e.at), cleared: e.cleared };
+            |e: &Crash| EndNews { target: e.target.clone(), age_ms: age(e.at), cleared: e.cleared };
         SuspectNews {
             request,
             service: self.service.clone(),
-            ends: self.ends.iter().map(end).collect(),
-            tries: self.tries,
-            tried_ms: age(self.tried),
-            came_ms: age(self.came),
+            ends: self.crashes.iter().map(end).collect(),
+            tries: self.trials,
+            tried_ms: age(self.last_trial),
+            came_ms: age(self.last_arrival),
         }
     }
 
     /// Whether this node knows more of it than another one that told this.
-    pub(super) fn knows_more(&self, news: &SuspectNews) -> bool {
-        let lacks = |e: &End| {
+    pub(super) fn is_ahead_of(&self, news: &SuspectNews) -> bool {
+        let is_missing = |e: &Crash| {
             let known = news.ends.iter().find(|n| n.target == e.target);
             known.is_none_or(|n| e.cleared && !n.cleared)
         };
-        self.ends.iter().any(lacks) || self.tries > news.tries
+        self.crashes.iter().any(is_missing) || self.trials > news.tries
     }
 }
--- a/crates/decide/src/quarantine/ends.rs
+++ b/crates/decide/src/quarantine/ends.rs
@@ -7,35 +7,35 @@
 
 /// What a new connection to a target's address showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Contact {
+pub enum ConnectOutcome {
     /// Nobody listens there.
     Refused,
     /// Somebody listens there.
-    Taken,
+    Accepted,
     /// Nothing came back: the way may be cut.
-    Silent,
+    NoResponse,
 }
 
 /// What is to be believed of a target under which a connection broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It ended; how that shows.
-    Ended(&'static str),
+    Crashed(&'static str),
     /// It leaves as it was told to.
     Planned,
     /// Nothing shows yet that it ended.
-    Open,
+    Undecided,
 }
 
 /// Judges by what discovery says and by the last connection.
-pub fn judge(presence: Presence, contact: Contact) -> Verdict {
+pub fn judge(presence: Presence, contact: ConnectOutcome) -> Verdict {
     match (presence, contact) {
         (Presence::Leaving, _) => Verdict::Planned,
-        (Presence::StartedAgain, _) => Verdict::Ended("started_again"),
-        (_, Contact::Refused) => Verdict::Ended("refused"),
+        (Presence::StartedAgain, _) => Verdict::Crashed("started_again"),
+        (_, ConnectOutcome::Refused) => Verdict::Crashed("refused"),
         // Somebody else has its address.
-        (Presence::Gone, Contact::Taken) => Verdict::Ended("replaced"),
-        (Presence::Gone | Presence::Here, Contact::Silent) => Verdict::Open,
-        (Presence::Here, Contact::Taken) => Verdict::Open,
+        (Presence::Gone, ConnectOutcome::Accepted) => Verdict::Crashed("replaced"),
+        (Presence::Gone | Presence::Here, ConnectOutcome::NoResponse) => Verdict::Undecided,
+        (Presence::Here, ConnectOutcome::Accepted) => Verdict::Undecided,
     }
 }
--- a/crates/decide/src/roster/changes.rs
+++ b/crates/decide/src/roster/changes.rs
@@ -8,13 +8,13 @@
 use model::{Name, Time};
 
 /// Time for changes to gather after the first one.
-const GATHER: Duration = Duration::from_millis(250);
+const GATHER_WINDOW: Duration = Duration::from_millis(250);
 /// Peers that one line names.
-const NAMED: usize = 6;
+const MAX_NAMED: usize = 6;
 
 /// Changes that no line tells of yet; the latest health of each peer counts.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct PendingChanges {
     since: Option<Time>,
     latest: BTreeMap<Name, Health>,
 }
@@ -34,7 +34,7 @@
     pub names: Vec<Name>,
 }
 
-impl Changes {
+impl PendingChanges {
     /// A peer's health changed.
     pub fn note(&mut self, name: &Name, health: Health, now: Time) {
         self.since.get_or_insert(now);
@@ -43,24 +43,24 @@
 
     /// What a line is to tell by now; `None` while changes gather or there are none.
     pub fn take_due(&mut self, now: Time) -> Option<ViewChange> {
-        self.since.filter(|since| now.since(*since) >= GATHER)?;
+        self.since.filter(|since| now.since(*since) >= GATHER_WINDOW)?;
         self.since = None;
         let mut latest: Vec<(Name, Health)> =
             std::mem::take(&mut self.latest).into_iter().collect();
-        latest.sort_by_key(|(_, health)| weight(*health));
+        latest.sort_by_key(|(_, health)| naming_order(*health));
         let count = |health| latest.iter().filter(|(_, h)| *h == health).count();
         Some(ViewChange {
             alive: count(Health::Alive),
             suspected: count(Health::Suspect),
             dead: count(Health::Dead),
             left: count(Health::Left),
-            names: latest.iter().take(NAMED).map(|(name, _)| name.clone()).collect(),
+            names: latest.iter().take(MAX_NAMED).map(|(name, _)| name.clone()).collect(),
         })
     }
 }
 
 /// Place of a health in the order in which peers are named.
-fn weight(health: Health) -> u8 {
+fn naming_order(health: Health) -> u8 {
     match health {
         Health::Dead => 0,
         Health::Suspect => 1,
--- a/crates/decide/src/roster/mod.rs
+++ b/crates/decide/src/roster/mod.rs
@@ -23,24 +23,24 @@
 use crate::region::Map;
 use crate::tally::Tally;
 
-pub use changes::{Changes, ViewChange};
-pub use contact::Contact;
-use contact::Contacts;
-pub use duty::Duty;
+pub use changes::{PendingChanges, ViewChange};
+use contact::PeerLiveness;
+pub use contact::Reachability;
+pub use duty::RoleKey;
 use ranking::Rankings;
 
 /// Longest time in which nodes that started together find each other.
-const GATHERING: Duration = Duration::from_millis(800);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time without a new peer on a host that bears as much as any, after which they have found
 /// each other. News of a peer goes from node to node within some tens of milliseconds.
-const STILL: Duration = Duration::from_millis(100);
+const DISCOVERY_QUIET: Duration = Duration::from_millis(100);
 /// Time after which a node that came counts as settled.
-const SETTLED: Duration = Duration::from_secs(3);
+const SETTLED_AFTER: Duration = Duration::from_secs(3);
 /// Nodes that started within this time of the oldest one came together with it: there is
 /// no work yet that could move to them. Restarts after a loss of power lie 0.5 s apart.
-const TOGETHER: Duration = Duration::from_millis(1500);
+const SAME_START_WINDOW: Duration = Duration::from_millis(1500);
 /// Time for which a peer that stopped is remembered.
-const STOPPED_KEPT: Duration = Duration::from_secs(60);
+const STOPPED_TTL: Duration = Duration::from_secs(60);
 
 /// A peer that is up.
 #[derive(Debug, Clone)]
@@ -62,7 +62,7 @@
 
     /// Start of its process in microseconds on this node's clock, on which it may lie before
     /// this node's own.
-    fn born(&self) -> i64 {
+    fn started_us(&self) -> i64 {
         let at = i64::try_from(self.at.0).unwrap_or(i64::MAX);
         at.saturating_sub(i64::try_from(self.up.as_micros()).unwrap_or(i64::MAX))
     }
@@ -75,7 +75,7 @@
     domain: Name,
     map: Arc<Map>,
     capacity: u8,
-    stops: bool,
+    is_stopping: bool,
     up: BTreeMap<NodeId, PeerView>,
     addresses: HashMap<SocketAddr, NodeId>,
     /// Peers of each failure domain.
@@ -83,14 +83,14 @@
     /// Peers on hosts that bear this much.
     capacities: Tally<u8>,
     /// Starts of the peers' processes.
-    births: BTreeSet<(i64, NodeId)>,
+    starts: BTreeSet<(i64, NodeId)>,
     rankings: RefCell<Rankings>,
     visited: Cell<u64>,
-    contacts: Contacts,
+    liveness: PeerLiveness,
     stopping: BTreeMap<NodeId, Time>,
-    most: usize,
+    max_up: usize,
     /// When the hosts that bear most last became more: others coordinate and relay nothing.
-    grown: Time,
+    hubs_grown: Time,
 }
 
 impl Roster {
@@ -101,18 +101,18 @@
             map: Arc::new(Map::new(domain.clone(), Regions::default())),
             domain,
             capacity,
-            stops: false,
+            is_stopping: false,
             up: BTreeMap::new(),
             addresses: HashMap::new(),
             domains: Tally::default(),
             capacities: Tally::default(),
-            births: BTreeSet::new(),
+            starts: BTreeSet::new(),
             rankings: RefCell::default(),
             visited: Cell::new(0),
-            contacts: Contacts::default(),
+            liveness: PeerLiveness::default(),
             stopping: BTreeMap::new(),
-            most: 1,
-            grown: Time::ZERO,
+            max_up: 1,
+            hubs_grown: Time::ZERO,
         }
     }
 
@@ -127,34 +127,35 @@
     }
 
     /// A probe of a node in a failure domain was answered after this time.
-    pub fn measured(&mut self, domain: &Name, took: Duration) {
+    pub fn record_rtt(&mut self, domain: &Name, took: Duration) {
         Arc::make_mut(&mut self.map).measured(domain, took);
     }
 
     /// Takes the peers that are up, and forgets what concerns others.
     pub fn update(&mut self, up: Vec<PeerView>, now: Time) {
-        let there: BTreeSet<&NodeId> = up.iter().map(|p| &p.node.id).collect();
-        let gone: Vec<NodeId> = self.up.keys().filter(|id| !there.contains(id)).cloned().collect();
-        for id in gone {
+        let present: BTreeSet<&NodeId> = up.iter().map(|p| &p.node.id).collect();
+        let absent: Vec<NodeId> =
+            self.up.keys().filter(|id| !present.contains(id)).cloned().collect();
+        for id in absent {
             self.remove(&id);
         }
         for view in up {
             self.put(view, now);
         }
-        self.forget_gone(now);
+        self.purge_departed(now);
     }
 
     /// Takes one peer that is up, as it is now.
     pub fn put(&mut self, view: PeerView, now: Time) {
         let hubs = self.hubs();
-        let known = self.up.get(&view.node.id);
-        if known.is_some_and(|known| known.node != view.node) {
+        let previous = self.up.get(&view.node.id);
+        if previous.is_some_and(|previous| previous.node != view.node) {
             self.remove(&view.node.id);
-        } else if let Some(known) = known {
-            self.births.remove(&(known.born(), known.node.id.clone()));
+        } else if let Some(previous) = previous {
+            self.starts.remove(&(previous.started_us(), previous.node.id.clone()));
         }
         let node = &view.node;
-        self.births.insert((view.born(), node.id.clone()));
+        self.starts.insert((view.started_us(), node.id.clone()));
         if !self.up.contains_key(&node.id) {
             self.rankings.get_mut().insert(node);
             self.domains.add(&node.domain);
@@ -164,9 +165,9 @@
             self.addresses.insert(address, node.id.clone());
         }
         self.up.insert(node.id.clone(), view);
-        self.most = self.most.max(self.up.len() + 1);
+        self.max_up = self.max_up.max(self.up.len() + 1);
         if self.hubs() > hubs {
-            self.grown = now;
+            self.hubs_grown = now;
         }
     }
 
@@ -176,7 +177,7 @@
             return;
         };
         let node = &view.node;
-        self.births.remove(&(view.born(), id.clone()));
+        self.starts.remove(&(view.started_us(), id.clone()));
         self.rankings.get_mut().remove(node);
         self.domains.remove(&node.domain);
         self.capacities.remove(&node.capacity);
@@ -185,22 +186,25 @@
                 self.addresses.remove(&address);
             }
         }
-        self.contacts.forget(id, &node.domain);
+        self.liveness.remove(id, &node.domain);
     }
 
     /// Forgets peers that stopped long ago, and what was heard of peers after they were gone.
-    pub fn forget_gone(&mut self, now: Time) {
-        self.stopping.retain(|_, since| now.since(*since) < STOPPED_KEPT);
-        if self.contacts.len() > self.up.len() {
-            self.contacts.retain(|id| self.up.contains_key(id));
+    pub fn purge_departed(&mut self, now: Time) {
+        self.stopping.retain(|_, since| now.since(*since) < STOPPED_TTL);
+        if self.liveness.len() > self.up.len() {
+            self.liveness.retain(|id| self.up.contains_key(id));
         }
     }
 
     /// The most that a host bears, and how many hosts bear that.
     fn hubs(&self) -> (u8, usize) {
         let known = self.capacities.keys().next_back().copied().unwrap_or(0);
-        let most = known.max(self.capacity);
-        (most, self.capacities.count(&most) + usize::from(most == self.capacity))
+        let max_capacity = known.max(self.capacity);
+        (
+            max_capacity,
+            self.capacities.count(&max_capacity) + usize::from(max_capacity == self.capacity),
+        )
     }
 
     /// Peers looked at so far for questions of who does something.
@@ -210,7 +214,7 @@
 
     /// This node stops.
     pub fn stop(&mut self) {
-        self.stops = true;
+        self.is_stopping = true;
     }
 
     /// Nodes up, this one included.
@@ -219,8 +223,8 @@
     }
 
     /// Most nodes seen up together, this one included.
-    pub fn most_seen(&self) -> usize {
-        self.most
+    pub fn max_seen(&self) -> usize {
+        self.max_up
     }
 
     /// A peer told that it stops and coordinates no more.
@@ -230,9 +234,9 @@
 
     /// Whether this start of a peer can be waited for: it is up and not suspected,
     /// or stops as planned and ends what it has begun.
-    pub fn is_sound(&self, id: &NodeId) -> bool {
-        let sound = self.up.get(id).is_some_and(|p| !p.suspect);
-        sound || self.stopping.contains_key(id)
+    pub fn is_awaitable(&self, id: &NodeId) -> bool {
+        let is_trusted = self.up.get(id).is_some_and(|p| !p.suspect);
+        is_trusted || self.stopping.contains_key(id)
     }
 
     fn domain_of(&self, id: &NodeId) -> Option<Name> {
@@ -246,52 +250,52 @@
     }
 
     /// A peer answered.
-    pub fn answered(&mut self, id: &NodeId, now: Time) {
+    pub fn mark_answered(&mut self, id: &NodeId, now: Time) {
         let domain = self.domain_of(id);
-        self.contacts.answered(id, domain.as_ref(), now);
+        self.liveness.mark_answered(id, domain.as_ref(), now);
     }
 
     /// A peer did not answer. It counts as silent until it does.
-    pub fn silent(&mut self, id: &NodeId, now: Time) {
+    pub fn mark_silent(&mut self, id: &NodeId, now: Time) {
         let domain = self.domain_of(id);
-        self.contacts.silent(id, domain.as_ref(), now);
+        self.liveness.mark_silent(id, domain.as_ref(), now);
     }
 
     /// An order begins to wait at a peer of which nothing may be known yet.
     pub fn begin_wait(&mut self, id: &NodeId, now: Time) {
-        self.contacts.begin_wait(id, now);
+        self.liveness.begin_wait(id, now);
     }
 
     /// What is known of a peer's answers; if nothing is, the peer counts as being asked
     /// from now on.
-    pub fn contact(&mut self, id: &NodeId, now: Time) -> Contact {
-        self.contacts.contact(id, now)
+    pub fn reachability(&mut self, id: &NodeId, now: Time) -> Reachability {
+        self.liveness.reachability(id, now)
     }
 
     /// Whether a peer counts as silent.
     pub fn is_silent(&self, id: &NodeId) -> bool {
-        self.contacts.is_silent(id)
+        self.liveness.is_silent(id)
     }
 
     /// Whether a peer may coordinate, as far as this node knows.
-    fn is_wanted(&self, p: &PeerView) -> bool {
+    fn is_eligible(&self, p: &PeerView) -> bool {
         let id = &p.node.id;
         let domain = &p.node.domain;
-        let is_cut = *domain != self.domain && self.contacts.is_cut(domain);
-        let reachable = !self.contacts.is_silent(id) && !is_cut;
+        let domain_is_cut = *domain != self.domain && self.liveness.is_cut(domain);
+        let reachable = !self.liveness.is_silent(id) && !domain_is_cut;
         !p.suspect && !self.stopping.contains_key(id) && reachable
     }
 
     /// Longest time that a peer has run.
-    fn longest_up(&self, now: Time) -> Option<Duration> {
-        let (_, id) = self.births.first()?;
+    fn longest_uptime(&self, now: Time) -> Option<Duration> {
+        let (_, id) = self.starts.first()?;
         self.up.get(id).map(|p| p.uptime(now))
     }
 
     /// Uptime from which on a node counts as settled: it would take no work from others.
     fn settled_from(&self, now: Time) -> Duration {
-        let oldest = self.longest_up(now).unwrap_or_default().max(now.since(Time::ZERO));
-        SETTLED.min(oldest.saturating_sub(TOGETHER))
+        let oldest = self.longest_uptime(now).unwrap_or_default().max(now.since(Time::ZERO));
+        SETTLED_AFTER.min(oldest.saturating_sub(SAME_START_WINDOW))
     }
 
     /// Nodes that are up as far as is known, but for this one: suspected and stopping ones too.
@@ -305,14 +309,14 @@
     }
 
     /// Whether this node has just started and does not know all of its peers yet.
-    fn is_forming(&self, now: Time) -> bool {
-        let is_still = !self.up.is_empty() && now.since(self.grown) >= STILL;
-        now.since(Time::ZERO) < GATHERING && !is_still
+    fn is_discovering(&self, now: Time) -> bool {
+        let is_quiet = !self.up.is_empty() && now.since(self.hubs_grown) >= DISCOVERY_QUIET;
+        now.since(Time::ZERO) < DISCOVERY_TIMEOUT && !is_quiet
     }
 
     /// Whether the nodes that are up may still be finding each other: this one has just
     /// started, and knows none that has been up for longer.
-    pub fn is_gathering(&self, now: Time) -> bool {
-        self.is_forming(now) && self.longest_up(now).is_none_or(|up| up < SETTLED)
+    pub fn is_cluster_forming(&self, now: Time) -> bool {
+        self.is_discovering(now) && self.longest_uptime(now).is_none_or(|up| up < SETTLED_AFTER)
     }
 }
--- a/crates/decide/src/roster/ranking.rs
+++ b/crates/decide/src/roster/ranking.rs
@@ -13,7 +13,7 @@
 use model::{Name, hash};
 
 /// Orders that are kept: services, and schedulers and relays of each failure domain.
-const KEPT: usize = 64;
+const MAX_ORDERS: usize = 64;
 
 /// Rendezvous score of a node for a service.
 pub(super) fn score(service: &str, name: &Name) -> u64 {
@@ -50,7 +50,7 @@
 /// Orders that were asked for last.
 #[derive(Debug, Default)]
 pub(super) struct Rankings {
-    of: BTreeMap<Key, Ranking>,
+    orders: BTreeMap<Key, Ranking>,
     uses: u64,
 }
 
@@ -61,64 +61,64 @@
         &mut self,
         service: &str,
         domain: Option<&Name>,
-        all: impl FnOnce() -> I,
-    ) -> Walk
+        peers: impl FnOnce() -> I,
+    ) -> RankedPeers
     where
         I: Iterator<Item = &'a Node>,
     {
         self.uses += 1;
         let key = (service.to_string(), domain.cloned());
-        if !self.of.contains_key(&key) {
-            self.drop_oldest();
-            let its = all().filter(|node| is_of(&key, node));
-            let order = Rc::new(its.map(|node| Ranked::new(service, node)).collect());
-            self.of.insert(key.clone(), Ranking { order, used: 0 });
+        if !self.orders.contains_key(&key) {
+            self.evict_oldest();
+            let members = peers().filter(|node| matches_key(&key, node));
+            let order = Rc::new(members.map(|node| Ranked::new(service, node)).collect());
+            self.orders.insert(key.clone(), Ranking { order, used: 0 });
         }
-        let ranking = self.of.get_mut(&key).expect("it is kept by now");
+        let ranking = self.orders.get_mut(&key).expect("it is kept by now");
         ranking.used = self.uses;
-        Walk { order: ranking.order.clone(), last: None }
+        RankedPeers { order: ranking.order.clone(), last: None }
     }
 
-    fn drop_oldest(&mut self) {
-        if self.of.len() < KEPT {
+    fn evict_oldest(&mut self) {
+        if self.orders.len() < MAX_ORDERS {
             return;
         }
-        let oldest = self.of.iter().min_by_key(|(_, r)| r.used).map(|(key, _)| key.clone());
-        oldest.and_then(|key| self.of.remove(&key));
+        let oldest = self.orders.iter().min_by_key(|(_, r)| r.used).map(|(key, _)| key.clone());
+        oldest.and_then(|key| self.orders.remove(&key));
     }
 
     /// A peer came.
     pub(super) fn insert(&mut self, node: &Node) {
-        for (key, ranking) in self.of.iter_mut().filter(|(key, _)| is_of(key, node)) {
+        for (key, ranking) in self.orders.iter_mut().filter(|(key, _)| matches_key(key, node)) {
             Rc::make_mut(&mut ranking.order).insert(Ranked::new(&key.0, node));
         }
     }
 
     /// A peer went.
     pub(super) fn remove(&mut self, node: &Node) {
-        for (key, ranking) in self.of.iter_mut().filter(|(key, _)| is_of(key, node)) {
+        for (key, ranking) in self.orders.iter_mut().filter(|(key, _)| matches_key(key, node)) {
             Rc::make_mut(&mut ranking.order).remove(&Ranked::new(&key.0, node));
         }
     }
 }
 
-fn is_of((_, domain): &Key, node: &Node) -> bool {
+fn matches_key((_, domain): &Key, node: &Node) -> bool {
     domain.as_ref().is_none_or(|domain| *domain == node.domain)
 }
 
 /// Peers in one order.
 #[derive(Debug, Clone)]
-pub(super) struct Walk {
+pub(super) struct RankedPeers {
     order: Rc<BTreeSet<Ranked>>,
     last: Option<Ranked>,
 }
 
-impl Iterator for Walk {
+impl Iterator for RankedPeers {
     type Item = Ranked;
 
     fn next(&mut self) -> Option<Ranked> {
-        let after = self.last.take().map_or(Bound::Unbounded, Bound::Excluded);
-        let next = self.order.range((after, Bound::Unbounded)).next()?;
+        let start = self.last.take().map_or(Bound::Unbounded, Bound::Excluded);
+        let next = self.order.range((start, Bound::Unbounded)).next()?;
         self.last = Some(next.clone());
         self.last.clone()
     }
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -69,7 +69,7 @@
         let me = Node { capacity, ..node(i, start) };
         let mut m = Member::new(me, Tuning::default(), self.rng.draw());
         self.born.insert(i, self.now);
-        m.on(Time::ZERO, Event::Seeds(vec![address(0), address(1), address(2)]));
+        m.handle_event(Time::ZERO, Event::Seeds(vec![address(0), address(1), address(2)]));
         self.nodes.insert(i, m);
     }
 
@@ -78,10 +78,10 @@
         let Some(m) = self.nodes.get_mut(&i) else {
             return;
         };
-        for action in m.on(now, event) {
+        for action in m.handle_event(now, event) {
             match action {
                 Action::Send(to, packet) => self.send(i, to, packet),
-                Action::Heard(number, _) => {
+                Action::NewerManifest(number, _) => {
                     // The fetch takes a little while; then it is in force here.
                     self.heard.insert(i, (number, self.now + Duration::from_millis(10)));
                 }
@@ -225,7 +225,7 @@
             rumors: vec![rumor],
             loads: Vec::new(),
         };
-        m.on(Time::from_millis(100), Event::Packet { from: from.address, packet });
+        m.handle_event(Time::from_millis(100), Event::Packet { from: from.address, packet });
     }
     m.peers().map(|p| p.node.id.start).collect()
 }
@@ -363,7 +363,7 @@
     net.run(5_000);
     let relays = net.nodes[&0].relays();
     for m in net.nodes.values().filter(|m| relays.contains(&m.me().id.name)) {
-        assert_eq!(m.in_force(42), (57, 57, 42), "{}", m.me().id.name);
+        assert_eq!(m.manifest_progress(42), (57, 57, 42), "{}", m.me().id.name);
     }
 }
 
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -26,7 +26,7 @@
 fn ends(q: &mut Quarantine, targets: std::ops::Range<u32>, requests: &[u8], now: Time) {
     let requests: Vec<Fingerprint> = requests.iter().map(|n| request(*n)).collect();
     for n in targets {
-        q.ended(&target(n), &"plain".into(), &requests, now);
+        q.record_crash(&target(n), &"plain".into(), &requests, now);
     }
 }
 
@@ -41,11 +41,11 @@
         ends(&mut q, 0..2, &[1], at(1));
     }
     assert!(!is_held(&q, 1, at(1)));
-    let changes = q.ended(&target(2), &"plain".into(), &[request(1)], at(2));
-    let hold = Hold { ends: 3, left: Some(Duration::from_secs(60)) };
+    let changes = q.record_crash(&target(2), &"plain".into(), &[request(1)], at(2));
+    let hold = Hold { crashes: 3, remaining: Some(Duration::from_secs(60)) };
     assert_eq!(changes, [(request(1), Change::Held(hold))]);
-    assert_eq!(q.sends(request(1), at(3)).expect_err("held").ends, 3);
-    assert!(q.sends(request(2), at(3)).is_ok(), "others are not");
+    assert_eq!(q.try_send(request(1), at(3)).expect_err("held").crashes, 3);
+    assert!(q.try_send(request(2), at(3)).is_ok(), "others are not");
 }
 
 #[test]
@@ -54,14 +54,14 @@
     // What was under way when it was held does not make it worse.
     ends(&mut q, 10..13, &[1], at(0));
     ends(&mut q, 0..1, &[1], at(0));
-    assert!(q.sends(request(1), at(59)).is_err());
-    assert!(q.sends(request(1), at(60)).is_ok());
-    assert!(q.sends(request(1), at(60)).is_err(), "it is under way");
+    assert!(q.try_send(request(1), at(59)).is_err());
+    assert!(q.try_send(request(1), at(60)).is_ok());
+    assert!(q.try_send(request(1), at(60)).is_err(), "it is under way");
     ends(&mut q, 3..4, &[1], at(61));
-    assert!(q.sends(request(1), at(660)).is_err());
-    assert!(q.sends(request(1), at(661)).is_ok());
+    assert!(q.try_send(request(1), at(660)).is_err());
+    assert!(q.try_send(request(1), at(661)).is_ok());
     ends(&mut q, 4..5, &[1], at(662));
-    assert_eq!(q.hold(request(1), at(4000)), Some(Hold { ends: 6, left: None }));
+    assert_eq!(q.hold(request(1), at(4000)), Some(Hold { crashes: 6, remaining: None }));
     assert!(q.release(request(1)), "an operator may");
     assert!(!is_held(&q, 1, at(4000)));
 }
@@ -69,11 +69,11 @@
 #[test]
 fn a_whole_answer_clears_before_and_after() {
     let mut q = Quarantine::default();
-    q.answered(request(1), at(0));
+    q.record_answer(request(1), at(0));
     ends(&mut q, 0..4, &[1], at(20));
     assert!(!is_held(&q, 1, at(20)), "it was answered a moment before");
     ends(&mut q, 0..3, &[2], at(20));
-    assert_eq!(q.answered(request(2), at(21)), Some(Change::Released("answered")));
+    assert_eq!(q.record_answer(request(2), at(21)), Some(Change::Released("answered")));
     assert!(!is_held(&q, 2, at(21)));
     ends(&mut q, 4..7, &[1], at(100));
     assert!(is_held(&q, 1, at(100)), "an answer of long ago says nothing");
@@ -98,21 +98,24 @@
     let mut b = Quarantine::default();
     ends(&mut a, 0..2, &[1], at(1));
     ends(&mut b, 1..3, &[1], at(1));
-    let of_a = a.beyond(&[empty(1)], at(1));
-    let of_b = b.beyond(&[empty(1)], at(1));
+    let of_a = a.missing_from(&[empty(1)], at(1));
+    let of_b = b.missing_from(&[empty(1)], at(1));
     for _ in 0..2 {
-        a.hear(Some(&peer()), &of_b, at(2));
-        b.hear(Some(&peer()), &of_a, at(2));
+        a.merge(Some(&peer()), &of_b, at(2));
+        b.merge(Some(&peer()), &of_a, at(2));
     }
     assert!(is_held(&a, 1, at(2)) && is_held(&b, 1, at(2)));
-    assert!(a.beyond(&of_all(&b), at(2)).is_empty() && b.beyond(&of_all(&a), at(2)).is_empty());
+    assert!(
+        a.missing_from(&of_all(&b), at(2)).is_empty()
+            && b.missing_from(&of_all(&a), at(2)).is_empty()
+    );
     let cleared = {
-        b.answered(request(1), at(3));
+        b.record_answer(request(1), at(3));
         of_all(&b)
     };
-    let changes = a.hear(Some(&peer()), &cleared, at(3));
+    let changes = a.merge(Some(&peer()), &cleared, at(3));
     assert_eq!(changes, [(request(1), Change::Released("answered elsewhere"))]);
-    a.hear(Some(&peer()), &of_a, at(4));
+    a.merge(Some(&peer()), &of_a, at(4));
     assert!(!is_held(&a, 1, at(4)), "old news does not hold it again");
 }
 
@@ -121,10 +124,10 @@
     let mut a = Quarantine::default();
     ends(&mut a, 0..3, &[1], at(1));
     let mut b = Quarantine::default();
-    b.answered(request(1), at(1));
-    b.hear(Some(&peer()), &of_all(&a), at(2));
+    b.record_answer(request(1), at(1));
+    b.merge(Some(&peer()), &of_all(&a), at(2));
     assert!(!is_held(&b, 1, at(2)));
-    assert!(!b.beyond(&of_all(&a), at(2)).is_empty(), "and tells so");
+    assert!(!b.missing_from(&of_all(&a), at(2)).is_empty(), "and tells so");
 }
 
 #[test]
@@ -133,7 +136,7 @@
     ends(&mut q, 0..3, &[1], at(1));
     let many: Vec<Fingerprint> =
         (0..10_000u32).map(|n| Fingerprint::of(&[&n.to_le_bytes()])).collect();
-    q.ended(&target(9), &"plain".into(), &many, at(2));
+    q.record_crash(&target(9), &"plain".into(), &many, at(2));
     assert!(is_held(&q, 1, at(2)));
     assert!(q.len() <= 4096, "{}", q.len());
     q.expire(at(30 * 60));
@@ -156,7 +159,7 @@
 }
 
 fn of_all(q: &Quarantine) -> Vec<model::forward::SuspectNews> {
-    q.beyond(&[empty(1)], at(2))
+    q.missing_from(&[empty(1)], at(2))
 }
 
 #[test]
@@ -164,16 +167,16 @@
     let mut a = Quarantine::default();
     ends(&mut a, 0..3, &[1], at(1));
     let me = "me".into();
-    let record = a.unwritten(&me, &[], 5_000).remove(0);
-    a.stored(request(1));
-    assert!(a.unwritten(&me, &[], 5_000).is_empty(), "once");
+    let record = a.unstored_records(&me, &[], 5_000).remove(0);
+    a.mark_stored(request(1));
+    assert!(a.unstored_records(&me, &[], 5_000).is_empty(), "once");
     // Another node knows one end by now; it was too few for it.
     let mut b = Quarantine::default();
     ends(&mut b, 7..8, &[1], at(100));
-    let (changes, is_over) = b.read(&record, 65_000, at(100));
+    let (changes, is_over) = b.merge_record(&record, 65_000, at(100));
     assert!(matches!(changes[..], [(_, Change::Held(_))]) && !is_over);
-    assert!(b.unwritten(&me, &[], 65_000).is_empty(), "the store has it");
-    b.answered(request(1), at(101));
-    let (changes, is_over) = b.read(&record, 66_000, at(102));
+    assert!(b.unstored_records(&me, &[], 65_000).is_empty(), "the store has it");
+    b.record_answer(request(1), at(101));
+    let (changes, is_over) = b.merge_record(&record, 66_000, at(102));
     assert!(changes.is_empty() && is_over, "its record is to go");
 }
--- a/crates/decide/tests/quarantine_spread.rs
+++ b/crates/decide/tests/quarantine_spread.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use decide::quarantine::{Quarantine, Unsent};
+use decide::quarantine::{Outgoing, Quarantine};
 use decide::rng::Rng;
 use model::Time;
 use model::forward::{Fingerprint, TargetId};
@@ -57,7 +57,7 @@
 
     fn ends(&mut self, at: usize, target_number: usize) {
         let now = self.now;
-        self.nodes[at].1.ended(&target(target_number), &"s".into(), &[request()], now);
+        self.nodes[at].1.record_crash(&target(target_number), &"s".into(), &[request()], now);
     }
 
     fn reaches(&self, a: usize, b: usize) -> bool {
@@ -71,8 +71,8 @@
                 (0..self.nodes.len()).filter(|n| *n != from && self.reaches(from, *n)).collect();
             let peers: Vec<Node> = peers.into_iter().map(|n| self.nodes[n].0.clone()).collect();
             let (me, now) = (self.nodes[from].0.id.clone(), self.now);
-            for Unsent { peer, news, told } in
-                self.nodes[from].1.unsent(&me.name, &peers, |_| true, now)
+            for Outgoing { peer, news, versions: told } in
+                self.nodes[from].1.outgoing(&me.name, &peers, |_| true, now)
             {
                 self.messages += 1;
                 let is_lost = (self.rng.below(1000) as f64) < self.lost * 1000.0;
@@ -81,13 +81,13 @@
                 }
                 let to = self.nodes.iter().position(|(n, _)| n.id == peer.id).expect("a node");
                 if self.old.contains(&to) {
-                    self.nodes[from].1.stranger(&peer.id);
+                    self.nodes[from].1.mark_unsupported(&peer.id);
                     continue;
                 }
-                self.nodes[to].1.hear(Some(&me), &news, now);
-                let beyond = self.nodes[to].1.beyond(&news, now);
-                self.nodes[from].1.hear(Some(&peer.id), &beyond, now);
-                self.nodes[from].1.told(&peer.id, &told);
+                self.nodes[to].1.merge(Some(&me), &news, now);
+                let beyond = self.nodes[to].1.missing_from(&news, now);
+                self.nodes[from].1.merge(Some(&peer.id), &beyond, now);
+                self.nodes[from].1.acknowledge(&peer.id, &told);
             }
         }
     }
@@ -153,7 +153,7 @@
         (0..500u32).map(|n| Fingerprint::of(&[&n.to_le_bytes()])).collect();
     for (n, one) in many.iter().enumerate() {
         let now = w.now;
-        w.nodes[n % 100].1.ended(&target(n % 10), &"s".into(), &[*one], now);
+        w.nodes[n % 100].1.record_crash(&target(n % 10), &"s".into(), &[*one], now);
     }
     (0..8).for_each(|_| w.step());
     assert!(w.messages <= 500 * 3, "{} messages", w.messages);
--- a/crates/decide/tests/region_cut.rs
+++ b/crates/decide/tests/region_cut.rs
@@ -100,14 +100,14 @@
 
     fn feed(&mut self, i: usize, event: Event) {
         let now = self.now;
-        for action in self.hosts[i].member.on(now, event) {
+        for action in self.hosts[i].member.handle_event(now, event) {
             if let Action::Send(to, packet) = action {
                 self.send(i, to, packet);
             }
         }
         let Host { member, roster } = &mut self.hosts[i];
         for (domain, took) in member.take_round_trips() {
-            roster.measured(&domain, took);
+            roster.record_rtt(&domain, took);
         }
         let view = |p: &decide::member::Peer| PeerView {
             node: p.node.clone(),
@@ -149,10 +149,10 @@
             };
             let to = index(&first);
             if self.answers(i, to) {
-                self.hosts[i].roster.answered(&first.id, now);
+                self.hosts[i].roster.mark_answered(&first.id, now);
                 return to;
             }
-            self.hosts[i].roster.silent(&first.id, now);
+            self.hosts[i].roster.mark_silent(&first.id, now);
         }
     }
 
@@ -282,7 +282,7 @@
     for i in net.nodes_of(&REGIONS) {
         let others = net.hosts[i].roster.ids();
         let now = net.now;
-        others.iter().for_each(|id| net.hosts[i].roster.answered(id, now));
+        others.iter().for_each(|id| net.hosts[i].roster.mark_answered(id, now));
     }
     net.assert_side(&REGIONS, "healed, once silent ones were asked again");
     assert_eq!(net.coordinators(), before);
--- a/crates/decide/tests/regions.rs
+++ b/crates/decide/tests/regions.rs
@@ -160,7 +160,7 @@
     let now = at(60_000);
     let mut asker = roster("a1-0", 3);
     for id in ["b1-0", "b1-1", "b2-0", "b2-1"] {
-        asker.silent(&NodeId { name: id.into(), start: 1 }, now);
+        asker.mark_silent(&NodeId { name: id.into(), start: 1 }, now);
     }
     let order = asker.coordinators(&pool_of("b"), now).collect::<Vec<_>>();
     let first = order[0].as_ref().map_or("a1-0", |n| &n.id.name);
@@ -168,7 +168,7 @@
     let own = asker.coordinators(&pool_of("a"), now).collect::<Vec<_>>();
     let first = own[0].as_ref().map_or("a1-0", |n| &n.id.name);
     assert!(first.starts_with('a'), "the own region goes on: {first}");
-    asker.answered(&NodeId { name: "b1-2".into(), start: 1 }, now);
+    asker.mark_answered(&NodeId { name: "b1-2".into(), start: 1 }, now);
     let order = asker.coordinators(&pool_of("b"), now).collect::<Vec<_>>();
     let first = order[0].as_ref().map_or("a1-0", |n| &n.id.name);
     assert!(first.starts_with('b'), "and is back once one there answers: {first}");
@@ -186,7 +186,7 @@
         for region in regions {
             for (domain, i) in [(1, 0), (1, 1), (2, 0), (2, 1)] {
                 let id = NodeId { name: format!("{region}{domain}-{i}").into(), start: 1 };
-                roster.silent(&id, now);
+                roster.mark_silent(&id, now);
             }
         }
         roster
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -5,7 +5,7 @@
 
 use decide::relay::Role;
 use decide::rng::Rng;
-use decide::roster::{Changes, Contact, PeerView, Roster, ViewChange};
+use decide::roster::{PeerView, PendingChanges, Reachability, Roster, ViewChange};
 use model::Time;
 use model::member::{Health, Node, NodeId};
 
@@ -94,23 +94,23 @@
         };
         let id = view(i, 0, 0).node.id;
         let mut silent = roster(0, &up, 60_000);
-        silent.silent(&id, at(60_000));
+        silent.mark_silent(&id, at(60_000));
         assert_ne!(first(&silent, 0, service, 60_100), was);
         assert_ne!(first(&silent, 0, service, 69_000), was, "silence lasts until an answer");
         let due = |r: &Roster, ms| r.checks_due(service, at(ms)).iter().any(|p| p.id == id);
         assert!(!due(&silent, 60_400) && due(&silent, 60_500), "which is asked for");
-        silent.answered(&id, at(60_200));
+        silent.mark_answered(&id, at(60_200));
         assert_eq!(first(&silent, 0, service, 60_300), was, "an answer ends it");
         let mut stopping = roster(0, &up, 60_000);
         stopping.note_stopping(&id, at(60_000));
         assert_ne!(first(&stopping, 0, service, 60_100), was);
-        assert!(stopping.is_sound(&id), "but what it has begun is waited for");
+        assert!(stopping.is_awaitable(&id), "but what it has begun is waited for");
         let mut suspected = roster(0, &up, 60_000);
         let mut views: Vec<PeerView> = (1..5).map(|i| view(i, 60_000, 60_000)).collect();
         views[i - 1].suspect = true;
         suspected.update(views, at(60_000));
         assert_ne!(first(&suspected, 0, service, 60_000), was);
-        assert!(!suspected.is_sound(&id));
+        assert!(!suspected.is_awaitable(&id));
     }
 }
 
@@ -134,29 +134,33 @@
 fn a_peer_is_asked_once_and_no_more_often_than_its_answer_holds() {
     let mut roster = roster(0, &[60_000; 2], 60_000);
     let id = view(1, 0, 0).node.id;
-    let ask = |r: &mut Roster, ms| r.contact(&id, at(ms));
+    let ask = |r: &mut Roster, ms| r.reachability(&id, at(ms));
     roster.begin_wait(&id, at(60_000));
-    assert_eq!(ask(&mut roster, 60_000), Contact::Answers, "an order has only just begun to wait");
-    assert_eq!(ask(&mut roster, 60_100), Contact::Answers);
-    assert_eq!(ask(&mut roster, 60_120), Contact::Unknown, "a cut is to show soon");
-    roster.answered(&id, at(60_125));
-    assert_eq!(ask(&mut roster, 60_300), Contact::Unknown);
-    assert_eq!(ask(&mut roster, 60_310), Contact::Answers, "it is being asked");
-    roster.silent(&id, at(60_550));
-    assert_eq!(ask(&mut roster, 60_560), Contact::Silent);
-    assert_eq!(ask(&mut roster, 61_040), Contact::Silent);
-    assert_eq!(ask(&mut roster, 61_050), Contact::Unknown, "and asked again");
-    assert_eq!(ask(&mut roster, 61_060), Contact::Silent, "while it is asked it stays silent");
-    roster.answered(&id, at(61_570));
-    assert_eq!(ask(&mut roster, 61_600), Contact::Answers);
+    assert_eq!(
+        ask(&mut roster, 60_000),
+        Reachability::Responsive,
+        "an order has only just begun to wait"
+    );
+    assert_eq!(ask(&mut roster, 60_100), Reachability::Responsive);
+    assert_eq!(ask(&mut roster, 60_120), Reachability::Unknown, "a cut is to show soon");
+    roster.mark_answered(&id, at(60_125));
+    assert_eq!(ask(&mut roster, 60_300), Reachability::Unknown);
+    assert_eq!(ask(&mut roster, 60_310), Reachability::Responsive, "it is being asked");
+    roster.mark_silent(&id, at(60_550));
+    assert_eq!(ask(&mut roster, 60_560), Reachability::Silent);
+    assert_eq!(ask(&mut roster, 61_040), Reachability::Silent);
+    assert_eq!(ask(&mut roster, 61_050), Reachability::Unknown, "and asked again");
+    assert_eq!(ask(&mut roster, 61_060), Reachability::Silent, "while it is asked it stays silent");
+    roster.mark_answered(&id, at(61_570));
+    assert_eq!(ask(&mut roster, 61_600), Reachability::Responsive);
 }
 
 #[test]
 fn nodes_that_started_together_gather_and_a_restarted_one_does_not() {
-    assert!(Roster::new(name(0).into(), "d".into(), 0).is_gathering(at(100)));
-    assert!(roster(0, &[300, 300], 300).is_gathering(at(300)));
-    assert!(!roster(0, &[300, 300], 900).is_gathering(at(900)));
-    assert!(!roster(0, &[300, 60_000], 300).is_gathering(at(300)));
+    assert!(Roster::new(name(0).into(), "d".into(), 0).is_cluster_forming(at(100)));
+    assert!(roster(0, &[300, 300], 300).is_cluster_forming(at(300)));
+    assert!(!roster(0, &[300, 300], 900).is_cluster_forming(at(900)));
+    assert!(!roster(0, &[300, 60_000], 300).is_cluster_forming(at(300)));
 }
 
 #[test]
@@ -164,12 +168,12 @@
     let mut roster = Roster::new(name(0).into(), "d".into(), 0);
     for (ms, peers) in [(50, 1), (120, 4), (200, 9)] {
         roster.update((1..=peers).map(|i| view(i, ms, ms)).collect(), at(ms));
-        assert!(roster.is_gathering(at(ms + 90)), "more may come after {peers}");
+        assert!(roster.is_cluster_forming(at(ms + 90)), "more may come after {peers}");
     }
-    assert!(!roster.is_gathering(at(310)), "nobody came for a while");
+    assert!(!roster.is_cluster_forming(at(310)), "nobody came for a while");
     roster.update((1..=10).map(|i| view(i, 320, 320)).collect(), at(320));
-    assert!(roster.is_gathering(at(330)), "a late one");
-    assert!(!roster.is_gathering(at(900)), "but not for ever");
+    assert!(roster.is_cluster_forming(at(330)), "a late one");
+    assert!(!roster.is_cluster_forming(at(900)), "but not for ever");
 }
 
 #[test]
@@ -183,9 +187,9 @@
     for (ms, small) in [(50, 0), (90, 40), (140, 80)] {
         roster.update(peers(small, ms), at(ms));
     }
-    assert!(roster.is_gathering(at(140)));
+    assert!(roster.is_cluster_forming(at(140)));
     assert!(
-        !roster.is_gathering(at(150)),
+        !roster.is_cluster_forming(at(150)),
         "both hosts that coordinate have been known for a while"
     );
 }
@@ -240,13 +244,13 @@
     let id = view(1, 0, 0).node.id;
     roster.note_stopping(&id, at(60_000));
     roster.update(Vec::new(), at(61_000));
-    assert!(roster.is_sound(&id));
+    assert!(roster.is_awaitable(&id));
     roster.update(Vec::new(), at(130_000));
-    assert!(!roster.is_sound(&id));
-    assert_eq!(roster.most_seen(), 2, "the budget stays shared by as many as there were");
-    roster.silent(&id, at(130_000));
+    assert!(!roster.is_awaitable(&id));
+    assert_eq!(roster.max_seen(), 2, "the budget stays shared by as many as there were");
+    roster.mark_silent(&id, at(130_000));
     assert!(roster.is_silent(&id), "an answer that is waited for may still fail");
-    roster.forget_gone(at(130_000));
+    roster.purge_departed(at(130_000));
     assert!(!roster.is_silent(&id));
 }
 
@@ -260,7 +264,7 @@
     });
     roster.update(others.collect(), at(60_000));
     for i in silent.iter().filter(|i| **i != me) {
-        roster.silent(&view(*i, 0, 0).node.id, at(60_000));
+        roster.mark_silent(&view(*i, 0, 0).node.id, at(60_000));
     }
     roster
 }
@@ -341,10 +345,10 @@
         order.flatten().filter(|p| *p.domain == *domain(1)).count()
     };
     assert_eq!(of_domain(&roster), 9, "one that is silent may have failed alone");
-    roster.silent(&view(others[1], 0, 0).node.id, now);
+    roster.mark_silent(&view(others[1], 0, 0).node.id, now);
     assert_eq!(of_domain(&roster), 0, "the whole domain is left out");
     assert_eq!(roster.coordinators("a", now).count(), 20, "the others are not");
-    roster.answered(&view(others[2], 0, 0).node.id, now);
+    roster.mark_answered(&view(others[2], 0, 0).node.id, now);
     assert_eq!(of_domain(&roster), 8, "all but the silent are back");
 }
 
@@ -357,7 +361,7 @@
             continue;
         };
         let mut asker = spread(0, n, &[]);
-        asker.silent(&lost.id, now);
+        asker.mark_silent(&lost.id, now);
         let Some(Some(next)) = asker.coordinators(service, now).next() else {
             continue;
         };
@@ -366,10 +370,14 @@
         let i = (0..n).find(|i| name(*i) == *next.id.name).expect("one of the nodes");
         let mut asked = spread(i, n, &[]);
         assert!(!asked.coordinates(service, now), "it knows of no loss");
-        assert_eq!(asked.doubted(&skipped), std::slice::from_ref(lost), "so it asks that one");
-        asked.silent(&lost.id, now);
+        assert_eq!(
+            asked.eligible_among(&skipped),
+            std::slice::from_ref(lost),
+            "so it asks that one"
+        );
+        asked.mark_silent(&lost.id, now);
         assert!(asked.coordinates(service, now));
-        assert!(asked.doubted(&skipped).is_empty(), "and asks no more");
+        assert!(asked.eligible_among(&skipped).is_empty(), "and asks no more");
     }
 }
 
@@ -408,7 +416,7 @@
 
 #[test]
 fn changes_of_the_view_within_a_moment_are_told_together() {
-    let mut changes = Changes::default();
+    let mut changes = PendingChanges::default();
     assert_eq!(changes.take_due(at(900)), None);
     for i in 0..100 {
         changes.note(&name(i).into(), Health::Suspect, at(1_000 + i as u64));
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -245,13 +245,13 @@
 
     /// Whether a repeat for a service would be granted now.
     pub fn has_repeat(&self, service: &Name) -> bool {
-        let (now, nodes) = (self.now(), self.peers.roster(|r| r.most_seen()));
+        let (now, nodes) = (self.now(), self.peers.roster(|r| r.max_seen()));
         self.budget(service, |b| b.has(now, nodes))
     }
 
     /// Takes a repeat for a service out of this node's part of the budget.
     pub fn take_repeat(&self, service: &Name) -> bool {
-        let (now, nodes) = (self.now(), self.peers.roster(|r| r.most_seen()));
+        let (now, nodes) = (self.now(), self.peers.roster(|r| r.max_seen()));
         let granted = self.budget(service, |b| b.take(now, nodes));
         if granted {
             self.metrics.repeat(service);
--- a/crates/forward/src/peers/membership.rs
+++ b/crates/forward/src/peers/membership.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use decide::member::{Action, Event as MemberEvent, Member, Tuning};
-use decide::roster::{Changes, PeerView, ViewChange};
+use decide::roster::{PeerView, PendingChanges, ViewChange};
 use model::member::{Health, Node as PeerNode, Packet};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
@@ -31,9 +31,9 @@
     let address = s.peer_address();
     let capacity = s.host.capacity();
     let me = PeerNode { id, address, entry: address, domain: s.domain.clone(), capacity };
-    let mut machine = Member::new(me, Tuning::of_nodes(), rand::random());
-    machine.on(node.now(), MemberEvent::Seeds(s.seed_addresses()));
-    let mut changes = Changes::default();
+    let mut machine = Member::new(me, Tuning::for_serving_nodes(), rand::random());
+    machine.handle_event(node.now(), MemberEvent::Seeds(s.seed_addresses()));
+    let mut changes = PendingChanges::default();
     let mut buffer = vec![0; DATAGRAM_MAX];
     loop {
         let event = tokio::select! {
@@ -48,11 +48,11 @@
         let Some(event) = event else {
             continue;
         };
-        for action in machine.on(node.now(), event) {
+        for action in machine.handle_event(node.now(), event) {
             act(&node, &socket, &mut changes, action).await;
         }
         for (domain, took) in machine.take_round_trips() {
-            node.peers.roster(|r| r.measured(&domain, took));
+            node.peers.roster(|r| r.record_rtt(&domain, took));
         }
         publish(&node, &mut machine);
         if let Some(change) = changes.take_due(node.now()) {
@@ -83,7 +83,7 @@
                 None => r.remove(&id),
             }
         }
-        r.forget_gone(now);
+        r.purge_departed(now);
     });
 }
 
@@ -93,7 +93,7 @@
     Event::View { up, alive, suspected, dead, left, names }.emit();
 }
 
-async fn act(node: &Rc<Node>, socket: &UdpSocket, changes: &mut Changes, action: Action) {
+async fn act(node: &Rc<Node>, socket: &UdpSocket, changes: &mut PendingChanges, action: Action) {
     match action {
         Action::Send(to, packet) => {
             let bytes = rmp_serde::to_vec(&packet).expect("packets encode");
@@ -103,7 +103,7 @@
             // A lost datagram is no news; probes are made for it.
             let _ = socket.send_to(&bytes, to).await;
         }
-        Action::Heard(number, from) => hear(node, number, from),
+        Action::NewerManifest(number, from) => hear(node, number, from),
         Action::Changed(rumor) => {
             changes.note(&rumor.node.id.name, rumor.health, node.now());
             if rumor.health == Health::Left {
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -16,7 +16,7 @@
 use decide::fleet::Regions;
 use decide::member::Event as MemberEvent;
 use decide::relay::waits;
-use decide::roster::{Contact, Roster};
+use decide::roster::{Reachability, Roster};
 use futures_util::future::join_all;
 use http_body_util::Full;
 use hyper::header::{self, HeaderName};
@@ -289,10 +289,10 @@
 /// Whether a peer answers, by what is known or else by a ping that all of this node's
 /// orders share.
 pub async fn answers(node: &Rc<Node>, peer: &PeerNode) -> bool {
-    match node.peers.roster(|r| r.contact(&peer.id, node.now())) {
-        Contact::Answers => true,
-        Contact::Silent => false,
-        Contact::Unknown => {
+    match node.peers.roster(|r| r.reachability(&peer.id, node.now())) {
+        Reachability::Responsive => true,
+        Reachability::Silent => false,
+        Reachability::Unknown => {
             let pong = ping(node, peer.entry).await;
             let now = node.now();
             if pong == Pong::New {
@@ -300,8 +300,8 @@
                 Event::Hung { peer: &peer.id.name }.emit();
             }
             match pong {
-                Pong::None => node.peers.roster(|r| r.silent(&peer.id, now)),
-                Pong::Kept | Pong::New => node.peers.roster(|r| r.answered(&peer.id, now)),
+                Pong::None => node.peers.roster(|r| r.mark_silent(&peer.id, now)),
+                Pong::Kept | Pong::New => node.peers.roster(|r| r.mark_answered(&peer.id, now)),
             }
             pong != Pong::None
         }
--- a/crates/forward/src/quarantine/ends.rs
+++ b/crates/forward/src/quarantine/ends.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use decide::fleet::Presence;
-use decide::quarantine::{Contact, Verdict, judge};
+use decide::quarantine::{ConnectOutcome, Verdict, judge};
 use model::forward::{Fingerprint, Target, TargetId};
 use model::{Name, Time};
 
@@ -73,10 +73,10 @@
         }
     }
 
-    fn verdict(&self, node: &Node, target: &TargetId, contact: Contact) -> Verdict {
+    fn verdict(&self, node: &Node, target: &TargetId, contact: ConnectOutcome) -> Verdict {
         let seen = self.0.borrow().get(target).and_then(|check| check.seen);
         match judge(node.fleet(|f| f.presence(target)), contact) {
-            Verdict::Open => seen.map_or(Verdict::Open, Verdict::Ended),
+            Verdict::Undecided => seen.map_or(Verdict::Undecided, Verdict::Crashed),
             verdict => verdict,
         }
     }
@@ -87,23 +87,23 @@
     let Some(check) = node.quarantine.ends.0.borrow_mut().remove(&target.id) else {
         return;
     };
-    if let Verdict::Ended(how) = verdict {
+    if let Verdict::Crashed(how) = verdict {
         tell(&node, &target, how, &check);
         node.quarantine.ended(&node, &target, check.work);
     }
 }
 
 async fn find_out(node: &Node, target: &Target) -> Verdict {
-    let mut contact = Contact::Silent;
+    let mut contact = ConnectOutcome::NoResponse;
     for pause in CONNECTS {
         tokio::time::sleep(pause).await;
         contact = match upstream::connect(target.address).await {
-            Ok(_) => Contact::Taken,
-            Err(e) if e.is_refused() => Contact::Refused,
-            Err(_) => Contact::Silent,
+            Ok(_) => ConnectOutcome::Accepted,
+            Err(e) if e.is_refused() => ConnectOutcome::Refused,
+            Err(_) => ConnectOutcome::NoResponse,
         };
         match node.quarantine.ends.verdict(node, &target.id, contact) {
-            Verdict::Open => {}
+            Verdict::Undecided => {}
             verdict => return verdict,
         }
     }
@@ -111,11 +111,11 @@
     while node.now() < until {
         tokio::time::sleep(LOOK).await;
         match node.quarantine.ends.verdict(node, &target.id, contact) {
-            Verdict::Open => {}
+            Verdict::Undecided => {}
             verdict => return verdict,
         }
     }
-    Verdict::Open
+    Verdict::Undecided
 }
 
 fn tell(node: &Node, target: &Target, how: &str, check: &Check) {
--- a/crates/forward/src/quarantine/mod.rs
+++ b/crates/forward/src/quarantine/mod.rs
@@ -56,7 +56,7 @@
 
     /// The store came back from an older copy: what is held is written there again.
     pub fn restored(&self) {
-        self.machine(Quarantine::restored);
+        self.machine(Quarantine::clear_stored);
         self.held.notify_one();
     }
 
@@ -67,12 +67,12 @@
 
     /// A request came, and is to be refused if it is held.
     pub fn comes(&self, node: &Node, request: Fingerprint) -> Option<Hold> {
-        self.machine(|q| q.comes(request, node.now()))
+        self.machine(|q| q.record_arrival(request, node.now()))
     }
 
     /// A request is about to be sent; whether it may be.
     pub fn sends(&self, node: &Node, id: &str, request: Fingerprint) -> bool {
-        let Ok(let_through) = self.machine(|q| q.sends(request, node.now())) else {
+        let Ok(let_through) = self.machine(|q| q.try_send(request, node.now())) else {
             return false;
         };
         if let_through {
@@ -111,7 +111,7 @@
 
     /// A target answered a request whole.
     pub fn answered(&self, node: &Node, request: Fingerprint) {
-        if let Some(change) = self.machine(|q| q.answered(request, node.now())) {
+        if let Some(change) = self.machine(|q| q.record_answer(request, node.now())) {
             self.take(OWN, vec![(request, change)]);
             self.changed.notify_one();
         }
@@ -137,7 +137,7 @@
 
     fn ended_under(&self, node: &Node, target: &TargetId, service: &Name, under: &[Fingerprint]) {
         let now = node.now();
-        let changes = self.machine(|q| q.ended(target, service, under, now));
+        let changes = self.machine(|q| q.record_crash(target, service, under, now));
         self.take(OWN, changes);
         self.changed.notify_one();
     }
@@ -157,10 +157,10 @@
     pub fn hear(&self, node: &Node, news: &QuarantineNews) -> QuarantineNews {
         news.makers.iter().for_each(|end| self.maker_ended(node, end));
         let now = node.now();
-        let changes = self.machine(|q| q.hear(Some(&news.from), &news.suspects, now));
+        let changes = self.machine(|q| q.merge(Some(&news.from), &news.suspects, now));
         self.take(&news.from.name, changes);
         self.changed.notify_one();
-        let suspects = self.machine(|q| q.beyond(&news.suspects, now));
+        let suspects = self.machine(|q| q.missing_from(&news.suspects, now));
         QuarantineNews { from: node.peers.id.clone(), suspects, makers: Vec::new() }
     }
 
@@ -183,10 +183,10 @@
             match change {
                 Change::Held(hold) => {
                     self.held.notify_one();
-                    let targets = self.machine(|q| q.ends_of(request, TOLD_MOST));
-                    let left_ms = hold.left.map(|left| left.as_millis() as u64);
+                    let targets = self.machine(|q| q.crashed_targets(request, TOLD_MOST));
+                    let left_ms = hold.remaining.map(|left| left.as_millis() as u64);
                     let (same, targets) = (&*same, &*targets);
-                    Event::Held { same, from, ends: hold.ends, targets, left_ms }.emit();
+                    Event::Held { same, from, ends: hold.crashes, targets, left_ms }.emit();
                 }
                 Change::Released(why) => Event::Released { same: &same, from, why }.emit(),
             }
--- a/crates/forward/src/quarantine/record.rs
+++ b/crates/forward/src/quarantine/record.rs
@@ -40,7 +40,7 @@
         tokio::time::sleep(WRITE_EVERY).await;
         let peers = node.peers.roster(|r| r.peers());
         let me = &node.peers.id.name;
-        let unwritten = node.quarantine.machine(|q| q.unwritten(me, &peers, unix_ms()));
+        let unwritten = node.quarantine.machine(|q| q.unstored_records(me, &peers, unix_ms()));
         for record in unwritten.iter().take(WRITES_MOST) {
             create(&node, record).await;
         }
@@ -58,7 +58,7 @@
         Err(_) => Err("no answer in time".into()),
     };
     if end.is_ok() {
-        node.quarantine.machine(|q| q.stored(record.request));
+        node.quarantine.machine(|q| q.mark_stored(record.request));
     }
     tell("held", record.request, end);
 }
@@ -136,7 +136,8 @@
     }
     for record in records {
         let now: Time = node.now();
-        let (changes, is_over) = node.quarantine.machine(|q| q.read(&record, unix_ms(), now));
+        let (changes, is_over) =
+            node.quarantine.machine(|q| q.merge_record(&record, unix_ms(), now));
         node.quarantine.take(STORE, changes);
         if is_over {
             delete(node, record.request).await;
--- a/crates/forward/src/quarantine/spread.rs
+++ b/crates/forward/src/quarantine/spread.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decide::quarantine::Unsent;
+use decide::quarantine::Outgoing;
 use model::Time;
 use model::forward::{MakerEnd, QuarantineNews, SuspectNews};
 use model::member::{Node as PeerNode, NodeId};
@@ -73,7 +73,7 @@
         q.take(OWN, changes);
         let peers = node.peers.roster(|r| r.peers());
         let may = |id: &NodeId| q.pace.may(id, now);
-        let unsent = q.machine(|m| m.unsent(&node.peers.id.name, &peers, may, now));
+        let unsent = q.machine(|m| m.outgoing(&node.peers.id.name, &peers, may, now));
         for message in unsent.into_iter().take(q.pace.free()) {
             q.pace.begin(&message.peer.id);
             tokio::task::spawn_local(send(node.clone(), message));
@@ -99,8 +99,8 @@
     });
 }
 
-async fn send(node: Rc<Node>, message: Unsent) {
-    let Unsent { peer, news, told } = message;
+async fn send(node: Rc<Node>, message: Outgoing) {
+    let Outgoing { peer, news, versions } = message;
     let q = &node.quarantine;
     // A kept connection may have fallen silent.
     let fresh = q.pace.has_failed(&peer.id).then(|| Client::new(peers::CONNECT));
@@ -110,11 +110,11 @@
     let has_answered = match end {
         Ok(beyond) => {
             q.hear(&node, &beyond);
-            q.machine(|m| m.told(&peer.id, &told));
+            q.machine(|m| m.acknowledge(&peer.id, &versions));
             true
         }
         Err(e) if peers::is_unknown(&e) => {
-            q.machine(|m| m.stranger(&peer.id));
+            q.machine(|m| m.mark_unsupported(&peer.id));
             Event::Stranger { peer: &peer.id.name, what: QUARANTINE }.emit();
             true
         }
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -112,7 +112,7 @@
     if let Some(hold) = node.quarantine.comes(node, fingerprint) {
         node.metrics.held_back(&route.name);
         let refusal = Refusal {
-            come_back: hold.left,
+            come_back: hold.remaining,
             same: Some(fingerprint),
             ..Refusal::new(StatusCode::SERVICE_UNAVAILABLE, HELD)
         };
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -199,7 +199,7 @@
     /// Connections that this node may have to one target: an equal part of what a target
     /// takes from all nodes.
     fn connections_each(&self) -> u32 {
-        let nodes = self.node.peers.roster(|r| r.most_seen()) as u32;
+        let nodes = self.node.peers.roster(|r| r.max_seen()) as u32;
         let table = self.node.table();
         let all = table.service(&self.service).map_or(u32::MAX, |s| s.connections);
         (all / nodes.max(1)).max(1)
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -349,7 +349,7 @@
                     self.node.metrics.barred(&self.route.name);
                 }
                 let come_back = match self.held() {
-                    Some(hold) => hold.left,
+                    Some(hold) => hold.remaining,
                     None => self.soonest().or(Some(COME_BACK).filter(|_| self.is_reachable())),
                 };
                 (StatusCode::SERVICE_UNAVAILABLE, come_back, "not_run")
--- a/crates/forward/src/stages/order.rs
+++ b/crates/forward/src/stages/order.rs
@@ -59,7 +59,7 @@
 /// its own, they would take each other's makers for seconds.
 async fn gather(node: &Rc<Node>, order: &mut BatchOrder) {
     let begun = node.now();
-    while node.peers.roster(|r| r.is_gathering(node.now())) {
+    while node.peers.roster(|r| r.is_cluster_forming(node.now())) {
         tokio::time::sleep(LOOK).await;
     }
     spend(order, node.now().since(begun));
@@ -88,7 +88,7 @@
         order.skipped = node.peers.roster(|r| r.skipped(&pool, now));
         match ask(node, &peer, order).await {
             Ok(BatchAnswer { results, waits, coordinator, region }) => {
-                node.peers.roster(|r| r.answered(&peer.id, node.now()));
+                node.peers.roster(|r| r.mark_answered(&peer.id, node.now()));
                 node.heard_waits(order.queue(), waits);
                 let entry = coordinator.unwrap_or(peer.entry);
                 let pool = PoolId { region, ..pool };
@@ -165,7 +165,7 @@
         return node.pools.order(node, order, false).await;
     }
     let begun = node.now();
-    let doubted = node.peers.roster(|r| r.doubted(&order.skipped));
+    let doubted = node.peers.roster(|r| r.eligible_among(&order.skipped));
     peers::ask_all(node, &doubted).await;
     spend(&mut order, node.now().since(begun));
     let first = node.peers.roster(|r| r.coordinators(&order.pool(), node.now()).next());
@@ -215,7 +215,7 @@
     order.passed_on = false;
     order.skipped = node.peers.roster(|r| r.skipped(&pool, node.now()));
     let answer = ask(node, &peer, &order).await?;
-    node.peers.roster(|r| r.answered(&peer.id, node.now()));
+    node.peers.roster(|r| r.mark_answered(&peer.id, node.now()));
     Ok(BatchAnswer { coordinator: Some(answer.coordinator.unwrap_or(peer.entry)), ..answer })
 }
 
@@ -235,7 +235,7 @@
             if e.status() == Some(STOPPING) {
                 node.peers.roster(|r| r.note_stopping(&peer.id, node.now()));
             } else if e.not_sent() {
-                node.peers.roster(|r| r.silent(&peer.id, node.now()));
+                node.peers.roster(|r| r.mark_silent(&peer.id, node.now()));
             }
             Err(e.to_string())
         }
@@ -249,7 +249,7 @@
 async fn lost(node: &Rc<Node>, peer: &PeerNode, begun: Time) -> &'static str {
     loop {
         tokio::time::sleep(LOOK).await;
-        let sound = node.peers.roster(|r| r.is_sound(&peer.id));
+        let sound = node.peers.roster(|r| r.is_awaitable(&peer.id));
         if !sound || !peers::answers(node, peer).await {
             return "it is suspected or gone";
         }
