--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -10,10 +10,10 @@
 //! gets one. So does another request that is held and ran at the same targets.
 
 mod answered;
-mod case;
-mod ends;
-mod news;
+mod gossip;
 mod record;
+mod suspect;
+mod verdict;
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -23,11 +23,11 @@
 use model::{Name, Time};
 
 use answered::Answered;
-use case::Suspect;
+use suspect::Suspect;
 
-pub use case::Hold;
-pub use ends::{ConnectOutcome, Verdict, judge};
-pub use news::{Outgoing, SentVersions};
+pub use gossip::{Outgoing, SentVersions};
+pub use suspect::Hold;
+pub use verdict::{ConnectOutcome, Verdict, judge};
 
 /// Ends from which on a request is held. One may be chance, and two still are where targets end
 /// for a reason of their own.
--- a/crates/decide/src/quarantine/record.rs
+++ b/crates/decide/src/quarantine/record.rs
@@ -5,7 +5,7 @@
 use model::member::Node;
 use model::{Name, Time};
 
-use super::news::replicas;
+use super::gossip::replicas;
 use super::{Changes, HELD_TTL, Quarantine};
 
 impl Quarantine {
--- a/crates/decide/src/quarantine/case.rs
+++ b/crates/decide/src/quarantine/suspect.rs
@@ -6,7 +6,7 @@
 use model::{Name, Time};
 
 use super::HOLD_THRESHOLD;
-use super::news::GossipState;
+use super::gossip::GossipState;
 
 /// Times for which a request is held before it is let through the first time and the second: what
 /// ended the targets may have been mended, or may not have been the request. After these it is
--- a/crates/decide/src/roster/mod.rs
+++ b/crates/decide/src/roster/mod.rs
@@ -1,13 +1,13 @@
 //! What a node believes of its peers, and in which order nodes coordinate a service.
 //!
 //! Membership says who is up; answers of peers, or their silence, say more and sooner. Here is
-//! what is known of them; who does what follows from it (`duty`), and who is asked for the store's
+//! what is known of them; who does what follows from it (`role_key`), and who is asked for the store's
 //! state (`sources`).
 
 mod changes;
 mod contact;
-mod duty;
 mod ranking;
+mod role_key;
 mod sources;
 
 use std::cell::{Cell, RefCell};
@@ -26,8 +26,8 @@
 pub use changes::{PendingChanges, ViewChange};
 use contact::PeerLiveness;
 pub use contact::Reachability;
-pub use duty::RoleKey;
 use ranking::Rankings;
+pub use role_key::RoleKey;
 
 /// Longest time in which nodes that started together find each other.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(800);
--- a/crates/decide/src/roster/sources.rs
+++ b/crates/decide/src/roster/sources.rs
@@ -6,8 +6,8 @@
 use model::{Name, Time, hash};
 
 use super::Roster;
-use super::duty::RoleKey;
 use super::ranking::score;
+use super::role_key::RoleKey;
 use crate::relay::{Relays, Role};
 
 /// Nodes of each failure domain that its followers ask: the relay, which reads the store,
