--- a/crates/bench/src/slopes/fleet.rs
+++ b/crates/bench/src/slopes/fleet.rs
@@ -115,7 +115,7 @@
     for i in 0..TRIES {
         let now = Time::from_millis(1 + i * ORDER_EVERY);
         if i % 10 == 0 {
-            fleet.vanish(&format!("m{}", i / 10).as_str().into(), None, now);
+            fleet.remove(&format!("m{}", i / 10).as_str().into(), None, now);
             fleet.upsert(maker(&format!("n{i}"), i as usize), now);
         }
         let event = Event::Order { id: i, order: order(), pinned: false };
--- a/crates/decide/src/batch/feed.rs
+++ b/crates/decide/src/batch/feed.rs
@@ -10,8 +10,8 @@
 use model::{Name, Time};
 
 use super::types::{Event, MakerInfo};
-use crate::fleet::{Belief, ChangedTargets, ColdLimit, Fleet, Terms};
-use crate::permit::{LIMITED_CALL, pace_of};
+use crate::fleet::{ChangedTargets, ColdLimit, Fleet, TargetState, Terms};
+use crate::permit::{MAX_LIMITED_PIECES, issue_rate};
 use crate::region::Map;
 
 /// Makers of one pool as its coordinator was told of them.
@@ -86,7 +86,7 @@
         self.due.clear();
         let mut makers = Vec::new();
         for b in view.fleet.of_service(&view.pool.service) {
-            let until = view.fleet.holds_until(b, view.cold, view.now);
+            let until = view.fleet.valid_until(b, view.cold, view.now);
             self.due.extend(until.map(|at| (at, b.target.id.name.clone())));
             makers.extend(view.info(b));
         }
@@ -98,8 +98,8 @@
         let names: BTreeSet<&Name> = names.iter().collect();
         let (mut there, mut gone) = (Vec::new(), Vec::new());
         for name in names {
-            let belief = view.fleet.named(name).filter(|b| b.target.service == view.pool.service);
-            let until = belief.and_then(|b| view.fleet.holds_until(b, view.cold, view.now));
+            let belief = view.fleet.by_name(name).filter(|b| b.target.service == view.pool.service);
+            let until = belief.and_then(|b| view.fleet.valid_until(b, view.cold, view.now));
             self.due.extend(until.map(|at| (at, name.clone())));
             let info = belief.and_then(|b| view.info(b));
             let told = self.told.remove(name);
@@ -115,7 +115,7 @@
 }
 
 impl View<'_> {
-    fn names_limit(&self, b: &Belief) -> bool {
+    fn names_limit(&self, b: &TargetState) -> bool {
         self.fleet.limits().get(&b.target.id).is_some()
     }
 
@@ -126,33 +126,34 @@
     }
 
     /// A target as the machine is to know it; `None` if it may get no calls.
-    fn info(&self, b: &Belief) -> Option<MakerInfo> {
+    fn info(&self, b: &TargetState) -> Option<MakerInfo> {
         let region = self.pool.region.as_ref();
         if region.is_some_and(|r| self.map.region_of(&b.target.domain) != *r) {
             return None;
         }
-        let is_usable = |side| self.fleet.bars(b, Terms { side, ..Terms::ANY }, self.now).is_none();
+        let is_usable =
+            |side| self.fleet.exclusion(b, Terms { side, ..Terms::ANY }, self.now).is_none();
         let (_, share) = self.sides.iter().find(|(side, _)| is_usable(*side))?;
         Some(MakerInfo {
             id: b.target.id.clone(),
             domain: b.target.domain.clone(),
             region: self.fleet.regions().of(&b.target.domain).cloned(),
             gap: self.cold_gap(b).max(self.limit_gap(b)),
-            most: (self.others_bear && self.names_limit(b)).then_some(LIMITED_CALL as usize),
+            most: (self.others_bear && self.names_limit(b)).then_some(MAX_LIMITED_PIECES as usize),
             share: *share,
         })
     }
 
     /// Least time between two calls of a cold maker.
-    fn cold_gap(&self, b: &Belief) -> Option<Duration> {
+    fn cold_gap(&self, b: &TargetState) -> Option<Duration> {
         let limit = self.cold.filter(|l| self.fleet.is_cold(b, *l, self.now))?;
-        Some(limit.gap.unwrap_or(Duration::MAX))
+        Some(limit.interval.unwrap_or(Duration::MAX))
     }
 
     /// Least time between two calls of a maker that names a limit.
-    fn limit_gap(&self, b: &Belief) -> Option<Duration> {
-        let pace = pace_of(self.fleet.limits().get(&b.target.id)?);
-        let most = if self.others_bear { LIMITED_CALL } else { 1 };
+    fn limit_gap(&self, b: &TargetState) -> Option<Duration> {
+        let pace = issue_rate(self.fleet.limits().get(&b.target.id)?);
+        let most = if self.others_bear { MAX_LIMITED_PIECES } else { 1 };
         Some(Duration::from_secs_f64(f64::from(most) / pace))
     }
 }
--- a/crates/decide/src/fleet/changed.rs
+++ b/crates/decide/src/fleet/changed.rs
@@ -8,7 +8,7 @@
 use model::Name;
 
 /// Changed names remembered: more than change while one who looks often is busy.
-const REMEMBERED: usize = 4096;
+const CAPACITY: usize = 4096;
 
 /// What may have changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,16 +28,16 @@
 }
 
 impl ChangeLog {
-    pub(super) fn note(&mut self, name: &Name) {
+    pub(super) fn push(&mut self, name: &Name) {
         self.names.push_back(name.clone());
-        if self.names.len() > REMEMBERED {
+        if self.names.len() > CAPACITY {
             self.names.pop_front();
             self.first += 1;
         }
     }
 
     /// Any target may have changed.
-    pub(super) fn note_all(&mut self) {
+    pub(super) fn invalidate(&mut self) {
         self.first = self.next() + 1;
         self.names.clear();
     }
@@ -49,9 +49,9 @@
 
     /// What changed since the next one had this number.
     pub(super) fn since(&self, number: u64) -> ChangedTargets {
-        let Some(known) = number.checked_sub(self.first) else {
+        let Some(index) = number.checked_sub(self.first) else {
             return ChangedTargets::Any;
         };
-        ChangedTargets::Names(self.names.iter().skip(known as usize).cloned().collect())
+        ChangedTargets::Names(self.names.iter().skip(index as usize).cloned().collect())
     }
 }
--- a/crates/decide/src/fleet/cold.rs
+++ b/crates/decide/src/fleet/cold.rs
@@ -12,12 +12,12 @@
 
 /// Owners of one target that may act at once: one in each of three failure domains that are
 /// cut off from each other, or two while the work moves from one to the other.
-const OWNERS: f64 = 3.0;
+const MAX_OWNERS: f64 = 3.0;
 /// Span over which a target's requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 /// Time by which one request may be later at the target than another: the owner's answer, a
 /// connection that is opened, and a host whose share of its core is used up.
-const STRAY: Duration = Duration::from_millis(250);
+const ARRIVAL_JITTER: Duration = Duration::from_millis(250);
 
 /// What the platform allows beyond the requests a second that a cold target bears.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -38,9 +38,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdLimit {
     /// Time for which a target is cold after its failure domain was evacuated.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Least time between two starts of requests at one target; `None` if it gets none.
-    pub gap: Option<Duration>,
+    pub interval: Option<Duration>,
 }
 
 impl ColdLimit {
@@ -49,14 +49,14 @@
         if cold.per_s <= 0.0 {
             return None;
         }
-        let all = cold.per_s * bounds.overrun + bounds.slack;
-        let each = (all / OWNERS) as u32;
-        let gap = match each {
+        let total = cold.per_s * bounds.overrun + bounds.slack;
+        let per_owner = (total / MAX_OWNERS) as u32;
+        let interval = match per_owner {
             0 => None,
-            1 => Some((WINDOW + STRAY) * 2),
+            1 => Some((WINDOW + ARRIVAL_JITTER) * 2),
             // In a window come those of its own length and of the stray time before it.
-            n => Some((WINDOW + STRAY) / (n - 1)),
+            n => Some((WINDOW + ARRIVAL_JITTER) / (n - 1)),
         };
-        Some(ColdLimit { lasts: Duration::from_millis(cold.lasts_ms), gap })
+        Some(ColdLimit { duration: Duration::from_millis(cold.lasts_ms), interval })
     }
 }
--- a/crates/decide/src/fleet/evacuation.rs
+++ b/crates/decide/src/fleet/evacuation.rs
@@ -11,7 +11,7 @@
 use model::forward::Evacuations;
 use model::{Name, Time};
 
-use crate::relay::Newest;
+use crate::relay::LatestList;
 
 /// What became of a failure domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -26,8 +26,8 @@
 #[derive(Debug, Default)]
 pub struct Evacuated {
     /// If the store is to tell of them, nothing is sent before it has.
-    domains: Newest<BTreeSet<Name>>,
-    ended: BTreeMap<Name, Time>,
+    domains: LatestList<BTreeSet<Name>>,
+    ended_at: BTreeMap<Name, Time>,
 }
 
 impl Evacuated {
@@ -55,18 +55,18 @@
     }
 
     /// When the evacuation of a failure domain was last taken back, if it was.
-    pub fn ended(&self, domain: &str) -> Option<Time> {
-        self.ended.get(domain).copied()
+    pub fn ended_at(&self, domain: &str) -> Option<Time> {
+        self.ended_at.get(domain).copied()
     }
 
     /// Takes a list unless a newer one is known; returns what it changes.
-    pub fn take(&mut self, list: Evacuations, now: Time) -> Vec<EvacuationChange> {
+    pub fn update(&mut self, list: Evacuations, now: Time) -> Vec<EvacuationChange> {
         let after: BTreeSet<Name> = list.domains.into_iter().collect();
-        let Some(before) = self.domains.take(list.at, after.clone()) else {
+        let Some(before) = self.domains.update(list.at, after.clone()) else {
             return Vec::new();
         };
         for domain in before.difference(&after) {
-            self.ended.insert(domain.clone(), now);
+            self.ended_at.insert(domain.clone(), now);
         }
         let ended = before.difference(&after).cloned().map(EvacuationChange::Ended);
         let began = after.difference(&before).cloned().map(EvacuationChange::Began);
@@ -95,7 +95,7 @@
     }
 
     /// Whether a node that knows the list of a revision, if any, lacks a change.
-    pub fn is_news_since(&self, at: Option<u64>) -> bool {
-        self.domains.is_news_since(at)
+    pub fn changed_since(&self, at: Option<u64>) -> bool {
+        self.domains.changed_since(at)
     }
 }
--- a/crates/decide/src/fleet/load.rs
+++ b/crates/decide/src/fleet/load.rs
@@ -10,9 +10,9 @@
 use model::forward::TargetLoad;
 
 /// Time in which what is known of other nodes' requests fades to 1/e: as long as most take.
-const REQUESTS_FADE: Duration = Duration::from_millis(500);
+const REQUESTS_DECAY: Duration = Duration::from_millis(500);
 /// Time in which what is known of the machine's pace fades to 1/e.
-const PACE_FADE: Duration = Duration::from_millis(200);
+const SLOWDOWN_DECAY: Duration = Duration::from_millis(200);
 
 /// The last word of a target on its load.
 #[derive(Debug, Clone, Copy)]
@@ -20,29 +20,29 @@
     /// Requests of other nodes for each place.
     others: f64,
     slowdown: f64,
-    heard: Time,
+    received_at: Time,
 }
 
 impl LoadReport {
     /// A target told its load while this many requests of this node were there, the one whose
     /// answer told it not counted.
     pub(super) fn new(load: TargetLoad, own: u32, now: Time) -> Self {
-        let all = load.running.saturating_add(load.waiting);
-        let others = f64::from(all.saturating_sub(own)) / f64::from(load.slots.max(1));
-        LoadReport { others, slowdown: load.slowdown, heard: now }
+        let total = load.running.saturating_add(load.waiting);
+        let others = f64::from(total.saturating_sub(own)) / f64::from(load.slots.max(1));
+        LoadReport { others, slowdown: load.slowdown, received_at: now }
     }
 
     /// Expected requests of other nodes for each place.
     pub(super) fn others(&self, now: Time) -> f64 {
-        self.others * self.left(REQUESTS_FADE, now)
+        self.others * self.decay(REQUESTS_DECAY, now)
     }
 
     /// Times as long as usual that work is expected to take.
     pub(super) fn slowdown(&self, now: Time) -> f64 {
-        1.0 + (self.slowdown - 1.0) * self.left(PACE_FADE, now)
+        1.0 + (self.slowdown - 1.0) * self.decay(SLOWDOWN_DECAY, now)
     }
 
-    fn left(&self, fade: Duration, now: Time) -> f64 {
-        (-now.since(self.heard).as_secs_f64() / fade.as_secs_f64()).exp()
+    fn decay(&self, time: Duration, now: Time) -> f64 {
+        (-now.since(self.received_at).as_secs_f64() / time.as_secs_f64()).exp()
     }
 }
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -17,12 +17,12 @@
 mod targets;
 mod terms;
 
-pub use belief::{Belief, Observation, Presence};
+pub use belief::{Observation, Presence, TargetState};
 pub use changed::ChangedTargets;
 pub use cold::{ColdBounds, ColdLimit};
 pub use evacuation::{Evacuated, EvacuationChange};
-pub use news::still_true;
+pub use news::drop_superseded;
 pub use notice::{NoticeChange, Notices};
-pub use pick::{ColdStarts, Home, Wanted, shares};
+pub use pick::{ColdStarts, Home, PickCriteria, shares};
 pub use targets::Fleet;
-pub use terms::{Barred, Regions, Terms};
+pub use terms::{Exclusion, Regions, Terms};
--- a/crates/decide/src/fleet/news.rs
+++ b/crates/decide/src/fleet/news.rs
@@ -9,17 +9,17 @@
 /// that are known too, and an end that was known would cost what is believed of the target.
 ///
 /// An entry before an end stays: it may say that the target was draining.
-pub fn still_true(changes: Vec<TargetChange>) -> Vec<TargetChange> {
+pub fn drop_superseded(changes: Vec<TargetChange>) -> Vec<TargetChange> {
     let mut last_entry: HashMap<Name, usize> = HashMap::new();
     for (i, change) in changes.iter().enumerate() {
         if let TargetChange::Now(target) = change {
             last_entry.insert(target.id.name.clone(), i);
         }
     }
-    let is_over = |i: usize, change: &TargetChange| {
+    let is_superseded = |i: usize, change: &TargetChange| {
         let is_end = !matches!(change, TargetChange::Now(_));
         is_end && last_entry.get(change.name()).is_some_and(|entry| *entry > i)
     };
     let numbered = changes.into_iter().enumerate();
-    numbered.filter(|(i, change)| !is_over(*i, change)).map(|(_, change)| change).collect()
+    numbered.filter(|(i, change)| !is_superseded(*i, change)).map(|(_, change)| change).collect()
 }
--- a/crates/decide/src/fleet/pick.rs
+++ b/crates/decide/src/fleet/pick.rs
@@ -5,7 +5,7 @@
 use model::forward::{Allowed, PromptPart, Side, Target, TargetId};
 use model::{Name, Time, hash};
 
-use super::{Belief, ColdLimit, Fleet, Terms};
+use super::{ColdLimit, Fleet, TargetState, Terms};
 use crate::region::Map;
 use crate::rng::Rng;
 
@@ -29,7 +29,7 @@
 
 /// What a choice is made for.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct PickCriteria<'a> {
     /// Service.
     pub service: &'a str,
     /// Failure domain of this node.
@@ -39,23 +39,23 @@
     /// What the request asks of its target.
     pub terms: Terms<'a>,
     /// Region whose targets are homes before others; `None` if those of any region are.
-    pub region: Option<&'a Name>,
+    pub home_region: Option<&'a Name>,
     /// Targets that the request was sent to before.
-    pub but: &'a [TargetId],
+    pub exclude: &'a [TargetId],
     /// Requests that this node may have at one target: its part of the connections that
     /// a target takes from all nodes together.
-    pub most_each: u32,
+    pub max_per_target: u32,
     /// Share of homes by failure domain, relative to each other; equal if empty.
     pub shares: &'a [(Name, f64)],
     /// What the service's cold targets bear; `None` if as much as others.
-    pub limit: Option<ColdLimit>,
+    pub cold_limit: Option<ColdLimit>,
     /// Which of them may be chosen.
-    pub cold: ColdStarts<'a>,
+    pub cold_starts: ColdStarts<'a>,
     /// Whether the request may be sent again after a target ran it.
     pub may_repeat: bool,
 }
 
-impl Wanted<'_> {
+impl PickCriteria<'_> {
     fn share_of(&self, domain: &str) -> f64 {
         let share = self.shares.iter().find(|(d, _)| **d == *domain);
         share.map_or(1.0, |(_, share)| *share)
@@ -68,19 +68,19 @@
     /// Hash by which targets are ordered.
     pub key: u64,
     /// Tokens that are read again elsewhere.
-    pub shared: u64,
+    pub shared_tokens: u64,
 }
 
 /// Tokens in flight above which the next target in the home's order is looked at.
 const SPILL_TOKENS: u64 = 40_000;
 /// Size of a part beside the largest below which it does not decide about the home.
-const SMALL_PART: f64 = 0.2;
+const MIN_PART_RATIO: f64 = 0.2;
 /// Makers that a failure domain without any is counted with.
-const NO_MAKER: f64 = 0.2;
+const EMPTY_DOMAIN_PRODUCERS: f64 = 0.2;
 /// Extra milliseconds that a request to another failure domain of the region costs.
-const CROSSING_MS: f64 = 2.0;
+const REGION_NETWORK_MS: f64 = 2.0;
 /// Milliseconds assumed of a target that has answered nothing yet.
-const UNKNOWN_MS: f64 = 20.0;
+const DEFAULT_ANSWER_MS: f64 = 20.0;
 
 impl Home {
     /// Home of a prompt: the last of its shared parts, which are all but the very last,
@@ -95,21 +95,21 @@
             [shared @ .., _] => shared,
         };
         let largest = shared.iter().map(|p| p.tokens).max()?;
-        let is_large = |p: &&PromptPart| p.tokens as f64 >= largest as f64 * SMALL_PART;
+        let is_large = |p: &&PromptPart| p.tokens as f64 >= largest as f64 * MIN_PART_RATIO;
         let part = shared.iter().rev().find(is_large)?;
-        Some(Home { key: part.id, shared: shared.iter().map(|p| p.tokens).sum() })
+        Some(Home { key: part.id, shared_tokens: shared.iter().map(|p| p.tokens).sum() })
     }
 }
 
 /// Extra milliseconds that a request to a failure domain costs.
-fn crossing_ms(wanted: Wanted<'_>, domain: &Name) -> f64 {
-    if **domain == *wanted.domain {
+fn network_ms(criteria: PickCriteria<'_>, domain: &Name) -> f64 {
+    if **domain == *criteria.domain {
         return 0.0;
     }
-    if wanted.map.is_near(domain) {
-        return CROSSING_MS;
+    if criteria.map.is_near(domain) {
+        return REGION_NETWORK_MS;
     }
-    wanted.map.round_trip(domain).as_secs_f64() * 1000.0
+    criteria.map.round_trip(domain).as_secs_f64() * 1000.0
 }
 
 /// Weighted rendezvous: the least distance wins, in proportion to the shares
@@ -126,7 +126,7 @@
 /// outside of the regions that are allowed left out.
 pub fn shares(
     fleet: &Fleet,
-    makers: &str,
+    producers: &str,
     targets: &str,
     allowed: &Allowed,
     now: Time,
@@ -135,18 +135,18 @@
     let count = |service: &str| {
         let mut by_domain: BTreeMap<Name, u32> = BTreeMap::new();
         // A rest is over in a moment, and homes that moved meanwhile are read anew.
-        for b in fleet.on_terms(service, terms, now) {
-            *by_domain.entry(b.target.domain.clone()).or_default() += 1;
+        for t in fleet.eligible(service, terms, now) {
+            *by_domain.entry(t.target.domain.clone()).or_default() += 1;
         }
         by_domain
     };
-    let makers = count(makers);
-    if makers.is_empty() {
+    let producers = count(producers);
+    if producers.is_empty() {
         return Vec::new();
     }
     let share = |(domain, targets): (Name, u32)| {
-        let made = makers.get(&domain).map_or(NO_MAKER, |n| f64::from(*n));
-        let share = made / f64::from(targets);
+        let produced = producers.get(&domain).map_or(EMPTY_DOMAIN_PRODUCERS, |n| f64::from(*n));
+        let share = produced / f64::from(targets);
         (domain, share)
     };
     count(targets).into_iter().map(share).collect()
@@ -154,101 +154,112 @@
 
 /// Targets in the order in which they are the home of a prompt.
 fn home_order<'a>(
-    targets: impl Iterator<Item = &'a Belief>,
-    wanted: Wanted<'_>,
+    targets: impl Iterator<Item = &'a TargetState>,
+    criteria: PickCriteria<'_>,
     home: Home,
-) -> Vec<&'a Belief> {
-    let place = |b: &'a Belief| {
-        let hash = hash::mix(home.key, hash::of(b.target.id.name.as_bytes()));
-        (distance(hash, wanted.share_of(&b.target.domain)), b)
+) -> Vec<&'a TargetState> {
+    let score = |t: &'a TargetState| {
+        let hash = hash::mix(home.key, hash::of(t.target.id.name.as_bytes()));
+        (distance(hash, criteria.share_of(&t.target.domain)), t)
     };
-    let mut order: Vec<(f64, &Belief)> = targets.map(place).collect();
+    let mut order: Vec<(f64, &TargetState)> = targets.map(score).collect();
     order.sort_unstable_by(|(a, _), (b, _)| a.total_cmp(b));
-    order.into_iter().map(|(_, b)| b).collect()
+    order.into_iter().map(|(_, t)| t).collect()
 }
 
 impl Fleet {
     /// The target with the least expected wait, for services without a cache; before it one
     /// that names a limit, lies near and was not asked for long, or one that was left out and may
     /// be well again. The latter is no place for a second send.
-    pub fn pick_plain(&self, wanted: Wanted<'_>, now: Time, rng: &mut Rng) -> Option<Target> {
-        let mut best: Option<(f64, &Belief)> = None;
-        for b in self.candidates(wanted, now) {
-            let crossing = crossing_ms(wanted, &b.target.domain);
-            if crossing <= CROSSING_MS && self.limits().is_due(&b.target.id, now) {
-                return Some(b.target.clone());
+    pub fn pick_plain(
+        &self,
+        criteria: PickCriteria<'_>,
+        now: Time,
+        rng: &mut Rng,
+    ) -> Option<Target> {
+        let mut best: Option<(f64, &TargetState)> = None;
+        for t in self.candidates(criteria, now) {
+            let network = network_ms(criteria, &t.target.domain);
+            if network <= REGION_NETWORK_MS && self.limits().needs_probe(&t.target.id, now) {
+                return Some(t.target.clone());
             }
-            if wanted.but.is_empty() && b.wants_probe(wanted.may_repeat, now) {
-                return Some(b.target.clone());
+            if criteria.exclude.is_empty() && t.needs_probe(criteria.may_repeat, now) {
+                return Some(t.target.clone());
             }
-            let mean = b.answer_ms(now).unwrap_or(UNKNOWN_MS) * b.slowdown(now);
+            let mean = t.answer_ms(now).unwrap_or(DEFAULT_ANSWER_MS) * t.slowdown(now);
             let jitter = rng.below(100) as f64 / 100.0;
-            let cost =
-                mean * (1.0 + b.load(now)) / (1.0 - b.failing(now)).max(0.05) + crossing + jitter;
-            if best.is_none_or(|(least, _)| cost < least) {
-                best = Some((cost, b));
+            let cost = mean * (1.0 + t.load(now)) / (1.0 - t.failure_rate(now)).max(0.05)
+                + network
+                + jitter;
+            if best.is_none_or(|(lowest, _)| cost < lowest) {
+                best = Some((cost, t));
             }
         }
-        best.map(|(_, b)| b.target.clone())
+        best.map(|(_, t)| t.target.clone())
     }
 
     /// The first target in the home's order that is not overloaded, so that all
     /// nodes of a region find the same one without a message. One of the wanted region if any
     /// is.
-    pub fn pick_home(&self, wanted: Wanted<'_>, home: Home, now: Time) -> Option<Target> {
-        let mut order = home_order(self.candidates(wanted, now), wanted, home);
-        if let Some(region) = wanted.region {
-            order.sort_by_key(|b| wanted.map.region_of(&b.target.domain) != *region);
+    pub fn pick_home(&self, criteria: PickCriteria<'_>, home: Home, now: Time) -> Option<Target> {
+        let mut order = home_order(self.candidates(criteria, now), criteria, home);
+        if let Some(region) = criteria.home_region {
+            order.sort_by_key(|t| criteria.map.region_of(&t.target.domain) != *region);
         }
-        let free = |b: &&&Belief| b.prefill < SPILL_TOKENS && b.outstanding < b.target.slots;
-        let chosen = order.iter().find(free).or(order.first());
-        chosen.map(|b| b.target.clone())
+        let has_capacity =
+            |t: &&&TargetState| t.prefill_tokens < SPILL_TOKENS && t.outstanding < t.target.slots;
+        let chosen = order.iter().find(has_capacity).or(order.first());
+        chosen.map(|t| t.target.clone())
     }
 
     /// Targets of the wanted failure domain in the home's order.
-    pub fn near_homes(&self, wanted: Wanted<'_>, home: Home, now: Time) -> Vec<TargetId> {
-        let near = self.candidates(wanted, now).filter(|b| *b.target.domain == *wanted.domain);
-        home_order(near, wanted, home).into_iter().map(|b| b.target.id.clone()).collect()
+    pub fn local_homes(&self, criteria: PickCriteria<'_>, home: Home, now: Time) -> Vec<TargetId> {
+        let near = self.candidates(criteria, now).filter(|t| *t.target.domain == *criteria.domain);
+        home_order(near, criteria, home).into_iter().map(|t| t.target.id.clone()).collect()
     }
 
     /// Usable targets not tried yet that take another connection; those left out for failures only if no other is.
-    fn candidates<'a>(&'a self, wanted: Wanted<'a>, now: Time) -> impl Iterator<Item = &'a Belief> {
-        let fresh = move |b: &&Belief| {
-            !wanted.but.contains(&b.target.id)
-                && b.outstanding < wanted.most_each
-                && !self.limits().is_closed(&b.target.id, now)
-                && self.may_start(b, wanted, now)
+    fn candidates<'a>(
+        &'a self,
+        criteria: PickCriteria<'a>,
+        now: Time,
+    ) -> impl Iterator<Item = &'a TargetState> {
+        let is_candidate = move |t: &&TargetState| {
+            !criteria.exclude.contains(&t.target.id)
+                && t.outstanding < criteria.max_per_target
+                && !self.limits().is_closed(&t.target.id, now)
+                && self.may_start(t, criteria, now)
         };
-        let sound = self
-            .usable(wanted.service, wanted.terms, now)
-            .filter(fresh)
-            .any(|b| !b.is_ejected(now));
-        self.usable(wanted.service, wanted.terms, now)
-            .filter(fresh)
-            .filter(move |b| !sound || !b.is_ejected(now))
+        let any_healthy = self
+            .usable(criteria.service, criteria.terms, now)
+            .filter(is_candidate)
+            .any(|t| !t.is_ejected(now));
+        self.usable(criteria.service, criteria.terms, now)
+            .filter(is_candidate)
+            .filter(move |t| !any_healthy || !t.is_ejected(now))
     }
 
     /// Whether a request may start at a target, if that is cold.
-    fn may_start(&self, b: &Belief, wanted: Wanted<'_>, now: Time) -> bool {
-        let Some(limit) = wanted.limit.filter(|l| self.is_cold(b, *l, now)) else {
+    fn may_start(&self, t: &TargetState, criteria: PickCriteria<'_>, now: Time) -> bool {
+        let Some(limit) = criteria.cold_limit.filter(|l| self.is_cold(t, *l, now)) else {
             return true;
         };
-        match wanted.cold {
+        match criteria.cold_starts {
             ColdStarts::Avoid => false,
-            ColdStarts::InTurn(is_own) => {
-                limit.gap.is_some() && b.next_start <= now && is_own(&b.target.id)
+            ColdStarts::InTurn(owns) => {
+                limit.interval.is_some() && t.next_start <= now && owns(&t.target.id)
             }
         }
     }
 
     /// Whether a target lies in a region that is allowed; one that is not known lies in none.
-    pub fn is_allowed_at(&self, id: &TargetId, allowed: &Allowed) -> bool {
+    pub fn is_in_allowed_region(&self, id: &TargetId, allowed: &Allowed) -> bool {
         let region = self.domain_of(id).and_then(|domain| self.regions().of(domain));
         allowed.permits(region.map(|r| &**r))
     }
 
     /// Failure domain of a target.
     pub fn domain_of(&self, id: &TargetId) -> Option<&Name> {
-        self.get(id).map(|b| &b.target.domain)
+        self.get(id).map(|t| &t.target.domain)
     }
 }
--- a/crates/decide/src/fleet/terms.rs
+++ b/crates/decide/src/fleet/terms.rs
@@ -22,11 +22,11 @@
 
 /// Why a target may not get a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Barred {
+pub enum Exclusion {
     /// Its entry cannot be read.
     Unreadable,
     /// It is draining.
-    Leaving,
+    Draining,
     /// Its entry vanished, and did not come back in time.
     Missing,
     /// Its failure domain is evacuated.
@@ -38,21 +38,21 @@
     /// Its entry was gone before the store came back from an older copy.
     Restored,
     /// It wants nothing of this node for a while.
-    Resting,
+    BackedOff,
 }
 
-impl Barred {
+impl Exclusion {
     /// Name in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Barred::Unreadable => "unreadable",
-            Barred::Leaving => "leaving",
-            Barred::Missing => "missing",
-            Barred::Evacuated => "evacuated",
-            Barred::Region => "region",
-            Barred::Version => "version",
-            Barred::Restored => "restored",
-            Barred::Resting => "resting",
+            Exclusion::Unreadable => "unreadable",
+            Exclusion::Draining => "leaving",
+            Exclusion::Missing => "missing",
+            Exclusion::Evacuated => "evacuated",
+            Exclusion::Region => "region",
+            Exclusion::Version => "version",
+            Exclusion::Restored => "restored",
+            Exclusion::BackedOff => "resting",
         }
     }
 }
@@ -73,7 +73,7 @@
     }
 
     /// Whether any failure domain lies where something may be served.
-    pub fn reach(&self, allowed: &Allowed) -> bool {
+    pub fn any_allowed(&self, allowed: &Allowed) -> bool {
         allowed.is_any() || self.0.values().any(|region| allowed.permits(Some(region)))
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Whether failure domains lie in more than one region.
-    pub fn are_several(&self) -> bool {
+    pub fn is_multi_region(&self) -> bool {
         let mut regions = self.0.values();
         let first = regions.next();
         regions.any(|region| Some(region) != first)
--- a/crates/decide/src/permit/mod.rs
+++ b/crates/decide/src/permit/mod.rs
@@ -10,7 +10,7 @@
 mod returns;
 mod word;
 
-pub use book::{Book, Grant, LIMITED_CALL, pace_of};
+pub use book::{Grant, MAX_LIMITED_PIECES, PermitIssuer, issue_rate};
 pub use limits::{LimitChange, Limits};
-pub use returns::Returns;
-pub use word::{TRANSIT, Word};
+pub use returns::RetryPacer;
+pub use word::{LimitObservation, MAX_TRANSIT};
--- a/crates/decide/src/permit/returns.rs
+++ b/crates/decide/src/permit/returns.rs
@@ -6,23 +6,24 @@
 
 /// Longest time that a caller is told, beyond that until any target gets a request. Few wait for
 /// longer; those told later times are taken to have given up, and the next are told early ones.
-const LONGEST: Duration = Duration::from_secs(10);
+const MAX_SPREAD: Duration = Duration::from_secs(10);
 
 /// Callers of one service that were sent away: one after the other, as fast as this node's part of
 /// the permits comes, so that those of all nodes together find some.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Returns {
+pub struct RetryPacer {
     last: Time,
 }
 
-impl Returns {
+impl RetryPacer {
     /// Time after which the next caller may come back. `soonest` is the time until a target may
     /// get a request, `pace` the permits a second of all targets, of which this is one of `nodes`.
-    pub fn next(&mut self, soonest: Duration, pace: f64, nodes: usize, now: Time) -> Duration {
-        let each = Duration::from_secs_f64((nodes.max(1) as f64 / pace).min(LONGEST.as_secs_f64()));
-        let least = now + soonest;
-        let next = (self.last + each).max(least);
-        self.last = if next > least + LONGEST { least } else { next };
+    pub fn next(&mut self, min_wait: Duration, rate: f64, nodes: usize, now: Time) -> Duration {
+        let interval =
+            Duration::from_secs_f64((nodes.max(1) as f64 / rate).min(MAX_SPREAD.as_secs_f64()));
+        let earliest = now + min_wait;
+        let next = (self.last + interval).max(earliest);
+        self.last = if next > earliest + MAX_SPREAD { earliest } else { next };
         self.last.since(now)
     }
 }
--- a/crates/decide/src/quarantine/ends.rs
+++ b/crates/decide/src/quarantine/ends.rs
@@ -30,12 +30,12 @@
 /// Judges by what discovery says and by the last connection.
 pub fn judge(presence: Presence, contact: Contact) -> Verdict {
     match (presence, contact) {
-        (Presence::Leaving, _) => Verdict::Planned,
-        (Presence::StartedAgain, _) => Verdict::Ended("started_again"),
+        (Presence::Draining, _) => Verdict::Planned,
+        (Presence::Restarted, _) => Verdict::Ended("started_again"),
         (_, Contact::Refused) => Verdict::Ended("refused"),
         // Somebody else has its address.
-        (Presence::Gone, Contact::Taken) => Verdict::Ended("replaced"),
-        (Presence::Gone | Presence::Here, Contact::Silent) => Verdict::Open,
-        (Presence::Here, Contact::Taken) => Verdict::Open,
+        (Presence::Removed, Contact::Taken) => Verdict::Ended("replaced"),
+        (Presence::Removed | Presence::Present, Contact::Silent) => Verdict::Open,
+        (Presence::Present, Contact::Taken) => Verdict::Open,
     }
 }
--- a/crates/decide/src/relay/doubt.rs
+++ b/crates/decide/src/relay/doubt.rs
@@ -10,7 +10,7 @@
 use model::Time;
 
 /// Time in which entries that lapsed during an outage of the store are back after it.
-const LAPSED_BACK: Duration = Duration::from_secs(2);
+const REREGISTER_TIME: Duration = Duration::from_secs(2);
 
 /// Where the state that a node has came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,51 +23,51 @@
 
 /// What a node knows of outages of the store.
 #[derive(Debug)]
-pub struct Doubt {
-    lost: bool,
-    back: Option<Time>,
+pub struct OutageGrace {
+    store_down: bool,
+    recovered_at: Option<Time>,
     origin: Origin,
 }
 
-impl Default for Doubt {
+impl Default for OutageGrace {
     fn default() -> Self {
-        Doubt { lost: false, back: None, origin: Origin::Store }
+        OutageGrace { store_down: false, recovered_at: None, origin: Origin::Store }
     }
 }
 
-impl Doubt {
+impl OutageGrace {
     /// The store did not answer this node.
-    pub fn lost(&mut self) {
-        self.lost = true;
+    pub fn store_failed(&mut self) {
+        self.store_down = true;
     }
 
     /// The store answered this node.
-    pub fn answered(&mut self, now: Time) {
-        if std::mem::take(&mut self.lost) {
-            self.back = Some(now);
+    pub fn store_answered(&mut self, now: Time) {
+        if std::mem::take(&mut self.store_down) {
+            self.recovered_at = Some(now);
         }
     }
 
     /// The store came back from an older copy, in which entries may lack that were there.
     pub fn restored(&mut self, now: Time) {
-        self.back = Some(now);
+        self.recovered_at = Some(now);
     }
 
     /// Whether the last call of the store failed.
-    pub fn is_lost(&self) -> bool {
-        self.lost
+    pub fn is_store_down(&self) -> bool {
+        self.store_down
     }
 
     /// The state was read in the store; until when what it lacks is kept.
-    pub fn read(&mut self, now: Time) -> Option<Time> {
+    pub fn read_from_store(&mut self, now: Time) -> Option<Time> {
         self.origin = Origin::Store;
         self.until(now)
     }
 
     /// The state was taken from a peer that doubts for so long what its own lacks; until when
     /// this node keeps that.
-    pub fn heard(&mut self, left: Duration, now: Time) -> Option<Time> {
-        self.origin = Origin::Peer(now + left);
+    pub fn read_from_peer(&mut self, remaining: Duration, now: Time) -> Option<Time> {
+        self.origin = Origin::Peer(now + remaining);
         self.until(now)
     }
 
@@ -75,8 +75,8 @@
     pub fn until(&self, now: Time) -> Option<Time> {
         let until = match self.origin {
             Origin::Peer(until) => Some(until),
-            Origin::Store if self.lost => Some(now + LAPSED_BACK),
-            Origin::Store => self.back.map(|at| at + LAPSED_BACK),
+            Origin::Store if self.store_down => Some(now + REREGISTER_TIME),
+            Origin::Store => self.recovered_at.map(|at| at + REREGISTER_TIME),
         };
         until.filter(|until| now < *until)
     }
--- a/crates/decide/src/relay/history.rs
+++ b/crates/decide/src/relay/history.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 /// Most changes held; a follower that is further behind takes the whole state.
-const MOST: usize = 1024;
+const MAX_CHANGES: usize = 1024;
 
 #[derive(Debug)]
 struct Batch<T> {
@@ -17,12 +17,12 @@
     from: u64,
     at: u64,
     batches: VecDeque<Batch<T>>,
-    held: usize,
+    len: usize,
 }
 
 impl<T> Default for History<T> {
     fn default() -> Self {
-        History { from: 0, at: 0, batches: VecDeque::new(), held: 0 }
+        History { from: 0, at: 0, batches: VecDeque::new(), len: 0 }
     }
 }
 
@@ -46,13 +46,13 @@
         if changes.is_empty() {
             return;
         }
-        self.held += changes.len();
+        self.len += changes.len();
         self.batches.push_back(Batch { to: at, changes });
-        while self.held > MOST {
+        while self.len > MAX_CHANGES {
             let Some(oldest) = self.batches.pop_front() else {
                 break;
             };
-            self.held -= oldest.changes.len();
+            self.len -= oldest.changes.len();
             self.from = oldest.to;
         }
     }
--- a/crates/decide/src/relay/list.rs
+++ b/crates/decide/src/relay/list.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Entry<T> {
     /// It is like this now.
-    Now(T),
+    Present(T),
     /// It is there but cannot be read: what was known of it holds on.
     Unreadable,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// The list.
@@ -43,12 +43,12 @@
     }
 
     /// These objects are in force: what cannot be read in the next whole list holds on.
-    pub fn know(&mut self, objects: BTreeMap<Name, T>) {
+    pub fn set_objects(&mut self, objects: BTreeMap<Name, T>) {
         self.objects = objects;
     }
 
     /// Takes the whole list, which is to be followed from `at` on by what changed since.
-    pub fn whole(&mut self, at: u64, entries: impl IntoIterator<Item = (Name, Entry<T>)>) {
+    pub fn replace(&mut self, at: u64, entries: impl IntoIterator<Item = (Name, Entry<T>)>) {
         let mut before = std::mem::take(&mut self.objects);
         self.unreadable.clear();
         for (name, entry) in entries {
@@ -61,7 +61,7 @@
     }
 
     /// Takes what changed up to `at`, oldest first.
-    pub fn change(&mut self, at: u64, entries: impl IntoIterator<Item = (Name, Entry<T>)>) {
+    pub fn apply(&mut self, at: u64, entries: impl IntoIterator<Item = (Name, Entry<T>)>) {
         self.at = Some(at);
         for (name, entry) in entries {
             self.put(name, entry);
@@ -71,9 +71,9 @@
     fn put(&mut self, name: Name, entry: Entry<T>) {
         self.unreadable.remove(&name);
         match entry {
-            Entry::Now(object) => _ = self.objects.insert(name, object),
+            Entry::Present(object) => _ = self.objects.insert(name, object),
             Entry::Unreadable => _ = self.unreadable.insert(name),
-            Entry::Gone => _ = self.objects.remove(&name),
+            Entry::Removed => _ = self.objects.remove(&name),
         }
     }
 
@@ -89,7 +89,7 @@
 
     /// The objects by name, and the revision at which they are so; `None` if the whole list is
     /// to be read.
-    pub fn known(&self) -> Option<(u64, &BTreeMap<Name, T>)> {
+    pub fn snapshot(&self) -> Option<(u64, &BTreeMap<Name, T>)> {
         Some((self.at?, &self.objects))
     }
 }
--- a/crates/decide/src/relay/mod.rs
+++ b/crates/decide/src/relay/mod.rs
@@ -20,10 +20,10 @@
 mod unreadable;
 pub mod waits;
 
-pub use doubt::Doubt;
+pub use doubt::OutageGrace;
 pub use history::History;
 pub use list::{Entry, List};
-pub use newest::Newest;
-pub use source::{Chosen, Relays, Role, Source, Sources};
-pub use start::wait_for_state;
-pub use unreadable::{Place, Unreadable};
+pub use newest::LatestList;
+pub use source::{Choice, Relays, Role, Source, Sources};
+pub use start::startup_wait;
+pub use unreadable::{EntryKey, UnreadableEntries};
--- a/crates/decide/src/relay/newest.rs
+++ b/crates/decide/src/relay/newest.rs
@@ -14,20 +14,20 @@
 
 /// What a node knows of a list, if it is to follow it.
 #[derive(Debug)]
-pub struct Newest<T> {
+pub struct LatestList<T> {
     followed: bool,
     known: Option<Known<T>>,
     /// What is known is of an earlier epoch of the store.
     outdated: bool,
 }
 
-impl<T> Default for Newest<T> {
+impl<T> Default for LatestList<T> {
     fn default() -> Self {
-        Newest { followed: false, known: None, outdated: false }
+        LatestList { followed: false, known: None, outdated: false }
     }
 }
 
-impl<T: Default + PartialEq> Newest<T> {
+impl<T: Default + PartialEq> LatestList<T> {
     /// The list is followed from now on.
     pub fn follow(&mut self) {
         self.followed = true;
@@ -54,9 +54,9 @@
     }
 
     /// Whether a node that knows the list of a revision, if any, lacks a change.
-    pub fn is_news_since(&self, at: Option<u64>) -> bool {
-        let is_news = |k: &Known<T>| at.is_none_or(|at| at < k.since);
-        self.is_current() && self.known.as_ref().is_some_and(is_news)
+    pub fn changed_since(&self, at: Option<u64>) -> bool {
+        let is_newer = |k: &Known<T>| at.is_none_or(|at| at < k.since);
+        self.is_current() && self.known.as_ref().is_some_and(is_newer)
     }
 
     /// Whether a list of this epoch of the store is known.
@@ -71,16 +71,16 @@
 
     /// Takes the list of a revision unless a newer one is known; returns the one before if it
     /// was another, an empty one if none was known.
-    pub fn take(&mut self, at: u64, list: T) -> Option<T> {
+    pub fn update(&mut self, at: u64, list: T) -> Option<T> {
         let Some(known) = &mut self.known else {
             self.known = Some(Known { at, since: at, list });
             return Some(T::default());
         };
-        let is_first = std::mem::take(&mut self.outdated);
-        if at < known.at && !is_first {
+        let is_new_epoch = std::mem::take(&mut self.outdated);
+        if at < known.at && !is_new_epoch {
             return None;
         }
-        if is_first {
+        if is_new_epoch {
             known.since = at;
         }
         known.at = at;
--- a/crates/decide/src/relay/source.rs
+++ b/crates/decide/src/relay/source.rs
@@ -7,25 +7,25 @@
 use model::member::{Node, NodeId};
 
 /// Time for which a relay that did not answer is passed over.
-const SILENT_REST: Duration = Duration::from_secs(3);
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(3);
 /// Time for which a relay that was out of touch itself is asked after the others.
-const STALE_REST: Duration = Duration::from_secs(3);
+const STALE_BACKOFF: Duration = Duration::from_secs(3);
 /// First time for which a relay leaves the store alone after a failed call.
-const STORE_REST_FIRST: Duration = Duration::from_millis(100);
+const STORE_BACKOFF_MIN: Duration = Duration::from_millis(100);
 /// Longest such time.
-const STORE_REST_LONGEST: Duration = Duration::from_millis(800);
+const STORE_BACKOFF_MAX: Duration = Duration::from_millis(800);
 /// Such time of a node that is no relay, and whose relays do not answer or are out of touch.
-const STORE_REST_FOLLOWER: Duration = Duration::from_secs(2);
+const STORE_BACKOFF_FOLLOWER: Duration = Duration::from_secs(2);
 /// Such time of a node whose relays answer but are out of touch, for each follower in its
 /// failure domain: most likely nobody reaches the store, and all of them together ask it
 /// less often than their relays do.
-const LAST_RESORT_EACH: Duration = Duration::from_millis(150);
+const FALLBACK_PER_FOLLOWER: Duration = Duration::from_millis(150);
 /// Longest such time: half of what a configuration may take where the store is in trouble.
-const LAST_RESORT_LONGEST: Duration = Duration::from_secs(8);
+const FALLBACK_MAX: Duration = Duration::from_secs(8);
 /// Longest wait before a source that rests is tried all the same.
-const PAUSE_LONGEST: Duration = Duration::from_millis(500);
+const PAUSE_MAX: Duration = Duration::from_millis(500);
 /// Wait of a node that has just started and knows no relay yet.
-const PAUSE_FORMING: Duration = Duration::from_millis(20);
+const PAUSE_STARTUP: Duration = Duration::from_millis(20);
 
 /// What a node is to those that follow the store through others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -62,36 +62,36 @@
         /// The relay.
         node: Node,
         /// Whether it holds its answer back until it is in touch.
-        patient: bool,
+        await_fresh: bool,
     },
     /// None yet.
-    Nobody,
+    Unavailable,
 }
 
 /// A source, and the pause before it is asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Chosen {
+pub struct Choice {
     /// Source.
     pub source: Source,
     /// Zero unless all sources failed a moment ago.
     pub pause: Duration,
 }
 
-impl Chosen {
+impl Choice {
     fn now(source: Source) -> Self {
-        Chosen { source, pause: Duration::ZERO }
+        Choice { source, pause: Duration::ZERO }
     }
 }
 
 /// Sources that failed, and until when they are passed over.
 #[derive(Debug, Default)]
 pub struct Sources {
-    store: Option<Time>,
+    store_until: Option<Time>,
     failures: u32,
-    silent: BTreeMap<NodeId, Time>,
+    unresponsive: BTreeMap<NodeId, Time>,
     stale: BTreeMap<NodeId, Time>,
     /// When a follower of stale relays asks the store by itself.
-    last_resort: Option<Time>,
+    fallback_at: Option<Time>,
 }
 
 impl Sources {
@@ -102,71 +102,71 @@
         relays: &Relays,
         now: Time,
         jitter: impl FnOnce(Duration) -> Duration,
-    ) -> Chosen {
-        self.silent.retain(|_, until| now < *until);
+    ) -> Choice {
+        self.unresponsive.retain(|_, until| now < *until);
         self.stale.retain(|_, until| now < *until);
-        let store_rests = self.store.is_some_and(|until| now < until);
-        if relays.role == Role::Relay && !store_rests {
-            return Chosen::now(Source::Store);
+        let store_backed_off = self.store_until.is_some_and(|until| now < until);
+        if relays.role == Role::Relay && !store_backed_off {
+            return Choice::now(Source::Store);
         }
         // A standby takes the place of a relay that is out of touch: the store may turn away the
         // relays of all domains and serve everybody else.
         let relay_is_stale = relays.peers.first().is_some_and(|n| self.stale.contains_key(&n.id));
-        if relays.role == Role::Standby && relay_is_stale && !store_rests {
-            return Chosen::now(Source::Store);
+        if relays.role == Role::Standby && relay_is_stale && !store_backed_off {
+            return Choice::now(Source::Store);
         }
-        let answers = |n: &&Node| !self.silent.contains_key(&n.id);
+        let is_responsive = |n: &&Node| !self.unresponsive.contains_key(&n.id);
         let is_fresh = |n: &&Node| !self.stale.contains_key(&n.id);
-        if let Some(peer) = relays.peers.iter().filter(answers).find(is_fresh) {
-            self.last_resort = None;
-            let patient = relays.role == Role::Unknown;
-            return Chosen::now(Source::Peer { node: peer.clone(), patient });
+        if let Some(peer) = relays.peers.iter().filter(is_responsive).find(is_fresh) {
+            self.fallback_at = None;
+            let await_fresh = relays.role == Role::Unknown;
+            return Choice::now(Source::Peer { node: peer.clone(), await_fresh });
         }
         if relays.role == Role::Unknown && relays.peers.is_empty() {
-            return Chosen { source: Source::Nobody, pause: PAUSE_FORMING };
+            return Choice { source: Source::Unavailable, pause: PAUSE_STARTUP };
         }
         // The relay that was found stale first is the likeliest to be well again.
-        let stale = relays.peers.iter().filter(answers).min_by_key(|n| self.stale.get(&n.id));
+        let stale = relays.peers.iter().filter(is_responsive).min_by_key(|n| self.stale.get(&n.id));
         let Some(stale) = stale.cloned() else {
             return self.without_peers(relays, now);
         };
-        let rest = match relays.role {
+        let backoff = match relays.role {
             // Its followers are better off with it than each with the store.
-            Role::Standby => STORE_REST_LONGEST,
-            _ => last_resort(relays.followers),
+            Role::Standby => STORE_BACKOFF_MAX,
+            _ => fallback_delay(relays.followers),
         };
-        let store_at = *self.last_resort.get_or_insert_with(|| now + jitter(rest));
+        let ask_store_at = *self.fallback_at.get_or_insert_with(|| now + jitter(backoff));
         let may_ask_store = matches!(relays.role, Role::Follower | Role::Standby);
-        if may_ask_store && now >= store_at && !store_rests {
-            self.last_resort = None;
-            return Chosen::now(Source::Store);
+        if may_ask_store && now >= ask_store_at && !store_backed_off {
+            self.fallback_at = None;
+            return Choice::now(Source::Store);
         }
-        Chosen::now(Source::Peer { node: stale, patient: true })
+        Choice::now(Source::Peer { node: stale, await_fresh: true })
     }
 
     /// The source where no relay answers.
-    fn without_peers(&self, relays: &Relays, now: Time) -> Chosen {
-        let rests = |until: Option<Time>| until.filter(|until| now < *until);
+    fn without_peers(&self, relays: &Relays, now: Time) -> Choice {
+        let pending = |until: Option<Time>| until.filter(|until| now < *until);
         let peer = |n: &Node| {
-            let source = Source::Peer { node: n.clone(), patient: false };
-            (rests(self.silent.get(&n.id).copied()), source)
+            let source = Source::Peer { node: n.clone(), await_fresh: false };
+            (pending(self.unresponsive.get(&n.id).copied()), source)
         };
-        let store = (rests(self.store), Source::Store);
+        let store = (pending(self.store_until), Source::Store);
         let all = std::iter::once(store).chain(relays.peers.iter().map(peer));
-        let soonest = all.min_by_key(|(until, _)| *until);
-        let (until, source) = soonest.unwrap_or((None, Source::Store));
+        let earliest = all.min_by_key(|(until, _)| *until);
+        let (until, source) = earliest.unwrap_or((None, Source::Store));
         let pause = until.map_or(Duration::ZERO, |until| until.since(now));
-        Chosen { source, pause: pause.min(PAUSE_LONGEST) }
+        Choice { source, pause: pause.min(PAUSE_MAX) }
     }
 
     /// A relay did not answer.
-    pub fn relay_silent(&mut self, id: &NodeId, now: Time) {
-        self.silent.insert(id.clone(), now + SILENT_REST);
+    pub fn relay_failed(&mut self, id: &NodeId, now: Time) {
+        self.unresponsive.insert(id.clone(), now + UNRESPONSIVE_BACKOFF);
     }
 
     /// A relay answered, but was out of touch with the store.
     pub fn relay_stale(&mut self, id: &NodeId, now: Time) {
-        self.stale.insert(id.clone(), now + STALE_REST);
+        self.stale.insert(id.clone(), now + STALE_BACKOFF);
     }
 
     /// A relay answered, and was in touch with the store.
@@ -181,25 +181,25 @@
         now: Time,
         jitter: impl FnOnce(Duration) -> Duration,
     ) {
-        let bound = STORE_REST_FIRST * 2u32.pow(self.failures.min(4));
+        let bound = STORE_BACKOFF_MIN * 2u32.pow(self.failures.min(4));
         self.failures += 1;
-        let rest = match role {
-            Role::Relay => bound.min(STORE_REST_LONGEST),
+        let backoff = match role {
+            Role::Relay => bound.min(STORE_BACKOFF_MAX),
             // A standby's relay asks sooner; if neither is answered, most likely nobody is.
-            Role::Standby | Role::Follower | Role::Unknown => STORE_REST_FOLLOWER,
+            Role::Standby | Role::Follower | Role::Unknown => STORE_BACKOFF_FOLLOWER,
         };
-        self.store = Some(now + STORE_REST_FIRST / 2 + jitter(rest));
+        self.store_until = Some(now + STORE_BACKOFF_MIN / 2 + jitter(backoff));
     }
 
     /// The store answered.
     pub fn store_answered(&mut self) {
-        self.store = None;
+        self.store_until = None;
         self.failures = 0;
     }
 }
 
 /// Time out of which a follower of stale relays draws when it asks the store.
-fn last_resort(followers: usize) -> Duration {
-    let all = LAST_RESORT_EACH * u32::try_from(followers).unwrap_or(u32::MAX);
-    all.min(LAST_RESORT_LONGEST)
+fn fallback_delay(followers: usize) -> Duration {
+    let total = FALLBACK_PER_FOLLOWER * u32::try_from(followers).unwrap_or(u32::MAX);
+    total.min(FALLBACK_MAX)
 }
--- a/crates/decide/src/relay/unreadable.rs
+++ b/crates/decide/src/relay/unreadable.rs
@@ -10,90 +10,90 @@
 const BURST: u32 = 32;
 /// Time after which one more line may be written, so that a writer that puts another bad
 /// entry in place of a bad one all the time fills no log.
-const LINE_EVERY: Duration = Duration::from_secs(1);
+const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Where an entry is: its name, or its position in an answer if that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum EntryKey {
     /// Entry of this name.
     Name(Name),
     /// Entry at this position of the whole list.
-    Listed(Name),
+    ListIndex(Name),
     /// Entry at this position among changes. It cannot be told from others, nor be seen to
     /// heal, so it is not counted.
-    Passing(Name),
+    ChangeIndex(Name),
 }
 
 /// Entries of one kind that cannot be read now, and why.
 ///
 /// One without a readable name is held until the whole list is read again.
 #[derive(Debug)]
-pub struct Unreadable {
-    now: BTreeMap<Place, Name>,
+pub struct UnreadableEntries {
+    current: BTreeMap<EntryKey, Name>,
     /// Entries of the list read before this one.
-    before: BTreeMap<Place, Name>,
-    lines: u32,
-    refilled: Time,
-    untold: u64,
+    previous: BTreeMap<EntryKey, Name>,
+    tokens: u32,
+    refilled_at: Time,
+    suppressed: u64,
 }
 
-impl Default for Unreadable {
+impl Default for UnreadableEntries {
     fn default() -> Self {
-        Unreadable {
-            now: BTreeMap::new(),
-            before: BTreeMap::new(),
-            lines: BURST,
-            refilled: Time::ZERO,
-            untold: 0,
+        UnreadableEntries {
+            current: BTreeMap::new(),
+            previous: BTreeMap::new(),
+            tokens: BURST,
+            refilled_at: Time::ZERO,
+            suppressed: 0,
         }
     }
 }
 
-impl Unreadable {
+impl UnreadableEntries {
     /// The whole list is read: entries that it does not hold are forgotten.
     pub fn restart(&mut self) {
-        self.before = std::mem::take(&mut self.now);
+        self.previous = std::mem::take(&mut self.current);
     }
 
     /// An entry can be read, or is gone.
-    pub fn heal(&mut self, name: &Name) {
-        self.now.remove(&Place::Name(name.clone()));
+    pub fn clear(&mut self, name: &Name) {
+        self.current.remove(&EntryKey::Name(name.clone()));
     }
 
     /// The only entry that a kind has can be read.
-    pub fn heal_named(&mut self) {
-        self.now.retain(|place, _| !matches!(place, Place::Name(_)));
+    pub fn clear_named(&mut self) {
+        self.current.retain(|key, _| !matches!(key, EntryKey::Name(_)));
     }
 
     /// An entry cannot be read. Returns the count of changes that got no line since the last
     /// one if this is a change that gets one.
-    pub fn note(&mut self, place: Place, why: &Name, now: Time) -> Option<u64> {
-        let known = self.before.remove(&place);
-        let known = self.now.insert(place, why.clone()).or(known);
-        if known.as_ref() == Some(why) {
+    pub fn record(&mut self, key: EntryKey, reason: &Name, now: Time) -> Option<u64> {
+        let known = self.previous.remove(&key);
+        let known = self.current.insert(key, reason.clone()).or(known);
+        if known.as_ref() == Some(reason) {
             return None;
         }
         self.refill(now);
-        let Some(left) = self.lines.checked_sub(1) else {
-            self.untold += 1;
+        let Some(remaining) = self.tokens.checked_sub(1) else {
+            self.suppressed += 1;
             return None;
         };
-        self.lines = left;
-        Some(std::mem::take(&mut self.untold))
+        self.tokens = remaining;
+        Some(std::mem::take(&mut self.suppressed))
     }
 
     fn refill(&mut self, now: Time) {
-        while self.lines < BURST && now.since(self.refilled) >= LINE_EVERY {
-            self.lines += 1;
-            self.refilled = self.refilled + LINE_EVERY;
+        while self.tokens < BURST && now.since(self.refilled_at) >= LINE_INTERVAL {
+            self.tokens += 1;
+            self.refilled_at = self.refilled_at + LINE_INTERVAL;
         }
-        if self.lines == BURST {
-            self.refilled = now;
+        if self.tokens == BURST {
+            self.refilled_at = now;
         }
     }
 
     /// Count of entries that cannot be read, as far as they can be told apart.
     pub fn count(&self) -> usize {
-        self.now.keys().filter(|place| !matches!(place, Place::Passing(_))).count()
+        self.current.keys().filter(|key| !matches!(key, EntryKey::ChangeIndex(_))).count()
     }
 }
--- a/crates/decide/src/rollout/versions.rs
+++ b/crates/decide/src/rollout/versions.rs
@@ -15,7 +15,7 @@
 
 use super::present::Present;
 use super::withdrawn::WithdrawnVersions;
-use crate::relay::Newest;
+use crate::relay::LatestList;
 
 pub use list::RolloutChange;
 use trial::Trial;
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub struct Versions {
     /// If the store is to tell of orders, nothing is sent before it has.
-    orders: Newest<Orders>,
+    orders: LatestList<Orders>,
     /// Revision of the first list of orders that this node heard of.
     began: Option<u64>,
     present: Present,
@@ -89,7 +89,7 @@
 
     /// Whether a node that knows the list of a revision, if any, lacks a change.
     pub fn is_news_since(&self, at: Option<u64>) -> bool {
-        self.orders.is_news_since(at)
+        self.orders.changed_since(at)
     }
 
     /// A target of a version came, by an entry of this revision, having started then.
--- a/crates/decide/src/rollout/versions/list.rs
+++ b/crates/decide/src/rollout/versions/list.rs
@@ -38,7 +38,7 @@
         if !self.is_current() || self.at().is_none_or(|known| at >= known) {
             self.note_served(&orders.unreadable);
         }
-        let Some(before) = self.orders.take(at, orders.clone()) else {
+        let Some(before) = self.orders.update(at, orders.clone()) else {
             return Vec::new();
         };
         let mut changes = Vec::new();
--- a/crates/decide/tests/allowed.rs
+++ b/crates/decide/tests/allowed.rs
@@ -11,7 +11,9 @@
 
 use batch::{answers, at, calls, coordinator, made, order, placed};
 use decide::batch::{Action, Call, CallEnd, Event, MakerInfo, OrderId};
-use decide::fleet::{Barred, ColdStarts, Fleet, Home, Observation, Regions, Terms, Wanted, shares};
+use decide::fleet::{
+    ColdStarts, Exclusion, Fleet, Home, Observation, PickCriteria, Regions, Terms, shares,
+};
 use decide::rng::Rng;
 use model::Name;
 use model::forward::{Allowed, BatchOrder, Evacuations, PieceResult, Side, Target, TargetId};
@@ -84,11 +86,11 @@
     let north = allowed(&Some(["north"].into()));
     let terms = Terms { allowed: &north, side: Side::Serving };
     let belief = fleet.get(&"t0".into()).expect("it was told");
-    assert_eq!(fleet.bars(belief, terms, at(0)), Some(Barred::Region));
-    assert_eq!(fleet.bars(belief, Terms::ANY, at(0)), None);
-    assert!(!fleet.regions().reach(&north));
-    assert!(!fleet.is_allowed_at(&"t0".into(), &north));
-    assert!(!fleet.is_allowed_at(&"gone".into(), &north), "nobody knows where it was");
+    assert_eq!(fleet.exclusion(belief, terms, at(0)), Some(Exclusion::Region));
+    assert_eq!(fleet.exclusion(belief, Terms::ANY, at(0)), None);
+    assert!(!fleet.regions().any_allowed(&north));
+    assert!(!fleet.is_in_allowed_region(&"t0".into(), &north));
+    assert!(!fleet.is_in_allowed_region(&"gone".into(), &north), "nobody knows where it was");
     assert!(shares(&fleet, "engine", "engine", &north, at(0)).is_empty());
 }
 
@@ -96,10 +98,10 @@
 fn regions_that_no_failure_domain_lies_in_are_told() {
     let regions = known(&[("a", "north")].into());
     let rule = allowed(&Some(["north", "nowhere"].into()));
-    assert!(regions.reach(&rule));
+    assert!(regions.any_allowed(&rule));
     assert_eq!(regions.unknown(&rule).map(|n| &**n).collect::<Vec<_>>(), ["nowhere"]);
-    assert!(!regions.reach(&allowed(&Some(["nowhere"].into()))));
-    assert!(Regions::default().reach(&Allowed::ANY));
+    assert!(!regions.any_allowed(&allowed(&Some(["nowhere"].into()))));
+    assert!(Regions::default().any_allowed(&Allowed::ANY));
 }
 
 /// What happened to one target.
@@ -133,9 +135,9 @@
     fleet.upsert(Target { draining: state == State::Draining, cold_ms, ..target }, at(0));
     match state {
         State::Failing => _ = fleet.observe(&id, Observation::Unreachable, at(0)),
-        State::Missing => fleet.vanish(&id.name, Some(at(2000)), at(0)),
-        State::Unreadable => _ = fleet.unreadable(&id.name),
-        State::Busy => (0..50).for_each(|_| fleet.sent(&id, 50_000)),
+        State::Missing => fleet.remove(&id.name, Some(at(2000)), at(0)),
+        State::Unreadable => _ = fleet.mark_unreadable(&id.name),
+        State::Busy => (0..50).for_each(|_| fleet.request_sent(&id, 50_000)),
         State::Sound | State::Draining | State::Cold | State::Evacuated => {}
     }
 }
@@ -162,27 +164,27 @@
         let is_evacuated =
             |d: &str| targets.iter().any(|(domain, s)| *domain == d && *s == State::Evacuated);
         let away = DOMAINS.iter().filter(|d| is_evacuated(d)).map(|d| Name::from(*d));
-        fleet.evacuate(Evacuations { at: 1, domains: away.collect() }, at(0));
+        fleet.set_evacuations(Evacuations { at: 1, domains: away.collect() }, at(0));
         let allowed = allowed(&named);
         let but: Vec<TargetId> = but.iter().map(|i| format!("t{i}").as_str().into()).collect();
         let shares = shares(&fleet, "engine", "engine", &allowed, at(10));
-        let wanted = Wanted {
+        let wanted = PickCriteria {
             service: "engine",
             domain,
             map: fleet::one_region(),
-            region: None,
+            home_region: None,
             terms: Terms { allowed: &allowed, side: Side::Serving },
-            but: &but,
-            most_each: 40,
+            exclude: &but,
+            max_per_target: 40,
             shares: &shares,
-            limit: None,
-            cold: ColdStarts::Avoid,
+            cold_limit: None,
+            cold_starts: ColdStarts::Avoid,
             may_repeat: true,
         };
-        let home = Home { key, shared: 100 };
+        let home = Home { key, shared_tokens: 100 };
         let plain = fleet.pick_plain(wanted, at(10), &mut Rng::new(seed));
         let homed = fleet.pick_home(wanted, home, at(10));
-        let near = fleet.near_homes(wanted, home, at(10));
+        let near = fleet.local_homes(wanted, home, at(10));
         let place = |id: &TargetId| {
             let i: usize = id.name[1..].parse().expect("a number");
             targets[i].0
@@ -191,7 +193,7 @@
         let chosen = plain.iter().chain(&homed).map(|t| &t.id).chain(&near);
         for id in chosen {
             prop_assert!(inside(place(id)), "{} in {}", id.name, place(id));
-            prop_assert!(fleet.is_allowed_at(id, &allowed));
+            prop_assert!(fleet.is_in_allowed_region(id, &allowed));
         }
         for (domain, _) in &shares {
             prop_assert!(inside(domain), "a share of {}", domain);
--- a/crates/decide/tests/batch_pool.rs
+++ b/crates/decide/tests/batch_pool.rs
@@ -20,7 +20,7 @@
 use targets::target;
 
 const COLD: ColdLimit =
-    ColdLimit { lasts: Duration::from_secs(2), gap: Some(Duration::from_millis(700)) };
+    ColdLimit { duration: Duration::from_secs(2), interval: Some(Duration::from_millis(700)) };
 
 fn engines() -> PoolId {
     PoolId { service: "engine".into(), region: None }
@@ -46,7 +46,7 @@
         // A replica is replaced each 40 ms.
         if i % 10 == 0 {
             fleet.upsert(target(&format!("n{i}"), "a"), now);
-            fleet.vanish(&format!("m{}", i / 10).as_str().into(), None, at(0));
+            fleet.remove(&format!("m{}", i / 10).as_str().into(), None, at(0));
         }
         tell(&mut c, &fleet, now);
         for call in calls(&c.on(now, placed(i, order("r", 2)))) {
@@ -73,7 +73,7 @@
     fleet.upsert(target("t0", "a"), at(0));
     let mut feed = MakerFeed::default();
     assert_eq!(feed.news(&fleet, &engines(), &map, None, at(0)), Some(Event::Makers(Vec::new())));
-    fleet.evacuate(Evacuations { at: 1, domains: Vec::new() }, at(10));
+    fleet.set_evacuations(Evacuations { at: 1, domains: Vec::new() }, at(10));
     let told = all_of(feed.news(&fleet, &engines(), &map, None, at(10)));
     assert_eq!(told.len(), 1, "{told:?}");
 }
@@ -110,7 +110,7 @@
 fn take(fleet: &mut Fleet, change: Change, revision: u64, now: u64) {
     let name = |which: usize| format!("t{which}");
     let id = |fleet: &Fleet, which: usize| {
-        fleet.named(&name(which)).map_or(TargetId::from("t9"), |b| b.target.id.clone())
+        fleet.by_name(&name(which)).map_or(TargetId::from("t9"), |b| b.target.id.clone())
     };
     match change {
         Change::Entry { which, draining, cold, service, version, start } => {
@@ -126,14 +126,14 @@
             };
             fleet.upsert(entry, at(now));
         }
-        Change::Unreadable(which) => _ = fleet.unreadable(&name(which).as_str().into()),
+        Change::Unreadable(which) => _ = fleet.mark_unreadable(&name(which).as_str().into()),
         Change::Gone { which, doubted } => {
-            fleet.vanish(&name(which).as_str().into(), doubted.then(|| at(now + 800)), at(now));
+            fleet.remove(&name(which).as_str().into(), doubted.then(|| at(now + 800)), at(now));
         }
         Change::Evacuated(which) => {
             let domains = ["a", "b", "c"].into_iter().zip(which);
             let domains = domains.filter(|(_, is)| *is).map(|(d, _)| d.into()).collect();
-            fleet.evacuate(Evacuations { at: revision, domains }, at(now));
+            fleet.set_evacuations(Evacuations { at: revision, domains }, at(now));
         }
         Change::Orders => {
             let list = Rollouts { at: revision, ..Rollouts::default() };
@@ -142,7 +142,7 @@
         Change::Limit { which, per_s } => {
             let said = per_s.map_or(NamedLimit::None, NamedLimit::PerSecond);
             let id = id(fleet, which);
-            fleet.hear_limit(&id, said, at(now), at(now));
+            fleet.record_limit(&id, said, at(now), at(now));
         }
         Change::Expire => fleet.expire(at(now)),
         Change::Pass(_) => {}
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use decide::fleet::{ColdBounds, ColdLimit, ColdStarts, Fleet, Wanted};
+use decide::fleet::{ColdBounds, ColdLimit, ColdStarts, Fleet, PickCriteria};
 use decide::rng::Rng;
 use model::Time;
 use model::forward::{ColdTargets, Evacuations, Target, TargetId};
@@ -25,7 +25,7 @@
 }
 
 fn pick(fleet: &Fleet, per_s: f64, cold: ColdStarts<'_>, now: Time) -> Option<TargetId> {
-    let wanted = Wanted { limit: Some(limit(per_s)), cold, ..wanted(&[]) };
+    let wanted = PickCriteria { cold_limit: Some(limit(per_s)), cold_starts: cold, ..wanted(&[]) };
     fleet.pick_plain(wanted, now, &mut Rng::new(1)).map(|t| t.id)
 }
 
@@ -43,7 +43,7 @@
     for (per_s, overrun, slack, gap) in cases {
         let cold = ColdTargets { lasts_ms: 3000, per_s };
         let limit = ColdLimit::of(&cold, ColdBounds { overrun, slack });
-        assert_eq!(limit.map(|l| l.gap), Some(gap), "{per_s} x {overrun} + {slack}");
+        assert_eq!(limit.map(|l| l.interval), Some(gap), "{per_s} x {overrun} + {slack}");
     }
     let unlimited = ColdTargets { lasts_ms: 3000, per_s: 0.0 };
     assert_eq!(ColdLimit::of(&unlimited, BOUNDS), None);
@@ -58,7 +58,7 @@
     assert_eq!(pick(&fleet, 9.1, ColdStarts::Avoid, at(10)), None);
     assert_eq!(pick(&fleet, 9.1, ColdStarts::InTurn(&|_| false), at(10)), None);
     assert_eq!(pick(&fleet, 9.1, owned, at(10)).map(|t| t.name).as_deref(), Some("t0"));
-    fleet.start(&"t0".into(), limit(9.1), at(10));
+    fleet.note_cold_start(&"t0".into(), limit(9.1), at(10));
     assert_eq!(pick(&fleet, 9.1, owned, at(200)), None, "the next one waits");
     assert_eq!(pick(&fleet, 9.1, owned, at(260)).map(|t| t.name).as_deref(), Some("t0"));
     assert_eq!(
@@ -66,7 +66,7 @@
         Some("t0"),
         "it is warm"
     );
-    fleet.start(&"t0".into(), limit(9.1), at(3000));
+    fleet.note_cold_start(&"t0".into(), limit(9.1), at(3000));
     assert!(pick(&fleet, 9.1, ColdStarts::Avoid, at(3000)).is_some(), "warm ones never wait");
     fleet.upsert(cold_target(500), at(4000));
     assert_eq!(pick(&fleet, 9.1, ColdStarts::Avoid, at(4400)), None, "cold again");
@@ -81,8 +81,8 @@
         at,
         domains: domains.iter().map(|d| (*d).into()).collect(),
     };
-    fleet.evacuate(list(5, &["a"]), at(0));
-    fleet.evacuate(list(6, &[]), at(8000));
+    fleet.set_evacuations(list(5, &["a"]), at(0));
+    fleet.set_evacuations(list(6, &[]), at(8000));
     let pick = |fleet: &Fleet, ms| pick(fleet, 9.1, ColdStarts::Avoid, at(ms));
     assert_eq!(pick(&fleet, 8001), None, "its entry tells so only a moment later");
     fleet.upsert(cold_target(0), at(8500));
@@ -119,14 +119,14 @@
             let mut fleet = Fleet::default();
             fleet.upsert(cold_target(6000), at(0));
             for ms in start..6000 {
-                let wanted = Wanted {
-                    most_each: u32::MAX,
-                    limit: Some(limit),
-                    cold: ColdStarts::InTurn(&|_| true),
+                let wanted = PickCriteria {
+                    max_per_target: u32::MAX,
+                    cold_limit: Some(limit),
+                    cold_starts: ColdStarts::InTurn(&|_| true),
                     ..wanted(&[])
                 };
                 if fleet.pick_plain(wanted, at(ms), &mut rng).is_some() {
-                    fleet.start(&"t0".into(), limit, at(ms));
+                    fleet.note_cold_start(&"t0".into(), limit, at(ms));
                     arrivals.push(ms + rng.below(250) as u64);
                 }
             }
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -29,7 +29,7 @@
     let mut rng = Rng::new(1);
     let plain = (0..100).filter_map(|_| fleet.pick_plain(wanted(&[]), at(0), &mut rng));
     let plain: Vec<Target> = plain.collect();
-    let home = |key| fleet.pick_home(wanted(&[]), Home { key, shared: 10 }, at(0));
+    let home = |key| fleet.pick_home(wanted(&[]), Home { key, shared_tokens: 10 }, at(0));
     plain.into_iter().chain((0..100).filter_map(home)).map(|t| t.id.to_string()).collect()
 }
 
@@ -39,7 +39,7 @@
     fleet.follow_evacuations();
     assert!(!fleet.evacuated().is_known());
     assert_eq!(chosen(&fleet), BTreeSet::new());
-    fleet.evacuate(list(5, &["b"]), at(10));
+    fleet.set_evacuations(list(5, &["b"]), at(10));
     assert!(fleet.evacuated().is_known());
     assert!(!chosen(&fleet).contains("t1"));
     assert!(!fleet.is_usable(&"t1".into(), Terms::ANY, at(10)));
@@ -56,15 +56,15 @@
 fn the_targets_of_an_evacuated_domain_get_nothing_new_until_it_is_taken_back() {
     let mut fleet = fleet();
     fleet.follow_evacuations();
-    fleet.evacuate(list(5, &[]), at(0));
-    fleet.evacuate(list(6, &["a", "b"]), at(10));
+    fleet.set_evacuations(list(5, &[]), at(0));
+    fleet.set_evacuations(list(6, &["a", "b"]), at(10));
     assert_eq!(chosen(&fleet), BTreeSet::from(["t2".to_string()]));
     assert_eq!(fleet.usable("engine", Terms::ANY, at(10)).count(), 1);
-    fleet.evacuate(list(7, &["a"]), at(20));
+    fleet.set_evacuations(list(7, &["a"]), at(20));
     assert!(chosen(&fleet).contains("t1"));
     assert!(!chosen(&fleet).contains("t0"));
-    assert_eq!(fleet.evacuated().ended("b"), Some(at(20)));
-    fleet.evacuate(list(8, &["a", "b", "c"]), at(30));
+    assert_eq!(fleet.evacuated().ended_at("b"), Some(at(20)));
+    fleet.set_evacuations(list(8, &["a", "b", "c"]), at(30));
     assert_eq!(chosen(&fleet), BTreeSet::new(), "all are evacuated: nobody is sent anywhere");
 }
 
@@ -87,7 +87,7 @@
         (list(11, &[]), vec![ended("b")]),
     ];
     for (n, (list, changes)) in cases.into_iter().enumerate() {
-        assert_eq!(known.take(list.clone(), at(n as u64)), changes, "{n}: {list:?}");
+        assert_eq!(known.update(list.clone(), at(n as u64)), changes, "{n}: {list:?}");
     }
 }
 
@@ -95,12 +95,12 @@
 fn a_peer_lacks_what_changed_after_the_list_that_it_knows() {
     let mut known = Evacuated::default();
     known.follow();
-    assert!(!known.is_news_since(None), "nobody can be told what is not known");
-    known.take(list(5, &["a"]), at(0));
-    known.take(list(9, &["a"]), at(1));
+    assert!(!known.changed_since(None), "nobody can be told what is not known");
+    known.update(list(5, &["a"]), at(0));
+    known.update(list(9, &["a"]), at(1));
     let cases = [(None, true), (Some(4), true), (Some(5), false), (Some(9), false)];
     for (at, is_news) in cases {
-        assert_eq!(known.is_news_since(at), is_news, "{at:?}");
+        assert_eq!(known.changed_since(at), is_news, "{at:?}");
     }
     assert_eq!(known.list(), Some(list(9, &["a"])));
 }
@@ -119,7 +119,7 @@
         for (n, i) in order.into_iter().map(|i| i % sets.len()).enumerate() {
             let domains: Vec<String> = sets[i].iter().map(|d| format!("d{d}")).collect();
             let names: Vec<&str> = domains.iter().map(String::as_str).collect();
-            known.take(list(i as u64 + 1, &names), at(n as u64));
+            known.update(list(i as u64 + 1, &names), at(n as u64));
             newest = newest.max(Some(i));
             let wanted: BTreeSet<String> =
                 sets[newest.expect("one came")].iter().map(|d| format!("d{d}")).collect();
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use decide::fleet::{Fleet, Home, Observation, Regions, Terms, Wanted, shares};
+use decide::fleet::{Fleet, Home, Observation, PickCriteria, Regions, Terms, shares};
 use decide::region::Map;
 use decide::rng::Rng;
 use model::forward::{Allowed, NamedLimit, PromptPart, ReportedLoad, Target, TargetId, TargetLoad};
@@ -22,7 +22,7 @@
 }
 
 fn home(key: u64) -> Home {
-    Home { key, shared: 100 }
+    Home { key, shared_tokens: 100 }
 }
 
 #[test]
@@ -30,7 +30,7 @@
     let home = |parts: &[(u64, u64)]| {
         let prompt: Vec<PromptPart> =
             parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens }).collect();
-        Home::of(&prompt).map(|h| (h.key, h.shared))
+        Home::of(&prompt).map(|h| (h.key, h.shared_tokens))
     };
     assert_eq!(home(&[]), None);
     assert_eq!(home(&[(7, 50)]), Some((7, 50)));
@@ -60,7 +60,7 @@
 fn a_lost_home_moves_only_its_own_prompts() {
     let mut fleet = fleet(12);
     let before: Vec<_> = (0..200).map(|k| fleet.pick_home(wanted(&[]), home(k), at(0))).collect();
-    fleet.vanish(&"t3".into(), None, at(0));
+    fleet.remove(&"t3".into(), None, at(0));
     for (key, was) in before.into_iter().enumerate() {
         let is = fleet.pick_home(wanted(&[]), home(key as u64), at(0));
         let moved = was != is;
@@ -72,7 +72,7 @@
 fn what_drains_is_gone_or_was_tried_gets_nothing_new() {
     let mut fleet = fleet(3);
     fleet.upsert(Target { draining: true, ..target("t0", "a") }, at(0));
-    fleet.vanish(&"t1".into(), None, at(0));
+    fleet.remove(&"t1".into(), None, at(0));
     let mut rng = Rng::new(1);
     for _ in 0..50 {
         let plain = fleet.pick_plain(wanted(&[]), at(0), &mut rng).map(|t| t.id);
@@ -141,12 +141,12 @@
     let local = fleet.pick_plain(wanted(&[]), at(0), &mut rng).expect("two are up");
     assert_eq!(&*local.id.name, "t0", "its own failure domain first");
     for _ in 0..3 {
-        fleet.sent(&"t0".into(), 0);
+        fleet.request_sent(&"t0".into(), 0);
     }
     let spread = fleet.pick_plain(wanted(&[]), at(0), &mut rng).expect("two are up");
     assert_eq!(&*spread.id.name, "t1");
     for _ in 0..3 {
-        fleet.done(&"t0".into());
+        fleet.request_done(&"t0".into());
         fleet.observe(&"t0".into(), Observation::Failed, at(0));
     }
     let sound = fleet.pick_plain(wanted(&[]), at(0), &mut rng).expect("two are up");
@@ -214,12 +214,12 @@
     let id = TargetId::from("t0");
     let load = |fleet: &Fleet| fleet.get(&id).expect("it is known").load(at(0));
     for _ in 0..3 {
-        fleet.sent(&id, 0);
+        fleet.request_sent(&id, 0);
     }
     // One of the three has just been answered with this.
     let told = TargetLoad { running: 2, waiting: 0, slots: 4, slowdown: 1.0 };
     fleet.note_load(&id, ReportedLoad::Load(told), at(0));
-    fleet.done(&id);
+    fleet.request_done(&id);
     assert_eq!(load(&fleet), 0.5, "two of its four places");
     assert!(fleet.note_load(&id, ReportedLoad::Unreadable, at(0)), "told once");
     assert!(!fleet.note_load(&id, ReportedLoad::Unreadable, at(0)));
@@ -244,17 +244,17 @@
 fn a_target_gets_no_more_than_this_nodes_part_of_its_connections() {
     let mut fleet = fleet(2);
     let mut rng = Rng::new(1);
-    let wanted = Wanted { most_each: 2, ..wanted(&[]) };
+    let wanted = PickCriteria { max_per_target: 2, ..wanted(&[]) };
     let mut taken = BTreeSet::new();
     for _ in 0..4 {
         let target = fleet.pick_plain(wanted, at(0), &mut rng).expect("there is room");
-        fleet.sent(&target.id, 0);
+        fleet.request_sent(&target.id, 0);
         taken.insert(target.id);
     }
     assert_eq!(taken.len(), 2);
     assert_eq!(fleet.pick_plain(wanted, at(0), &mut rng), None);
     assert_eq!(fleet.pick_home(wanted, home(1), at(0)), None);
-    fleet.done(&"t1".into());
+    fleet.request_done(&"t1".into());
     assert_eq!(fleet.pick_home(wanted, home(1), at(0)).map(|t| t.id.name).as_deref(), Some("t1"));
 }
 
@@ -270,10 +270,10 @@
         fleet.pick_plain(wanted(&[]), at(ms), &mut rng).map(|t| t.id.name.to_string())
     };
     assert_eq!(chosen(&fleet, 5_000).as_deref(), Some("t1"), "it names no limit");
-    fleet.hear_limit(&id, NamedLimit::PerSecond(1.0), at(5_000), at(5_010));
+    fleet.record_limit(&id, NamedLimit::PerSecond(1.0), at(5_000), at(5_010));
     assert_eq!(chosen(&fleet, 7_000).as_deref(), Some("t1"), "it has just answered");
     assert_eq!(chosen(&fleet, 7_010).as_deref(), Some("t0"));
-    fleet.limits_mut().asks(&id, at(7_010));
+    fleet.limits_mut().request_permit(&id, at(7_010));
     assert_eq!(chosen(&fleet, 9_000).as_deref(), Some("t1"));
     fleet.limits_mut().close(&id, at(9_500));
     assert_eq!(chosen(&fleet, 9_400).as_deref(), Some("t1"), "its keeper said so");
@@ -284,10 +284,10 @@
 fn a_home_with_too_much_to_read_hands_on_in_the_same_order() {
     let mut fleet = fleet(6);
     let first = fleet.pick_home(wanted(&[]), home(5), at(0)).expect("six are up");
-    fleet.sent(&first.id, 1_000_000);
+    fleet.request_sent(&first.id, 1_000_000);
     let second = fleet.pick_home(wanted(&[]), home(5), at(0)).expect("six are up");
     assert_ne!(first.id, second.id);
-    fleet.read(&first.id, 1_000_000);
+    fleet.prompt_read(&first.id, 1_000_000);
     assert_eq!(fleet.pick_home(wanted(&[]), home(5), at(0)).map(|t| t.id), Some(first.id));
 }
 
@@ -302,7 +302,7 @@
     let mut homes = [0.0; 3];
     let keys = 3000;
     for key in 0..keys {
-        let wanted = Wanted { shares: &by_domain, ..wanted(&[]) };
+        let wanted = PickCriteria { shares: &by_domain, ..wanted(&[]) };
         let home = fleet.pick_home(wanted, home(key), at(0)).expect("18 are up");
         homes[["a", "b", "c"].iter().position(|d| *d == &*home.domain).expect("a domain")] += 1.0;
     }
@@ -322,7 +322,7 @@
     let regions = regions.map(|(d, r)| (d.into(), r.into())).into_iter().collect();
     let map = Map::new("a".into(), Regions::new(regions));
     let own = "north".into();
-    let wanted = Wanted { map: &map, region: Some(&own), ..wanted(&[]) };
+    let wanted = PickCriteria { map: &map, home_region: Some(&own), ..wanted(&[]) };
     let mut fleet = fleet(12);
     let mut rng = Rng::new(1);
     let mut chosen = |fleet: &Fleet| {
@@ -334,7 +334,7 @@
     };
     assert_eq!(chosen(&fleet), "a", "40 ms are more than any wait there");
     for _ in 0..12 {
-        (0..12).step_by(3).for_each(|i| fleet.sent(&format!("t{i}").as_str().into(), 0));
+        (0..12).step_by(3).for_each(|i| fleet.request_sent(&format!("t{i}").as_str().into(), 0));
     }
     assert_eq!(chosen(&fleet), "bc", "those of the own region are overrun");
 }
--- a/crates/decide/tests/follow.rs
+++ b/crates/decide/tests/follow.rs
@@ -105,7 +105,7 @@
         let chosen = self.nodes[i].sources.choose(&relays, now, |most| rng.jitter(most));
         let pause = chosen.pause.as_millis() as u64;
         let took = match chosen.source {
-            Source::Nobody => LOOK_MS,
+            Source::Unavailable => LOOK_MS,
             Source::Store => {
                 self.calls.push(ms);
                 if (faults.store)(self, i, ms) {
@@ -121,7 +121,9 @@
                     REFUSED_MS
                 }
             }
-            Source::Peer { node, patient } => self.ask(i, &node, patient, relays.role, ms, faults),
+            Source::Peer { node, await_fresh: patient } => {
+                self.ask(i, &node, patient, relays.role, ms, faults)
+            }
         };
         self.nodes[i].next = ms + pause + took;
     }
@@ -137,7 +139,7 @@
     ) -> u64 {
         let (now, j) = (at(60_000 + ms), number(peer));
         if !(faults.peers)(self, i, j, ms) {
-            self.nodes[i].sources.relay_silent(&peer.id, now);
+            self.nodes[i].sources.relay_failed(&peer.id, now);
             self.nodes[i].lost = true;
             return HANGS_MS;
         }
--- a/crates/decide/tests/list.rs
+++ b/crates/decide/tests/list.rs
@@ -8,7 +8,7 @@
 }
 
 fn known(list: &List<u32>) -> Option<(u64, Vec<(&str, u32)>)> {
-    let (at, objects) = list.known()?;
+    let (at, objects) = list.snapshot()?;
     Some((at, objects.iter().map(|(name, object)| (&**name, *object)).collect()))
 }
 
@@ -16,13 +16,13 @@
 fn a_reader_follows_the_list_and_reads_it_anew_when_its_history_is_gone() {
     let mut list = List::default();
     assert_eq!((list.at(), known(&list)), (None, None));
-    list.whole(5, entries([("a", Entry::Now(1))]));
-    let changes = [("b", Entry::Now(2)), ("a", Entry::Gone), ("c", Entry::Now(3))];
-    list.change(8, entries(changes));
+    list.replace(5, entries([("a", Entry::Present(1))]));
+    let changes = [("b", Entry::Present(2)), ("a", Entry::Removed), ("c", Entry::Present(3))];
+    list.apply(8, entries(changes));
     assert_eq!(known(&list), Some((8, vec![("b", 2), ("c", 3)])));
     list.restart();
     assert_eq!((list.at(), known(&list)), (None, None));
-    list.whole(12, entries([("c", Entry::Now(4))]));
+    list.replace(12, entries([("c", Entry::Present(4))]));
     assert_eq!(known(&list), Some((12, vec![("c", 4)])));
 }
 
@@ -31,27 +31,27 @@
     let named =
         |list: &List<u32>| list.unreadable().map(|name| name.to_string()).collect::<Vec<_>>();
     let mut list = List::default();
-    list.whole(5, entries([("a", Entry::Now(1)), ("b", Entry::Unreadable)]));
+    list.replace(5, entries([("a", Entry::Present(1)), ("b", Entry::Unreadable)]));
     assert_eq!(named(&list), ["b"]);
-    list.change(6, entries([("a", Entry::Unreadable), ("b", Entry::Now(2))]));
+    list.apply(6, entries([("a", Entry::Unreadable), ("b", Entry::Present(2))]));
     assert_eq!(named(&list), ["a"]);
-    list.change(7, entries([("b", Entry::Unreadable), ("a", Entry::Gone)]));
+    list.apply(7, entries([("b", Entry::Unreadable), ("a", Entry::Removed)]));
     assert_eq!(named(&list), ["b"]);
     list.restart();
-    list.whole(9, entries([("c", Entry::Unreadable)]));
+    list.replace(9, entries([("c", Entry::Unreadable)]));
     assert_eq!((named(&list), known(&list)), (vec!["c".into()], Some((9, vec![]))));
 }
 
 #[test]
 fn what_is_known_of_an_object_holds_on_while_it_cannot_be_read() {
     let mut list = List::default();
-    list.whole(5, entries([("a", Entry::Now(1)), ("b", Entry::Unreadable)]));
+    list.replace(5, entries([("a", Entry::Present(1)), ("b", Entry::Unreadable)]));
     assert_eq!(known(&list), Some((5, vec![("a", 1)])));
-    list.change(6, entries([("a", Entry::Unreadable)]));
+    list.apply(6, entries([("a", Entry::Unreadable)]));
     assert_eq!(known(&list), Some((6, vec![("a", 1)])));
     list.restart();
-    list.whole(9, entries([("a", Entry::Unreadable)]));
+    list.replace(9, entries([("a", Entry::Unreadable)]));
     assert_eq!(known(&list), Some((9, vec![("a", 1)])));
-    list.change(10, entries([("a", Entry::Gone), ("a", Entry::Unreadable)]));
+    list.apply(10, entries([("a", Entry::Removed), ("a", Entry::Unreadable)]));
     assert_eq!(known(&list), Some((10, vec![])));
 }
--- a/crates/decide/tests/notice.rs
+++ b/crates/decide/tests/notice.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use decide::fleet::{Barred, Fleet, NoticeChange, Presence, Terms};
+use decide::fleet::{Exclusion, Fleet, NoticeChange, Presence, Terms};
 use model::forward::{Allowed, Notice, RetryAfter, Target, TargetId};
 use model::{Name, Time};
 use support::{at, target};
@@ -24,9 +24,9 @@
     fleet
 }
 
-fn barred(fleet: &Fleet, name: &str, now: Time) -> Option<Barred> {
-    let belief = fleet.named(name).expect("a target that is known");
-    fleet.bars(belief, Terms::ANY, now)
+fn barred(fleet: &Fleet, name: &str, now: Time) -> Option<Exclusion> {
+    let belief = fleet.by_name(name).expect("a target that is known");
+    fleet.exclusion(belief, Terms::ANY, now)
 }
 
 #[test]
@@ -34,24 +34,24 @@
     let id: TargetId = "t0".into();
     let ready = |revision| Target { revision, ..target("t0", "a") };
     let mut fleet = fleet();
-    assert_eq!(fleet.hear_notice(&id, LEAVES, at(10)), [NoticeChange::Leaves]);
-    assert_eq!(fleet.hear_notice(&id, LEAVES, at(11)), [], "told once");
-    fleet.hear_notice(&id, Notice::default(), at(12));
+    assert_eq!(fleet.record_notice(&id, LEAVES, at(10)), [NoticeChange::Draining]);
+    assert_eq!(fleet.record_notice(&id, LEAVES, at(11)), [], "told once");
+    fleet.record_notice(&id, Notice::default(), at(12));
     let steps: [(&str, Step<'_>); 6] = [
         ("as it was", &|_| ()),
         ("an older entry", &|f| _ = f.upsert(ready(4), at(20))),
         ("a newer entry", &|f| _ = f.upsert(ready(9), at(20))),
         ("a whole list", &|f| f.replace(vec![ready(7)], None, at(20))),
         ("an entry that vanished and came back", &|f| {
-            f.vanish(&"t0".into(), None, at(0));
+            f.remove(&"t0".into(), None, at(0));
             f.upsert(ready(12), at(20));
         }),
         ("a long time", &|f| f.expire(at(3_600_000))),
     ];
     for (what, step) in steps {
         step(&mut fleet);
-        assert_eq!(barred(&fleet, "t0", at(30)), Some(Barred::Leaving), "{what}");
-        assert_eq!(fleet.presence(&id), Presence::Leaving, "{what}");
+        assert_eq!(barred(&fleet, "t0", at(30)), Some(Exclusion::Draining), "{what}");
+        assert_eq!(fleet.presence(&id), Presence::Draining, "{what}");
     }
     assert!(fleet.targets(at(30)).iter().all(|t| t.draining), "whoever starts hears of it");
 }
@@ -61,11 +61,11 @@
     let mut fleet = fleet();
     let start = |start| Target { id: TargetId::new("t0", start), ..target("t0", "a") };
     fleet.upsert(start(1), at(0));
-    fleet.hear_notice(&TargetId::new("t0", 1), LEAVES, at(10));
-    assert_eq!(barred(&fleet, "t0", at(20)), Some(Barred::Leaving));
+    fleet.record_notice(&TargetId::new("t0", 1), LEAVES, at(10));
+    assert_eq!(barred(&fleet, "t0", at(20)), Some(Exclusion::Draining));
     fleet.upsert(start(2), at(20));
     assert_eq!(barred(&fleet, "t0", at(20)), None);
-    fleet.hear_notice(&TargetId::new("t0", 1), LEAVES, at(30));
+    fleet.record_notice(&TargetId::new("t0", 1), LEAVES, at(30));
     assert_eq!(barred(&fleet, "t0", at(30)), None, "an answer of the earlier start, come late");
 }
 
@@ -73,12 +73,12 @@
 fn a_leaving_target_is_remembered_beyond_its_entry_but_not_for_ever() {
     let minutes = |n: u64| at(n * 60_000);
     let mut fleet = fleet();
-    fleet.hear_notice(&"t0".into(), LEAVES, at(0));
-    fleet.vanish(&"t0".into(), None, at(0));
+    fleet.record_notice(&"t0".into(), LEAVES, at(0));
+    fleet.remove(&"t0".into(), None, at(0));
     fleet.expire(minutes(5));
-    assert!(fleet.notices().leaves(&"t0".into()));
+    assert!(fleet.notices().is_draining(&"t0".into()));
     fleet.expire(minutes(11));
-    assert!(!fleet.notices().leaves(&"t0".into()));
+    assert!(!fleet.notices().is_draining(&"t0".into()));
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let mut by_entry = Fleet::default();
     by_entry.upsert(Target { draining: true, ..of("t0", "v1") }, at(0));
     by_entry.upsert(of("t1", "v2"), at(0));
-    fleet.hear_notice(&"t0".into(), LEAVES, at(10));
+    fleet.record_notice(&"t0".into(), LEAVES, at(10));
     let usable = |f: &Fleet| -> Vec<Name> {
         f.usable("engine", Terms::ANY, at(20)).map(|b| b.target.id.name.clone()).collect()
     };
@@ -106,18 +106,22 @@
 fn a_target_that_wants_rest_gets_it_and_then_one_request_until_that_is_answered() {
     let id: TargetId = "t0".into();
     let mut fleet = fleet();
-    assert_eq!(fleet.hear_notice(&id, rests(3000), at(0)).len(), 1);
-    assert_eq!(barred(&fleet, "t0", at(2999)), Some(Barred::Resting));
+    assert_eq!(fleet.record_notice(&id, rests(3000), at(0)).len(), 1);
+    assert_eq!(barred(&fleet, "t0", at(2999)), Some(Exclusion::BackedOff));
     assert_eq!(barred(&fleet, "t1", at(2999)), None, "the others are as they were");
     assert_eq!(barred(&fleet, "t0", at(3000)), None);
-    fleet.goes_to(&id, at(3000));
-    assert_eq!(barred(&fleet, "t0", at(3001)), Some(Barred::Resting), "one shows whether it works");
-    fleet.took(&id, at(100));
-    assert_eq!(barred(&fleet, "t0", at(3002)), Some(Barred::Resting), "that was sent before");
+    fleet.note_attempt(&id, at(3000));
+    assert_eq!(
+        barred(&fleet, "t0", at(3001)),
+        Some(Exclusion::BackedOff),
+        "one shows whether it works"
+    );
+    fleet.note_accepted(&id, at(100));
+    assert_eq!(barred(&fleet, "t0", at(3002)), Some(Exclusion::BackedOff), "that was sent before");
     assert_eq!(barred(&fleet, "t0", at(3500)), None, "another one if it is silent");
-    fleet.goes_to(&id, at(3500));
-    fleet.took(&id, at(3000));
-    fleet.goes_to(&id, at(3510));
+    fleet.note_attempt(&id, at(3500));
+    fleet.note_accepted(&id, at(3000));
+    fleet.note_attempt(&id, at(3510));
     assert_eq!(barred(&fleet, "t0", at(3511)), None, "it takes requests again");
 }
 
@@ -127,39 +131,39 @@
     let mut fleet = fleet();
     let said = [(0, 3000), (100, 500), (200, 0)];
     for (ms, time) in said {
-        fleet.hear_notice(&id, rests(time), at(ms));
+        fleet.record_notice(&id, rests(time), at(ms));
     }
-    fleet.hear_notice(&id, Notice::default(), at(300));
+    fleet.record_notice(&id, Notice::default(), at(300));
     let unreadable = Notice { retry_after: RetryAfter::Unreadable, ..Notice::default() };
-    assert_eq!(fleet.hear_notice(&id, unreadable, at(400)), [NoticeChange::Unreadable]);
-    assert_eq!(fleet.hear_notice(&id, unreadable, at(500)), [], "told once");
-    assert_eq!(fleet.notices().rests_until(&id, at(2999)), Some(at(3000)));
-    fleet.hear_notice(&id, rests(2000), at(2500));
-    assert_eq!(fleet.notices().rests_until(&id, at(3000)), Some(at(4500)));
+    assert_eq!(fleet.record_notice(&id, unreadable, at(400)), [NoticeChange::Unreadable]);
+    assert_eq!(fleet.record_notice(&id, unreadable, at(500)), [], "told once");
+    assert_eq!(fleet.notices().backoff_until(&id, at(2999)), Some(at(3000)));
+    fleet.record_notice(&id, rests(2000), at(2500));
+    assert_eq!(fleet.notices().backoff_until(&id, at(3000)), Some(at(4500)));
 }
 
 #[test]
 fn callers_are_told_the_end_of_the_first_rest_only_where_all_targets_rest() {
     let mut fleet = fleet();
-    let left = |f: &Fleet, ms| f.rest_left("engine", &Allowed::ANY, at(ms));
+    let left = |f: &Fleet, ms| f.backoff_left("engine", &Allowed::ANY, at(ms));
     assert_eq!(left(&fleet, 0), None);
-    fleet.hear_notice(&"t0".into(), rests(3000), at(0));
+    fleet.record_notice(&"t0".into(), rests(3000), at(0));
     assert_eq!(left(&fleet, 0), None, "the other one works");
-    fleet.hear_notice(&"t1".into(), rests(1000), at(0));
+    fleet.record_notice(&"t1".into(), rests(1000), at(0));
     assert_eq!(left(&fleet, 250), Some(Duration::from_millis(750)));
     fleet.upsert(Target { draining: true, revision: 6, ..target("t1", "a") }, at(300));
     assert_eq!(left(&fleet, 300), Some(Duration::from_millis(2700)), "that one leaves");
-    assert_eq!(fleet.rest_left("plain", &Allowed::ANY, at(0)), None, "no target at all");
+    assert_eq!(fleet.backoff_left("plain", &Allowed::ANY, at(0)), None, "no target at all");
 }
 
 #[test]
 fn a_rest_holds_through_a_lapse_of_the_targets_entry() {
     let mut fleet = fleet();
-    fleet.hear_notice(&"t0".into(), rests(3000), at(0));
-    fleet.vanish(&"t0".into(), None, at(0));
+    fleet.record_notice(&"t0".into(), rests(3000), at(0));
+    fleet.remove(&"t0".into(), None, at(0));
     fleet.expire(at(100));
     fleet.upsert(Target { revision: 9, ..target("t0", "a") }, at(200));
-    assert_eq!(barred(&fleet, "t0", at(300)), Some(Barred::Resting));
+    assert_eq!(barred(&fleet, "t0", at(300)), Some(Exclusion::BackedOff));
 }
 
 #[test]
@@ -167,19 +171,19 @@
     let ready = |name: &str, revision| Target { revision, ..target(name, "a") };
     let mut fleet = fleet();
     fleet.upsert(Target { draining: true, ..ready("t0", 8) }, at(0));
-    fleet.vanish(&"t1".into(), None, at(0));
+    fleet.remove(&"t1".into(), None, at(0));
     fleet.begin_epoch(at(1000));
     fleet.replace(vec![ready("t0", 5), ready("t1", 5)], Some(at(3000)), at(1000));
-    assert_eq!(barred(&fleet, "t0", at(2000)), Some(Barred::Leaving));
-    assert_eq!(barred(&fleet, "t1", at(2000)), Some(Barred::Restored));
+    assert_eq!(barred(&fleet, "t0", at(2000)), Some(Exclusion::Draining));
+    assert_eq!(barred(&fleet, "t1", at(2000)), Some(Exclusion::Restored));
     fleet.upsert(ready("t1", 6), at(3000));
     assert_eq!(
         barred(&fleet, "t1", at(3000)),
-        Some(Barred::Restored),
+        Some(Exclusion::Restored),
         "written again, in any order"
     );
     assert_eq!(barred(&fleet, "t1", at(11_000)), None, "it is there still, so it lives");
-    assert_eq!(barred(&fleet, "t0", at(11_000)), Some(Barred::Leaving));
+    assert_eq!(barred(&fleet, "t0", at(11_000)), Some(Exclusion::Draining));
 }
 
 #[test]
@@ -192,13 +196,13 @@
     fleet.replace(Vec::new(), Some(at(3000)), at(1000));
     assert_eq!(barred(&fleet, "t0", at(1100)), None);
     fleet.upsert(entry(60, true), at(1200));
-    assert_eq!(barred(&fleet, "t0", at(1200)), Some(Barred::Leaving));
+    assert_eq!(barred(&fleet, "t0", at(1200)), Some(Exclusion::Draining));
 }
 
 #[test]
 fn an_entry_that_lapsed_and_came_back_is_usable_at_once_within_an_epoch() {
     let mut fleet = fleet();
-    fleet.vanish(&"t0".into(), None, at(0));
+    fleet.remove(&"t0".into(), None, at(0));
     fleet.upsert(Target { revision: 9, ..target("t0", "a") }, at(100));
     assert_eq!(barred(&fleet, "t0", at(100)), None);
 }
--- a/crates/decide/tests/permit.rs
+++ b/crates/decide/tests/permit.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use decide::permit::{Book, Grant, LimitChange, Limits, Returns, Word, pace_of};
+use decide::permit::{
+    Grant, LimitChange, LimitObservation, Limits, PermitIssuer, RetryPacer, issue_rate,
+};
 use model::Time;
 use model::forward::{LimitWord, NamedLimit, TargetId};
 use proptest::prelude::*;
@@ -23,8 +25,8 @@
     Time::from_millis(ms)
 }
 
-fn word(per_s: Option<f64>, sent: u64, came: u64) -> Word {
-    Word { per_s, sent: at(sent), came: at(came) }
+fn word(per_s: Option<f64>, sent: u64, came: u64) -> LimitObservation {
+    LimitObservation { per_s, sent_at: at(sent), received_at: at(came) }
 }
 
 /// What the platform lets a target get in the window that names such a limit.
@@ -34,13 +36,13 @@
 
 /// Times at which one keeper gives out permits to askers that never rest.
 fn granted(per_s: f64, idle: Duration, time: Duration) -> Vec<Time> {
-    let mut book = Book::default();
-    book.learn(&target(), word(Some(per_s), 0, 1), at(1));
+    let mut book = PermitIssuer::default();
+    book.merge(&target(), word(Some(per_s), 0, 1), at(1));
     let begin = at(1) + idle;
     let mut granted = Vec::new();
     let mut now = begin;
     while now < begin + time {
-        if book.ask(&target(), &"n-1".into(), 1, now) == Grant::Now {
+        if book.request(&target(), &"n-1".into(), 1, now) == Grant::Now {
             granted.push(now);
         }
         now = now + Duration::from_millis(1);
@@ -76,25 +78,25 @@
 
 #[test]
 fn a_new_keeper_has_nothing_saved_up() {
-    let mut book = Book::default();
-    book.learn(&target(), word(Some(1.0), 0, 10), at(10));
-    assert!(matches!(book.ask(&target(), &"n-1".into(), 1, at(10)), Grant::Later(_)));
+    let mut book = PermitIssuer::default();
+    book.merge(&target(), word(Some(1.0), 0, 10), at(10));
+    assert!(matches!(book.request(&target(), &"n-1".into(), 1, at(10)), Grant::Later(_)));
 }
 
 #[test]
 fn those_sent_away_may_ask_again_one_after_the_other() {
-    let mut book = Book::default();
-    book.learn(&target(), word(Some(2.0), 0, 10), at(10));
-    let each = Duration::from_secs_f64(1.0 / pace_of(2.0));
+    let mut book = PermitIssuer::default();
+    book.merge(&target(), word(Some(2.0), 0, 10), at(10));
+    let each = Duration::from_secs_f64(1.0 / issue_rate(2.0));
     let mut told = Vec::new();
     for n in 0..20 {
-        match book.ask(&target(), &format!("n-{n}").into(), 1, at(10)) {
+        match book.request(&target(), &format!("n-{n}").into(), 1, at(10)) {
             Grant::Later(after) => told.push(after),
             other => panic!("{other:?}"),
         }
     }
     assert!(told[1] - told[0] >= each - Duration::from_millis(1), "{told:?}");
-    let again = book.ask(&target(), &"n-1".into(), 1, at(10));
+    let again = book.request(&target(), &"n-1".into(), 1, at(10));
     assert_eq!(again, Grant::Later(told[1]), "a node with several requests waits once");
     let longest = *told.last().expect("some were sent away");
     assert!(longest <= each + Duration::from_secs(2), "not for longer than they may have work");
@@ -102,10 +104,10 @@
 
 #[test]
 fn a_call_of_pieces_takes_as_many_permits() {
-    let mut book = Book::default();
-    book.learn(&target(), word(Some(1.0), 0, 10), at(10));
-    assert_eq!(book.ask(&target(), &"n-1".into(), 2, at(20_000)), Grant::Now);
-    assert!(matches!(book.ask(&target(), &"n-1".into(), 1, at(20_000)), Grant::Later(_)));
+    let mut book = PermitIssuer::default();
+    book.merge(&target(), word(Some(1.0), 0, 10), at(10));
+    assert_eq!(book.request(&target(), &"n-1".into(), 2, at(20_000)), Grant::Now);
+    assert!(matches!(book.request(&target(), &"n-1".into(), 1, at(20_000)), Grant::Later(_)));
 }
 
 #[test]
@@ -124,8 +126,8 @@
     ];
     for ((a, a0, a1), (b, b0, b1), wanted) in table {
         let (a, b) = (word(a, a0, a1), word(b, b0, b1));
-        assert_eq!(a.and(b).per_s, wanted, "{a:?} {b:?}");
-        assert_eq!(b.and(a).per_s, wanted, "whichever is heard first: {b:?} {a:?}");
+        assert_eq!(a.merge(b).per_s, wanted, "{a:?} {b:?}");
+        assert_eq!(b.merge(a).per_s, wanted, "whichever is heard first: {b:?} {a:?}");
     }
 }
 
@@ -133,7 +135,7 @@
 fn answers_name_change_and_end_a_limit() {
     let (mut limits, id) = (Limits::default(), target());
     let mut hear = |said, sent, came| {
-        let change = limits.hear(&id, said, at(sent), at(came));
+        let change = limits.record(&id, said, at(sent), at(came));
         (change, limits.get(&id))
     };
     use NamedLimit::{None as Unnamed, PerSecond, Unreadable};
@@ -151,10 +153,10 @@
 #[test]
 fn a_limit_ends_although_requests_overlap_all_the_time() {
     let (mut limits, id) = (Limits::default(), target());
-    limits.hear(&id, NamedLimit::PerSecond(50.0), at(0), at(100));
+    limits.record(&id, NamedLimit::PerSecond(50.0), at(0), at(100));
     let ended = (0..).find(|n| {
         let sent = at(20 * n);
-        limits.hear(&id, NamedLimit::None, sent, sent + Duration::from_millis(100));
+        limits.record(&id, NamedLimit::None, sent, sent + Duration::from_millis(100));
         limits.get(&id).is_none()
     });
     assert_eq!(ended, Some(5), "the first that was sent after it was named");
@@ -163,21 +165,22 @@
 #[test]
 fn peers_that_tell_old_words_neither_bind_nor_free_anybody() {
     let (mut limits, id) = (Limits::default(), target());
-    let heard =
-        |per_s, sent_ms, came_ms, now| Word::heard(&LimitWord { per_s, sent_ms, came_ms }, at(now));
-    limits.hear(&id, NamedLimit::PerSecond(1.0), at(1000), at(1100));
-    limits.hear(&id, NamedLimit::None, at(2000), at(2100));
-    assert_eq!(limits.learn(&id, heard(Some(1.0), 2400, 2300, 3400)), None, "known to be over");
-    limits.hear(&id, NamedLimit::PerSecond(1.0), at(5000), at(5100));
+    let heard = |per_s, sent_ms, came_ms, now| {
+        LimitObservation::from_peer(&LimitWord { per_s, sent_ms, came_ms }, at(now))
+    };
+    limits.record(&id, NamedLimit::PerSecond(1.0), at(1000), at(1100));
+    limits.record(&id, NamedLimit::None, at(2000), at(2100));
+    assert_eq!(limits.merge(&id, heard(Some(1.0), 2400, 2300, 3400)), None, "known to be over");
+    limits.record(&id, NamedLimit::PerSecond(1.0), at(5000), at(5100));
     // Sent before the limit was named, and told as soon as the answer came, but 0.7 s on its way.
-    assert_eq!(limits.learn(&id, heard(None, 200, 0, 5800)), None, "news takes time on its way");
+    assert_eq!(limits.merge(&id, heard(None, 200, 0, 5800)), None, "news takes time on its way");
     assert_eq!(limits.get(&id), Some(1.0));
-    assert_eq!(limits.learn(&id, heard(None, 200, 0, 6200)), Some(LimitChange::Ended));
+    assert_eq!(limits.merge(&id, heard(None, 200, 0, 6200)), Some(LimitChange::Ended));
 }
 
 #[test]
 fn callers_come_back_as_permits_come() {
-    let mut returns = Returns::default();
+    let mut returns = RetryPacer::default();
     let soonest = Duration::from_millis(400);
     let told: Vec<f64> =
         (0..5).map(|_| returns.next(soonest, 2.0, 4, at(10_000)).as_secs_f64()).collect();
@@ -196,16 +199,16 @@
     fn a_word_holds_whatever_the_order_in_which_they_come(
         words in prop::collection::vec((prop::option::of(1u8..4), 0u64..1000, 0u64..300), 1..12),
     ) {
-        let words: Vec<Word> = words
+        let words: Vec<LimitObservation> = words
             .into_iter()
             .map(|(per_s, sent, took)| word(per_s.map(f64::from), sent, sent + took))
             .collect();
         let last = words.iter().find(|w| {
-            words.iter().all(|o| o == *w || o.came <= w.sent)
+            words.iter().all(|o| o == *w || o.received_at <= w.sent_at)
         });
         if let Some(last) = last {
-            let all = words.iter().skip(1).fold(words[0], |all, w| all.and(*w));
-            let back = words.iter().rev().skip(1).fold(words[words.len() - 1], |all, w| all.and(*w));
+            let all = words.iter().skip(1).fold(words[0], |all, w| all.merge(*w));
+            let back = words.iter().rev().skip(1).fold(words[words.len() - 1], |all, w| all.merge(*w));
             prop_assert_eq!(all.per_s, last.per_s);
             prop_assert_eq!(back.per_s, last.per_s);
         }
--- a/crates/decide/tests/relay.rs
+++ b/crates/decide/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use decide::relay::{Chosen, History, Relays, Role, Source, Sources, wait_for_state, waits};
+use decide::relay::{Choice, History, Relays, Role, Source, Sources, startup_wait, waits};
 use decide::rng::Rng;
 use model::Time;
 use model::member::{Node, NodeId};
@@ -26,16 +26,16 @@
     bound
 }
 
-fn name_of(chosen: &Chosen) -> &str {
+fn name_of(chosen: &Choice) -> &str {
     match &chosen.source {
         Source::Store => "store",
         Source::Peer { node, .. } => &node.id.name,
-        Source::Nobody => "nobody",
+        Source::Unavailable => "nobody",
     }
 }
 
-fn is_patient(chosen: &Chosen) -> bool {
-    matches!(chosen.source, Source::Peer { patient: true, .. })
+fn is_patient(chosen: &Choice) -> bool {
+    matches!(chosen.source, Source::Peer { await_fresh: true, .. })
 }
 
 #[test]
@@ -60,9 +60,9 @@
     let relays = relays(Role::Follower);
     let choose = |s: &mut Sources, ms| name_of(&s.choose(&relays, at(ms), whole)).to_string();
     assert_eq!(choose(&mut sources, 0), "a");
-    sources.relay_silent(&node("a").id, at(0));
+    sources.relay_failed(&node("a").id, at(0));
     assert_eq!(choose(&mut sources, 10), "b");
-    sources.relay_silent(&node("b").id, at(500));
+    sources.relay_failed(&node("b").id, at(500));
     assert_eq!(choose(&mut sources, 510), "store", "at once where no relay answers");
     assert_eq!(choose(&mut sources, 3010), "a", "a relay may be well again");
 }
@@ -120,16 +120,16 @@
     assert!(chosen.pause > Duration::ZERO);
     let chosen = sources.choose(&relays(Role::Unknown), at(50), whole);
     assert_eq!((name_of(&chosen), is_patient(&chosen)), ("a", true), "which may start too");
-    sources.relay_silent(&node("a").id, at(60));
-    sources.relay_silent(&node("b").id, at(60));
+    sources.relay_failed(&node("a").id, at(60));
+    sources.relay_failed(&node("b").id, at(60));
     assert_eq!(name_of(&sources.choose(&relays(Role::Unknown), at(70), whole)), "store");
 }
 
 #[test]
 fn where_all_sources_fail_the_one_that_failed_first_is_asked_after_a_pause() {
     let mut sources = Sources::default();
-    sources.relay_silent(&node("a").id, at(0));
-    sources.relay_silent(&node("b").id, at(100));
+    sources.relay_failed(&node("a").id, at(0));
+    sources.relay_failed(&node("b").id, at(100));
     sources.store_failed(Role::Follower, at(200), whole);
     let relays = relays(Role::Follower);
     let chosen = sources.choose(&relays, at(300), whole);
@@ -153,7 +153,7 @@
 #[test]
 fn callers_wait_for_a_node_that_has_just_started_and_for_no_other() {
     for (uptime_ms, wait_ms) in [(0, 800), (300, 500), (799, 1), (800, 0), (60_000, 0)] {
-        let wait = wait_for_state(Duration::from_millis(uptime_ms));
+        let wait = startup_wait(Duration::from_millis(uptime_ms));
         assert_eq!(wait, Duration::from_millis(wait_ms), "after {uptime_ms} ms");
     }
 }
@@ -208,15 +208,18 @@
 #[test]
 fn all_waits_for_news_add_up_to_what_is_promised_whatever_falls_silent() {
     let rows = [
-        ("a relay's watch of any kind", waits::worst_relay()),
-        ("what its followers learn through it", waits::worst_follower()),
+        ("a relay's watch of any kind", waits::max_relay_delay()),
+        ("what its followers learn through it", waits::max_follower_delay()),
     ];
     for (what, worst) in rows {
-        assert!(worst <= waits::KNOWN_WITHIN, "{what}: {worst:?}");
+        assert!(worst <= waits::MAX_STALENESS, "{what}: {worst:?}");
     }
-    assert!(waits::PEER_WAIT + waits::PEER_SLACK < waits::worst_relay(), "followers notice first");
-    let in_calm = waits::SLOW_WATCH + waits::PEER_WAIT + waits::GATHER;
-    assert!(in_calm < waits::OLD_FROM, "nothing is called old in calm");
+    assert!(
+        waits::PEER_WAIT + waits::PEER_SLACK < waits::max_relay_delay(),
+        "followers notice first"
+    );
+    let in_calm = waits::RULES_WATCH_WAIT + waits::PEER_WAIT + waits::COALESCE_TIME;
+    assert!(in_calm < waits::STALE_AFTER, "nothing is called old in calm");
 }
 
 #[test]
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use decide::batch::{Call, CallEnd, Coordinator, Event, MakerInfo};
-use decide::fleet::{ColdLimit, Fleet, Observation, Terms, still_true};
+use decide::fleet::{ColdLimit, Fleet, Observation, Terms, drop_superseded};
 use decide::prefill::Scheduler;
 use decide::rng::Rng;
 use model::Name;
@@ -42,10 +42,11 @@
 fn nothing_that_was_believed_of_the_start_before_holds_for_the_next() {
     for (before, after) in STARTS {
         let mut fleet = fleet(vec![Target { cold_ms: 9000, ..entry(before, 5) }]);
-        let limit = ColdLimit { lasts: Duration::from_secs(9), gap: Some(Duration::from_secs(1)) };
+        let limit =
+            ColdLimit { duration: Duration::from_secs(9), interval: Some(Duration::from_secs(1)) };
         let old = id(before);
-        fleet.start(&old, limit, at(10));
-        fleet.sent(&old, 700);
+        fleet.note_cold_start(&old, limit, at(10));
+        fleet.request_sent(&old, 700);
         fleet.observe(&old, Observation::Answered(Duration::from_millis(80)), at(20));
         assert!(fleet.observe(&old, Observation::Unreachable, at(30)), "left out");
 
@@ -53,10 +54,10 @@
         let new = id(after);
         let b = fleet.get(&new).expect("the later start is known");
         assert!(!b.is_ejected(at(40)) && !fleet.is_cold(b, limit, at(40)));
-        let pace = (b.next_start, b.cold);
+        let pace = (b.next_start, b.cold_until);
         assert_eq!(pace, (at(0), at(40)));
-        assert_eq!((b.outstanding, b.prefill), (0, 0));
-        assert_eq!((b.answer_ms(at(40)), b.failing(at(40))), (None, 0.0));
+        assert_eq!((b.outstanding, b.prefill_tokens), (0, 0));
+        assert_eq!((b.answer_ms(at(40)), b.failure_rate(at(40))), (None, 0.0));
         assert!(fleet.get(&old).is_none(), "the start before is nobody's");
         assert!(!fleet.is_usable(&old, Terms::ANY, at(40)));
     }
@@ -66,19 +67,20 @@
 fn what_still_comes_of_the_start_before_changes_nothing_of_the_next() {
     for (before, after) in STARTS {
         let mut fleet = fleet(vec![entry(before, 5)]);
-        fleet.sent(&id(before), 700);
+        fleet.request_sent(&id(before), 700);
         fleet.upsert(entry(after, 6), at(40));
-        fleet.sent(&id(after), 300);
-        let limit = ColdLimit { lasts: Duration::from_secs(9), gap: Some(Duration::from_secs(1)) };
-        fleet.read(&id(before), 700);
-        fleet.done(&id(before));
-        fleet.start(&id(before), limit, at(50));
+        fleet.request_sent(&id(after), 300);
+        let limit =
+            ColdLimit { duration: Duration::from_secs(9), interval: Some(Duration::from_secs(1)) };
+        fleet.prompt_read(&id(before), 700);
+        fleet.request_done(&id(before));
+        fleet.note_cold_start(&id(before), limit, at(50));
         let ends = [Observation::Failed, Observation::Unreachable, Observation::Replaced];
         for end in ends {
             assert!(!fleet.observe(&id(before), end, at(50)), "{end:?}");
         }
         let b = fleet.get(&id(after)).expect("known");
-        assert_eq!((b.outstanding, b.prefill, b.failing(at(40))), (1, 300, 0.0));
+        assert_eq!((b.outstanding, b.prefill_tokens, b.failure_rate(at(40))), (1, 300, 0.0));
         assert!(!b.is_ejected(at(50)) && b.next_start == at(0));
     }
 }
@@ -86,7 +88,7 @@
 #[test]
 fn the_same_entry_seen_again_is_no_restart() {
     let mut fleet = fleet(vec![entry(17, 5)]);
-    fleet.sent(&id(17), 700);
+    fleet.request_sent(&id(17), 700);
     assert!(!fleet.upsert(entry(17, 5), at(10)));
     assert!(!fleet.upsert(entry(17, 0), at(10)), "from a node that tells no revision");
     fleet.replace(vec![entry(17, 5)], None, at(20));
@@ -94,7 +96,7 @@
     take(&mut fleet, news);
     fleet.upsert(Target { version: "v2".into(), slots: 9, ..entry(17, 6) }, at(30));
     let b = fleet.get(&id(17)).expect("known");
-    assert_eq!((b.outstanding, b.prefill, b.target.slots), (1, 700, 9));
+    assert_eq!((b.outstanding, b.prefill_tokens, b.target.slots), (1, 700, 9));
 }
 
 #[test]
@@ -130,15 +132,15 @@
 
 /// Takes news as a node does.
 fn take(fleet: &mut Fleet, news: Vec<TargetChange>) {
-    for change in still_true(news) {
+    for change in drop_superseded(news) {
         match change {
             TargetChange::Now(target) => {
                 fleet.upsert(target, at(0));
             }
             TargetChange::Unreadable(name) => {
-                fleet.unreadable(&name);
+                fleet.mark_unreadable(&name);
             }
-            TargetChange::Gone(name) => fleet.vanish(&name, None, at(0)),
+            TargetChange::Gone(name) => fleet.remove(&name, None, at(0)),
         }
     }
 }
@@ -146,7 +148,7 @@
 #[test]
 fn a_source_that_is_behind_brings_no_earlier_start_back() {
     let mut fleet = fleet(vec![entry(18, 7)]);
-    fleet.sent(&id(18), 700);
+    fleet.request_sent(&id(18), 700);
     assert!(!fleet.upsert(entry(17, 5), at(10)), "older, also where its start is later");
     assert!(!fleet.upsert(entry(19, 6), at(10)));
     // A source that is further on tells of changes that are known, an end among them.
@@ -162,7 +164,7 @@
 fn an_entry_that_drained_before_its_end_is_not_kept_in_doubt() {
     let drains = TargetChange::Now(Target { draining: true, ..entry(17, 6) });
     let news = vec![drains, TargetChange::Gone("t".into())];
-    assert_eq!(still_true(news.clone()), news);
+    assert_eq!(drop_superseded(news.clone()), news);
 }
 
 proptest! {
@@ -190,7 +192,7 @@
             let b = fleet.get(&known.id).expect("the newest is known");
             prop_assert_eq!(&b.target, known);
             prop_assert_eq!(b.outstanding, sent);
-            fleet.sent(&known.id, 1);
+            fleet.request_sent(&known.id, 1);
             sent += 1;
         }
     }
@@ -201,9 +203,9 @@
     let name: Name = "t".into();
     let doubt = Some(at(9000));
     let mut fleet = fleet(vec![entry(17, 5)]);
-    fleet.sent(&id(17), 700);
-    assert!(fleet.unreadable(&name));
-    assert!(!fleet.unreadable(&name), "told once");
+    fleet.request_sent(&id(17), 700);
+    assert!(fleet.mark_unreadable(&name));
+    assert!(!fleet.mark_unreadable(&name), "told once");
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(10)));
     assert_eq!(fleet.get(&id(17)).expect("it goes on").outstanding, 1);
     let list = fleet.list(at(10));
@@ -214,13 +216,13 @@
     other.upsert(entry(17, 5), at(0));
     let mut third = Fleet::default();
     third.upsert(entry(17, 5), at(0));
-    third.sent(&id(17), 700);
+    third.request_sent(&id(17), 700);
     third.replace(list.clone(), None, at(10));
     assert_eq!(third.get(&id(17)).expect("it goes on").outstanding, 1);
     assert!(!third.is_usable(&id(17), Terms::ANY, at(10)));
     other.replace(list, doubt, at(10));
     assert!(!other.is_usable(&id(17), Terms::ANY, at(10)), "not kept as one that vanished");
-    assert!(other.get(&id(17)).is_some_and(|b| b.missing.is_none()), "and not gone");
+    assert!(other.get(&id(17)).is_some_and(|b| b.missing_until.is_none()), "and not gone");
     other.expire(at(20_000));
     assert!(other.get(&id(17)).is_some());
 
@@ -230,7 +232,7 @@
     assert!(fleet.is_usable(&id(17), Terms::ANY, at(20)));
     assert_eq!(fleet.count_unreadable(), 0);
 
-    other.vanish(&name, doubt, at(0));
+    other.remove(&name, doubt, at(0));
     assert!(other.get(&id(17)).is_none(), "its end is no doubt's matter");
     assert_eq!(other.count_unreadable(), 0);
 }
@@ -238,9 +240,9 @@
 #[test]
 fn a_missing_target_whose_entry_comes_back_unreadable_gets_nothing_new() {
     let mut fleet = fleet(vec![entry(17, 5)]);
-    fleet.vanish(&"t".into(), Some(at(9000)), at(0));
+    fleet.remove(&"t".into(), Some(at(9000)), at(0));
     assert!(fleet.is_usable(&id(17), Terms::ANY, at(10)), "most likely it lives");
-    fleet.unreadable(&"t".into());
+    fleet.mark_unreadable(&"t".into());
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(10)));
 }
 
--- a/crates/decide/tests/rollout_cost.rs
+++ b/crates/decide/tests/rollout_cost.rs
@@ -22,7 +22,7 @@
     fleet.versions_mut().take(Rollouts { at: 10, ..Rollouts::default() }, at(0));
     let each = || {
         let all = fleet.of_service("engine");
-        all.filter(|b| fleet.bars(b, Terms::ANY, at(1)).is_none()).count()
+        all.filter(|b| fleet.exclusion(b, Terms::ANY, at(1)).is_none()).count()
     };
     let once = || fleet.usable("engine", Terms::ANY, at(1)).count();
     let ways: [(&str, &dyn Fn() -> usize); 2] = [("each target", &each), ("once", &once)];
--- a/crates/decide/tests/rollout_versions.rs
+++ b/crates/decide/tests/rollout_versions.rs
@@ -459,7 +459,7 @@
         fleet.usable("engine", Terms::ANY, at(0)).map(|b| b.target.id.name.clone()).collect()
     };
     assert_eq!(usable(&fleet), ["t1".into()]);
-    fleet.vanish(&"t1".into(), None, at(0));
+    fleet.remove(&"t1".into(), None, at(0));
     assert_eq!(usable(&fleet), ["t2".into()], "the only one left");
     fleet.upsert(target("t1", "v1", 20), at(0));
     assert_eq!(usable(&fleet), ["t2".into()], "the other one is news now");
@@ -512,7 +512,7 @@
             let terms = Terms { side, ..Terms::ANY };
             let usable = fleet.usable("engine", terms, at(1)).map(|b| &b.target.id);
             let all = fleet.of_service("engine");
-            let free = all.filter(|b| fleet.bars(b, terms, at(1)).is_none()).map(|b| &b.target.id);
+            let free = all.filter(|b| fleet.exclusion(b, terms, at(1)).is_none()).map(|b| &b.target.id);
             prop_assert_eq!(usable.collect::<Vec<_>>(), free.collect::<Vec<_>>());
         }
     }
--- a/crates/decide/tests/support/fleet.rs
+++ b/crates/decide/tests/support/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::sync::LazyLock;
 
-use decide::fleet::{ColdStarts, Regions, Terms, Wanted};
+use decide::fleet::{ColdStarts, PickCriteria, Regions, Terms};
 use decide::region::Map;
 use model::Time;
 use model::forward::{Target, TargetId};
@@ -34,18 +34,18 @@
 }
 
 /// What a request to a warm engine asks for; it was sent to these before.
-pub fn wanted<'a>(but: &'a [TargetId]) -> Wanted<'a> {
-    Wanted {
+pub fn wanted<'a>(but: &'a [TargetId]) -> PickCriteria<'a> {
+    PickCriteria {
         service: "engine",
         terms: Terms::ANY,
         domain: "a",
         map: one_region(),
-        region: None,
-        but,
-        most_each: 100,
+        home_region: None,
+        exclude: but,
+        max_per_target: 100,
         shares: &[],
-        limit: None,
+        cold_limit: None,
         may_repeat: true,
-        cold: ColdStarts::Avoid,
+        cold_starts: ColdStarts::Avoid,
     }
 }
--- a/crates/forward/src/crossed.rs
+++ b/crates/forward/src/crossed.rs
@@ -120,7 +120,7 @@
 
 /// Whether there is another region: where there is none, messages are not looked at.
 fn anything_crosses(node: &Node) -> bool {
-    node.fleet(|f| f.regions().are_several())
+    node.fleet(|f| f.regions().is_multi_region())
 }
 
 /// Targets fetch results that rest at others.
--- a/crates/forward/src/heard.rs
+++ b/crates/forward/src/heard.rs
@@ -18,22 +18,22 @@
     node.note_load(target, said.load);
     take_notice(node, target, said.notice);
     if !said.not_run {
-        node.fleet(|f| f.took(&target.id, sent));
+        node.fleet(|f| f.note_accepted(&target.id, sent));
     }
 }
 
 /// Takes what a target's answer says of further requests.
 pub fn take_notice(node: &Node, target: &Target, said: Notice) {
     let now = node.now();
-    for change in node.fleet(|f| f.hear_notice(&target.id, said, now)) {
+    for change in node.fleet(|f| f.record_notice(&target.id, said, now)) {
         tell(target, change);
     }
 }
 
 fn tell(target: &Target, change: NoticeChange) {
     let (what, for_ms) = match change {
-        NoticeChange::Leaves => ("leaving", None),
-        NoticeChange::Rests(time) => ("retry_after", Some(time.as_millis() as u64)),
+        NoticeChange::Draining => ("leaving", None),
+        NoticeChange::BackedOff(time) => ("retry_after", Some(time.as_millis() as u64)),
         NoticeChange::Unreadable => ("unreadable", None),
     };
     Event::Notice { target: &target.id.name, service: &target.service, what, for_ms }.emit();
@@ -44,9 +44,9 @@
     let (now, id) = (node.now(), &target.id);
     let (limited, leaves, rests) = node.fleet(|f| {
         let notices = f.notices();
-        let rests = notices.rests_until(id, now).is_some();
-        let told = (f.limits().get(id).is_some(), notices.leaves(id), rests);
-        f.goes_to(id, now);
+        let rests = notices.backoff_until(id, now).is_some();
+        let told = (f.limits().get(id).is_some(), notices.is_draining(id), rests);
+        f.note_attempt(id, now);
         told
     });
     if limited {
--- a/crates/forward/src/limits/ask.rs
+++ b/crates/forward/src/limits/ask.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decide::permit::{Grant, Word};
+use decide::permit::{Grant, LimitObservation};
 use model::Time;
 use model::forward::{PermitAnswer, PermitAsk, Target};
 use model::member::Node as PeerNode;
@@ -50,14 +50,14 @@
     id: impl FnOnce() -> String,
 ) -> Option<Permit> {
     let begun = node.now();
-    let Some(word) = node.fleet(|f| f.limits_mut().asks(&target.id, begun)) else {
+    let Some(word) = node.fleet(|f| f.limits_mut().request_permit(&target.id, begun)) else {
         return Some(Permit { until: Time::NEVER });
     };
     let (keeper, grant) = ask_keeper(node, target, count, word).await;
     let now = node.now();
     let (outcome, after) = match grant {
         Ok(Grant::Now) => ("granted", None),
-        Ok(Grant::Free) => ("free", None),
+        Ok(Grant::Unlimited) => ("free", None),
         Ok(Grant::Later(after)) => ("later", Some(after)),
         Err(why) => (why, Some(UNSETTLED)),
     };
@@ -68,7 +68,7 @@
         outcome,
         count,
         per_s: word.per_s.unwrap_or_default(),
-        word_age_ms: begun.since(word.came).as_millis() as u64,
+        word_age_ms: begun.since(word.received_at).as_millis() as u64,
         after_ms: after.map(|a| a.as_millis() as u64),
         took_ms: now.since(begun).as_millis() as u64,
     }
@@ -85,7 +85,7 @@
     node: &Rc<Node>,
     target: &Target,
     count: u32,
-    word: Word,
+    word: LimitObservation,
 ) -> (Option<PeerNode>, Result<Grant, &'static str>) {
     loop {
         let ask = PermitAsk {
@@ -93,7 +93,7 @@
             target: target.id.clone(),
             domain: target.domain.clone(),
             count,
-            word: word.told(node.now()),
+            word: word.to_peer(node.now()),
             strangers: node.limits.strangers(STRANGERS),
         };
         match node.limits.keeper(node, &target.id, &target.domain) {
@@ -126,22 +126,22 @@
     }
     let PermitAnswer { granted, after_ms, word } =
         answer.inspect_err(|e| log::debug!("permit: {e}"))?;
-    learn(node, &ask.target, Word::heard(&word, now), &peer.id.name);
+    learn(node, &ask.target, LimitObservation::from_peer(&word, now), &peer.id.name);
     Ok(match (word.per_s, granted) {
-        (None, _) => Grant::Free,
+        (None, _) => Grant::Unlimited,
         (Some(_), true) => Grant::Now,
         (Some(_), false) => Grant::Later(Duration::from_millis(after_ms)),
     })
 }
 
 /// What a target's keeper gives out, and the last that it knows of the limit.
-fn grant(node: &Rc<Node>, ask: &PermitAsk) -> (Grant, Word) {
+fn grant(node: &Rc<Node>, ask: &PermitAsk) -> (Grant, LimitObservation) {
     let PermitAsk { from, target, domain, count, word, .. } = ask;
     let now = node.now();
-    let word = Word::heard(word, now);
+    let word = LimitObservation::from_peer(word, now);
     spread::keep(node, target, domain, word);
-    let grant = node.limits.book(|b| b.ask(target, from, *count, now));
-    let known = node.limits.book(|b| b.word(target)).unwrap_or(word);
+    let grant = node.limits.book(|b| b.request(target, from, *count, now));
+    let known = node.limits.book(|b| b.observation(target)).unwrap_or(word);
     learn(node, target, known, "keeper");
     (grant, known)
 }
@@ -154,9 +154,9 @@
     }
     let (grant, known) = grant(node, ask);
     let (granted, after) = match grant {
-        Grant::Now | Grant::Free => (true, Duration::ZERO),
+        Grant::Now | Grant::Unlimited => (true, Duration::ZERO),
         Grant::Later(after) => (false, after),
     };
-    let word = known.told(node.now());
+    let word = known.to_peer(node.now());
     Some(PermitAnswer { granted, after_ms: after.as_millis() as u64, word })
 }
--- a/crates/forward/src/limits/mod.rs
+++ b/crates/forward/src/limits/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decide::permit::{Book, LimitChange, Returns, Word};
+use decide::permit::{LimitChange, LimitObservation, PermitIssuer, RetryPacer};
 use model::forward::{NamedLimit, Target, TargetId};
 use model::member::{Node as PeerNode, NodeId};
 use model::{Name, Time};
@@ -27,18 +27,18 @@
 /// Limits that targets name, as this node keeps and follows them.
 #[derive(Default)]
 pub struct LocalLimits {
-    book: RefCell<Book>,
+    book: RefCell<PermitIssuer>,
     /// Peers whose build keeps no limits.
     strangers: RefCell<HashSet<NodeId>>,
     /// Keepers that did not answer.
     resting: Resting,
-    returns: RefCell<HashMap<Name, Returns>>,
+    returns: RefCell<HashMap<Name, RetryPacer>>,
     unsent: spread::Unsent,
 }
 
 impl LocalLimits {
     /// Uses what this node gives out for a moment.
-    fn book<T>(&self, f: impl FnOnce(&mut Book) -> T) -> T {
+    fn book<T>(&self, f: impl FnOnce(&mut PermitIssuer) -> T) -> T {
         f(&mut self.book.borrow_mut())
     }
 
@@ -83,10 +83,10 @@
     pub fn come_back(&self, node: &Node, service: &Name, targets: &[TargetId]) -> Option<Duration> {
         let now = node.now();
         let (soonest, pace) = node.fleet(|f| {
-            let closed = targets.iter().map(|id| f.limits().closed(id));
+            let closed = targets.iter().map(|id| f.limits().closed_until(id));
             let soonest = closed.collect::<Option<Vec<Time>>>()?.into_iter().min()?;
             let limits = targets.iter().filter_map(|id| f.limits().get(id));
-            Some((soonest.since(now), limits.map(decide::permit::pace_of).sum::<f64>()))
+            Some((soonest.since(now), limits.map(decide::permit::issue_rate).sum::<f64>()))
         })?;
         let nodes = node.peers.roster(|r| r.count());
         let mut returns = self.returns.borrow_mut();
@@ -102,7 +102,7 @@
 /// Takes what an answer says of its target's limit; the request was sent at `sent`.
 pub fn hear(node: &Rc<Node>, target: &Target, said: NamedLimit, sent: Time) {
     let now = node.now();
-    let Some(change) = node.fleet(|f| f.hear_limit(&target.id, said, sent, now)) else {
+    let Some(change) = node.fleet(|f| f.record_limit(&target.id, said, sent, now)) else {
         return;
     };
     tell(target, "answer", change);
@@ -111,12 +111,12 @@
         LimitChange::Ended => None,
         LimitChange::Unreadable => return,
     };
-    spread::tell_keeper(node, target, Word { per_s, sent, came: now });
+    spread::tell_keeper(node, target, LimitObservation { per_s, sent_at: sent, received_at: now });
 }
 
 /// Takes what a peer tells of a limit.
-fn learn(node: &Node, target: &TargetId, word: Word, from: &str) {
-    let Some(change) = node.fleet(|f| f.learn_limit(target, word)) else {
+fn learn(node: &Node, target: &TargetId, word: LimitObservation, from: &str) {
+    let Some(change) = node.fleet(|f| f.merge_peer_limit(target, word)) else {
         return;
     };
     if let Some(known) = node.fleet(|f| f.get(target).map(|b| b.target.clone())) {
--- a/crates/forward/src/limits/spread.rs
+++ b/crates/forward/src/limits/spread.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decide::permit::{TRANSIT, Word};
+use decide::permit::{LimitObservation, MAX_TRANSIT};
 use model::Name;
 use model::forward::{LimitNews, Target, TargetId, TargetLimit};
 use model::member::Node as PeerNode;
@@ -41,7 +41,7 @@
         let known: Vec<_> = peers.into_iter().filter(|p| !node.limits.is_stranger(&p.id)).collect();
         let news = LimitNews { limits, spread: false };
         let each = |peer: &PeerNode, told| note(&node, peer, told);
-        peers::tell_many::<_, ()>(&node, &known, LIMITS, &news, TRANSIT, each).await;
+        peers::tell_many::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, each).await;
         tokio::time::sleep(APART).await;
     }
 }
@@ -50,7 +50,7 @@
     let targets = std::mem::take(&mut *node.limits.unsent.targets.borrow_mut());
     let now = node.now();
     let limit = |(target, domain): (TargetId, Name)| {
-        let word = node.limits.book(|b| b.word(&target))?.told(now);
+        let word = node.limits.book(|b| b.observation(&target))?.to_peer(now);
         Some(TargetLimit { target, domain, word })
     };
     targets.into_iter().filter_map(limit).collect()
@@ -73,7 +73,7 @@
 }
 
 /// Tells a target's keeper what an answer said.
-pub(super) fn tell_keeper(node: &Rc<Node>, target: &Target, word: Word) {
+pub(super) fn tell_keeper(node: &Rc<Node>, target: &Target, word: LimitObservation) {
     let (id, domain) = (target.id.clone(), target.domain.clone());
     match node.limits.keeper(node, &id, &domain) {
         None => {}
@@ -81,11 +81,11 @@
         Some(Some(peer)) => {
             let node = node.clone();
             tokio::task::spawn_local(async move {
-                let limit = TargetLimit { target: id, domain, word: word.told(node.now()) };
+                let limit = TargetLimit { target: id, domain, word: word.to_peer(node.now()) };
                 let news = LimitNews { limits: vec![limit], spread: true };
                 let client = &node.client;
                 // What does not arrive is told with the next ask.
-                let told = peers::tell(&node, client, peer.entry, LIMITS, &news, TRANSIT).await;
+                let told = peers::tell(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
                 note(&node, &peer, told);
             });
         }
@@ -93,9 +93,9 @@
 }
 
 /// Takes a word as a target's keeper.
-pub(super) fn keep(node: &Node, target: &TargetId, domain: &Name, word: Word) {
+pub(super) fn keep(node: &Node, target: &TargetId, domain: &Name, word: LimitObservation) {
     let now = node.now();
-    if node.limits.book(|b| b.learn(target, word, now)) {
+    if node.limits.book(|b| b.merge(target, word, now)) {
         tell_all(node, target, domain);
     }
 }
@@ -104,7 +104,7 @@
 pub fn take(node: &Node, news: LimitNews) {
     let now = node.now();
     for TargetLimit { target, domain, word } in news.limits {
-        let word = Word::heard(&word, now);
+        let word = LimitObservation::from_peer(&word, now);
         let from = if news.spread { "witness" } else { "peer" };
         learn(node, &target, word, from);
         if news.spread {
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -7,7 +7,7 @@
 
 use decide::fleet::{ColdLimit, Fleet, Observation, Regions};
 use decide::forecast::Forecast;
-use decide::relay::{self, Doubt};
+use decide::relay::{self, OutageGrace};
 use decide::resend::RepeatBudget;
 use decide::rng::Rng;
 use model::forward::{QueueId, ReportedLoad, Rollout, Rules, Target, TargetId, Waits};
@@ -69,7 +69,7 @@
     budgets: RefCell<HashMap<Name, RepeatBudget>>,
     forecast: RefCell<Forecast>,
     rng: RefCell<Rng>,
-    doubt: RefCell<Doubt>,
+    doubt: RefCell<OutageGrace>,
     targets_known: Cell<bool>,
     /// Latest epoch of the store that was heard of.
     epoch: Cell<Option<u64>>,
@@ -158,7 +158,7 @@
     fn unserved(&self) -> Vec<Name> {
         let fleet = self.fleet.borrow();
         let table = self.table.borrow();
-        let lost = table.regional().filter(|(_, allowed)| !fleet.regions().reach(allowed));
+        let lost = table.regional().filter(|(_, allowed)| !fleet.regions().any_allowed(allowed));
         lost.map(|(name, _)| name.clone()).collect()
     }
 
@@ -295,23 +295,23 @@
     /// The store answered.
     pub fn store_answered(&self) {
         let now = self.now();
-        self.doubt(|d| d.answered(now));
+        self.doubt(|d| d.store_answered(now));
     }
 
     /// Returns once the store answers this node, as far as the last call of any kind tells.
     pub async fn store_reached(&self) {
-        while self.doubt(|d| d.is_lost()) {
+        while self.doubt(|d| d.is_store_down()) {
             tokio::time::sleep(STORE_LOOK).await;
         }
     }
 
     /// The store did not answer.
     pub fn store_lost(&self) {
-        self.doubt(Doubt::lost);
+        self.doubt(OutageGrace::store_failed);
     }
 
     /// Uses what is known of outages of the store for a moment.
-    pub fn doubt<T>(&self, f: impl FnOnce(&mut Doubt) -> T) -> T {
+    pub fn doubt<T>(&self, f: impl FnOnce(&mut OutageGrace) -> T) -> T {
         f(&mut self.doubt.borrow_mut())
     }
 
@@ -370,7 +370,7 @@
 
     /// Returns once rules and targets are known, or are not to be waited for.
     pub async fn state_known(&self) {
-        let limit = self.now() + relay::wait_for_state(self.now().since(Time::ZERO));
+        let limit = self.now() + relay::startup_wait(self.now().since(Time::ZERO));
         while !self.knows_state() && self.now() < limit {
             tokio::time::sleep(STATE_LOOK).await;
         }
--- a/crates/forward/src/paths.rs
+++ b/crates/forward/src/paths.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use decide::fleet::Belief;
+use decide::fleet::TargetState;
 use decide::region::Map;
 use model::Name;
 use model::forward::{Allowed, PoolId, QueueId, Route, Stage};
@@ -60,8 +60,8 @@
 
     /// Regions with makers of a service that may be used.
     pub fn able_regions(&self, map: &Map, service: &str, allowed: &Allowed) -> BTreeSet<Name> {
-        let region = |b: &Belief| map.region_of(&b.target.domain);
-        self.fleet(|f| f.usable_in(service, allowed, self.now()).map(region).collect())
+        let region = |b: &TargetState| map.region_of(&b.target.domain);
+        self.fleet(|f| f.eligible_in(service, allowed, self.now()).map(region).collect())
     }
 
     /// The region whose makers are to make an order, of those that have any.
--- a/crates/forward/src/prefill/mod.rs
+++ b/crates/forward/src/prefill/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decide::fleet::{ColdStarts, Home, Terms, Wanted};
+use decide::fleet::{ColdStarts, Home, PickCriteria, Terms};
 use decide::prefill::Scheduler;
 use model::forward::{Allowed, PrefillAnswer, PrefillAsk, PrefillEnd, Side, Target, TargetId};
 use model::member::Node as PeerNode;
@@ -44,22 +44,22 @@
     pub fn place(&self, node: &Node, ask: &PrefillAsk) -> PrefillAnswer {
         let now = node.now();
         let map = node.peers.roster(|r| r.map());
-        let wanted = Wanted {
+        let wanted = PickCriteria {
             service: &ask.service,
             domain: &ask.domain,
             map: &map,
-            region: None,
+            home_region: None,
             terms: Terms { allowed: &ask.allowed, side: ask.side },
-            but: &ask.but,
-            most_each: u32::MAX,
+            exclude: &ask.but,
+            max_per_target: u32::MAX,
             shares: &[],
-            limit: node.cold_limit(&ask.service),
+            cold_limit: node.cold_limit(&ask.service),
             // Cold engines are left to the nodes that own them.
-            cold: ColdStarts::Avoid,
+            cold_starts: ColdStarts::Avoid,
             may_repeat: true,
         };
-        let home = Home { key: ask.home, shared: ask.shared };
-        let order = node.fleet(|f| f.near_homes(wanted, home, now));
+        let home = Home { key: ask.home, shared_tokens: ask.shared };
+        let order = node.fleet(|f| f.local_homes(wanted, home, now));
         let group = (ask.service.clone(), ask.domain.clone());
         let mut own = self.own.borrow_mut();
         // At the first start of all no engine keeps anything that was not placed since.
@@ -146,7 +146,7 @@
 /// short, no scheduler answers, or it knows no engine that may.
 pub async fn schedule(node: &Rc<Node>, first: &Target, prompt: Prompt) -> Option<Scheduled> {
     let Prompt { attempt, allowed, side, home, tokens, slack_ms, but } = prompt;
-    let Home { key: home, shared } = home;
+    let Home { key: home, shared_tokens: shared } = home;
     if tokens < LONG {
         return None;
     }
--- a/crates/forward/src/quarantine/ends.rs
+++ b/crates/forward/src/quarantine/ends.rs
@@ -57,7 +57,7 @@
             return;
         }
         let presence = node.fleet(|f| f.presence(&target.id));
-        if matches!(presence, Presence::Leaving | Presence::Gone) {
+        if matches!(presence, Presence::Draining | Presence::Removed) {
             // It was known to leave before the connection broke.
             return;
         }
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decide::fleet::{Belief, Terms};
+use decide::fleet::{TargetState, Terms};
 use decide::rollout::{Bounds, Judge, JudgeAction, JudgeEvent};
 use model::Time;
 use model::forward::{
@@ -153,7 +153,7 @@
     let now = node.now();
     let count = |side| {
         node.fleet(|f| {
-            let is_warm = |b: &&Belief| limit.is_none_or(|l| !f.is_cold(b, l, now));
+            let is_warm = |b: &&TargetState| limit.is_none_or(|l| !f.is_cold(b, l, now));
             let terms = Terms { allowed: &Allowed::ANY, side };
             let sound = f.usable(&service, terms, now).filter(|b| !b.is_ejected(now));
             sound.filter(is_warm).count()
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use decide::fleet::{Barred, ColdStarts, Home, Terms, Wanted, shares};
+use decide::fleet::{ColdStarts, Exclusion, Home, PickCriteria, Terms, shares};
 use decide::region::Map;
 use decide::resend::Next;
 use model::forward::{Allowed, LARGE_RESULT, Phase, Side, Target, TargetId};
@@ -58,24 +58,24 @@
         let shares = self.home_shares(&allowed, now);
         let map = self.node.peers.roster(|r| r.map());
         let region = self.home_region(&map);
-        let wanted = Wanted {
+        let wanted = PickCriteria {
             service: &self.service,
             domain: &settings.domain,
             map: &map,
-            region: region.as_ref(),
+            home_region: region.as_ref(),
             terms: self.terms(&allowed),
-            but: &but,
-            most_each: self.connections_each(),
+            exclude: &but,
+            max_per_target: self.connections_each(),
             shares: &shares,
-            limit: self.node.cold_limit(&self.service),
-            cold: ColdStarts::InTurn(&owns),
+            cold_limit: self.node.cold_limit(&self.service),
+            cold_starts: ColdStarts::InTurn(&owns),
             may_repeat: self.route.repeat.may_repeat() && self.route.max_attempts > 1,
         };
         let chosen = match self.home() {
             Some(home) => self.node.fleet(|f| f.pick_home(wanted, home, now)),
             None => self.node.fleet(|f| self.node.rng(|r| f.pick_plain(wanted, now, r))),
         }?;
-        self.node.fleet(|f| f.chosen(&chosen.id, now));
+        self.node.fleet(|f| f.note_chosen(&chosen.id, now));
         Some(chosen)
     }
 
@@ -107,7 +107,7 @@
     /// Whether the rules in force allow the request where a target is.
     pub(super) fn is_allowed_at(&self, target: &TargetId) -> bool {
         let allowed = self.allowed_now();
-        self.node.fleet(|f| f.is_allowed_at(target, &allowed))
+        self.node.fleet(|f| f.is_in_allowed_region(target, &allowed))
     }
 
     /// Why the request may not go to a target any more that was chosen before its inputs were
@@ -117,7 +117,7 @@
         let allowed = self.allowed_now();
         let terms = self.terms(&allowed);
         self.node.fleet(|f| match f.get(target) {
-            Some(belief) => f.bars(belief, terms, now).map(Barred::as_str),
+            Some(belief) => f.exclusion(belief, terms, now).map(Exclusion::as_str),
             None => Some("gone"),
         })
     }
@@ -125,7 +125,7 @@
     /// Whether all results rest where the rules in force allow them.
     pub(super) fn is_inside(&self, made: &Made) -> bool {
         let allowed = self.allowed_now();
-        self.node.fleet(|f| made.makers().all(|maker| f.is_allowed_at(maker, &allowed)))
+        self.node.fleet(|f| made.makers().all(|maker| f.is_in_allowed_region(maker, &allowed)))
     }
 
     /// The first service, of those that the request needs, without any target in the regions
@@ -137,7 +137,7 @@
         }
         let now = self.node.now();
         let has_none = |service: &Name| {
-            self.node.fleet(|f| f.usable_in(service, &allowed, now).next().is_none())
+            self.node.fleet(|f| f.eligible_in(service, &allowed, now).next().is_none())
         };
         let pieces_of = |i: usize| self.head.pieces.get(i).copied().unwrap_or(0);
         let stages = self.route.stages.iter().enumerate().filter(|(i, _)| pieces_of(*i) > 0);
@@ -149,7 +149,7 @@
     /// come back.
     pub(super) fn is_reachable(&self) -> bool {
         let allowed = self.allowed_now();
-        self.node.fleet(|f| f.regions().reach(&allowed))
+        self.node.fleet(|f| f.regions().any_allowed(&allowed))
     }
 
     /// The version that the request goes to now. While one is on trial a request goes to it once
@@ -315,7 +315,7 @@
     fn start(&self, target: &Target) {
         if let Some(limit) = self.node.cold_limit(&self.service) {
             let now = self.node.now();
-            self.node.fleet(|f| f.start(&target.id, limit, now));
+            self.node.fleet(|f| f.note_cold_start(&target.id, limit, now));
         }
     }
 
@@ -348,8 +348,8 @@
         self.node.fleet(|f| {
             let limited = f.limits().named().map(|(id, _)| id);
             but.extend(limited.filter(|id| f.limits().is_closed(id, now)).cloned());
-            let told = f.notices().leaving().chain(f.notices().resting(now));
-            but.extend(told.filter(|id| f.is_of(id, &self.service)).cloned());
+            let told = f.notices().draining().chain(f.notices().backed_off(now));
+            but.extend(told.filter(|id| f.belongs_to(id, &self.service)).cloned());
         });
         but
     }
@@ -359,8 +359,8 @@
         let now = self.node.now();
         let allowed = self.allowed_now();
         let targets: Vec<TargetId> = self.node.fleet(|f| {
-            let rests = |id: &TargetId| f.notices().rests_until(id, now).is_some();
-            let ids = f.usable_in(&self.service, &allowed, now).map(|b| &b.target.id);
+            let rests = |id: &TargetId| f.notices().backoff_until(id, now).is_some();
+            let ids = f.eligible_in(&self.service, &allowed, now).map(|b| &b.target.id);
             ids.filter(|id| !rests(id)).cloned().collect()
         });
         self.node.limits.come_back(&self.node, &self.service, &targets)
@@ -371,7 +371,7 @@
     pub(super) fn rest_wait(&self) -> Option<Duration> {
         let now = self.node.now();
         let allowed = self.allowed_now();
-        let left = self.node.fleet(|f| f.rest_left(&self.service, &allowed, now))?;
+        let left = self.node.fleet(|f| f.backoff_left(&self.service, &allowed, now))?;
         Some(left + self.node.rng(|r| r.jitter(COME_BACK)))
     }
 
@@ -403,8 +403,8 @@
         };
         let now = self.node.now();
         let notice = self.node.fleet(|f| match f.notices() {
-            notices if notices.leaves(&target.id) => "leaving",
-            notices if notices.rests_until(&target.id, now).is_some() => "retry_after",
+            notices if notices.is_draining(&target.id) => "leaving",
+            notices if notices.backoff_until(&target.id, now).is_some() => "retry_after",
             _ => "",
         });
         Event::Chosen {
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -59,7 +59,7 @@
 
 impl AtTarget {
     fn new(node: &Rc<Node>, target: &Target, tokens: u64, ticket: Option<Ticket>) -> Self {
-        node.fleet(|f| f.sent(&target.id, tokens));
+        node.fleet(|f| f.request_sent(&target.id, tokens));
         let (node, target) = (node.clone(), target.clone());
         AtTarget { node, target, unread: tokens, ticket, sent: None }
     }
@@ -88,14 +88,14 @@
 
     fn forget_prompt(&mut self) {
         let tokens = std::mem::take(&mut self.unread);
-        self.node.fleet(|f| f.read(&self.target.id, tokens));
+        self.node.fleet(|f| f.prompt_read(&self.target.id, tokens));
     }
 }
 
 impl Drop for AtTarget {
     fn drop(&mut self) {
         self.forget_prompt();
-        self.node.fleet(|f| f.done(&self.target.id));
+        self.node.fleet(|f| f.request_done(&self.target.id));
     }
 }
 
@@ -284,7 +284,7 @@
     fn broke_off(&self, why: String) -> Outcome {
         self.exchange.broke_off_at(self.target);
         self.exchange.progress(|p| p.tries.note(Ran::Maybe));
-        self.nothing(Observation::BrokeOff, why)
+        self.nothing(Observation::Interrupted, why)
     }
 
     /// The request surely did not run there.
--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use decide::batch::{Call, CallEnd};
 use decide::fleet::Observation;
-use decide::permit::LIMITED_CALL;
+use decide::permit::MAX_LIMITED_PIECES;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Request, header};
 use model::Time;
@@ -80,15 +80,15 @@
                 let from = Asked { target: &target, begun, took: node.now().since(begun) };
                 read_answer(node, from, answer, sent.as_ref()).await
             }
-            Err(e) => (CallEnd::Failed, Observation::BrokeOff, e.to_string()),
+            Err(e) => (CallEnd::Failed, Observation::Interrupted, e.to_string()),
         }
     };
     // The time holds for the whole answer: a maker may stall within it.
-    let too_long = || (CallEnd::Failed, Observation::BrokeOff, "call took too long".to_string());
+    let too_long = || (CallEnd::Failed, Observation::Interrupted, "call took too long".to_string());
     let ended = tokio::time::timeout(timeout, work).await;
     let (end, observed, why) = ended.unwrap_or_else(|_| too_long());
     match observed {
-        Observation::BrokeOff => node.quarantine.call_broke_off(node, &target, &call.pieces),
+        Observation::Interrupted => node.quarantine.call_broke_off(node, &target, &call.pieces),
         Observation::Replaced => node.quarantine.seen_ended(&target, "replaced"),
         _ => {}
     }
@@ -110,7 +110,7 @@
 /// made large since all makers name one.
 fn counted(call: &Call) -> u32 {
     let pieces = call.pieces.len() as u32;
-    if pieces <= LIMITED_CALL { pieces } else { 1 }
+    if pieces <= MAX_LIMITED_PIECES { pieces } else { 1 }
 }
 
 /// What names a call where attempts have their ids.
@@ -149,14 +149,14 @@
 
 impl AtMaker {
     fn new(node: &Rc<Node>, id: &TargetId) -> Self {
-        node.fleet(|f| f.sent(id, 0));
+        node.fleet(|f| f.request_sent(id, 0));
         AtMaker { node: node.clone(), id: id.clone() }
     }
 }
 
 impl Drop for AtMaker {
     fn drop(&mut self) {
-        self.node.fleet(|f| f.done(&self.id));
+        self.node.fleet(|f| f.request_done(&self.id));
     }
 }
 
@@ -197,7 +197,7 @@
     }
     let body = match Limited::new(body, ANSWER_MAX).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(e) => return (CallEnd::Failed, Observation::BrokeOff, e.to_string()),
+        Err(e) => return (CallEnd::Failed, Observation::Interrupted, e.to_string()),
     };
     match node.dialect.stage_answer(&target.id, &body) {
         Ok(results) => (CallEnd::Answered(results), Observation::Answered(took), String::new()),
--- a/crates/forward/src/stages/free.rs
+++ b/crates/forward/src/stages/free.rs
@@ -81,7 +81,7 @@
 
 async fn free_at_maker(node: &Rc<Node>, maker: &TargetId, handles: &[Handle]) {
     // It wants nothing meanwhile, and what is not freed runs out there.
-    while let Some(until) = node.fleet(|f| f.notices().rests_until(maker, node.now())) {
+    while let Some(until) = node.fleet(|f| f.notices().backoff_until(maker, node.now())) {
         node.clock.sleep_until(until).await;
     }
     let Some(target) = node.fleet(|f| f.get(maker).map(|b| b.target.clone())) else {
--- a/crates/forward/src/stages/made.rs
+++ b/crates/forward/src/stages/made.rs
@@ -87,7 +87,7 @@
     /// what it knows.
     pub(super) fn is_inside(&self, stage: usize, allowed: &Allowed) -> bool {
         let mut makers = self.kept[stage].handles.iter().map(|h| &h.maker);
-        self.node.fleet(|f| makers.all(|maker| f.is_allowed_at(maker, allowed)))
+        self.node.fleet(|f| makers.all(|maker| f.is_in_allowed_region(maker, allowed)))
     }
 
     /// Targets at which results rest.
--- a/crates/forward/src/watch/ages.rs
+++ b/crates/forward/src/watch/ages.rs
@@ -48,7 +48,7 @@
     /// Age of a kind if it has become old, or has been confirmed after that, since the last look.
     pub fn turn(&self, kind: Kind, now: Time) -> Option<(bool, Age)> {
         let age = self.age(kind, now)?;
-        let is_old = age.now >= waits::OLD_FROM;
+        let is_old = age.now >= waits::STALE_AFTER;
         let was_old = self.of(kind).is_old.replace(is_old);
         (is_old != was_old).then_some((is_old, age))
     }
--- a/crates/forward/src/watch/evacuations.rs
+++ b/crates/forward/src/watch/evacuations.rs
@@ -18,9 +18,9 @@
 
     fn entry(change: Change) -> Option<(Name, Entry<()>)> {
         match change {
-            Change::Evacuated(domain) => Some((domain, Entry::Now(()))),
+            Change::Evacuated(domain) => Some((domain, Entry::Present(()))),
             Change::Unreadable(domain) => Some((domain, Entry::Unreadable)),
-            Change::Gone(domain) => Some((domain, Entry::Gone)),
+            Change::Gone(domain) => Some((domain, Entry::Removed)),
             Change::Rules(_) | Change::Target(_) | Change::Rollout(_) | Change::Held(_) => None,
         }
     }
@@ -48,7 +48,7 @@
     let now = node.now();
     let revision = list.at;
     let was_known = node.fleet(|f| f.evacuated().is_known());
-    let changes = node.fleet(|f| f.evacuate(list, now));
+    let changes = node.fleet(|f| f.set_evacuations(list, now));
     for change in &changes {
         let (domain, state) = match change {
             EvacuationChange::Began(domain) => (domain, "began"),
--- a/crates/forward/src/watch/lists.rs
+++ b/crates/forward/src/watch/lists.rs
@@ -47,7 +47,7 @@
     let mut list = List::default();
     let mut backoff = Backoff::default();
     loop {
-        tokio::time::sleep(waits::GATHER).await;
+        tokio::time::sleep(waits::COALESCE_TIME).await;
         node.feed.reads_store().await;
         match read::<L>(&node, &mut reader, list.at()).await {
             // An object that is not known may bind: nothing is in force by half of a list.
@@ -72,8 +72,9 @@
     reader: &mut Reader,
     at: Option<u64>,
 ) -> Result<Step, ReadError> {
-    let is_old = node.feed.age_of(L::KIND, node.now()).is_some_and(|a| a.now > waits::SLOW_WATCH);
-    let wait = if is_old { AT_ONCE } else { waits::SLOW_WATCH };
+    let is_old =
+        node.feed.age_of(L::KIND, node.now()).is_some_and(|a| a.now > waits::RULES_WATCH_WAIT);
+    let wait = if is_old { AT_ONCE } else { waits::RULES_WATCH_WAIT };
     tokio::select! {
         read = reader.read(at, wait) => return read,
         () = is_needed::<L>(node, at) => {}
@@ -100,10 +101,10 @@
     let entries = changes.into_iter().filter_map(L::entry);
     if whole {
         // Peers may have told of objects before this node read any itself.
-        list.know(L::known(node));
-        list.whole(at, entries);
+        list.set_objects(L::known(node));
+        list.replace(at, entries);
     } else {
-        list.change(at, entries);
+        list.apply(at, entries);
     }
     L::take(node, at, list);
     let now = node.now();
--- a/crates/forward/src/watch/rollouts.rs
+++ b/crates/forward/src/watch/rollouts.rs
@@ -33,9 +33,9 @@
 
     fn entry(change: Change) -> Option<(Name, Entry<Rollout>)> {
         match change {
-            Change::Rollout(order) => Some((order.service.clone(), Entry::Now(order))),
+            Change::Rollout(order) => Some((order.service.clone(), Entry::Present(order))),
             Change::Unreadable(service) => Some((service, Entry::Unreadable)),
-            Change::Gone(service) => Some((service, Entry::Gone)),
+            Change::Gone(service) => Some((service, Entry::Removed)),
             Change::Rules(_) | Change::Target(_) | Change::Evacuated(_) | Change::Held(_) => None,
         }
     }
--- a/crates/forward/src/watch/rules.rs
+++ b/crates/forward/src/watch/rules.rs
@@ -26,7 +26,7 @@
     loop {
         node.feed.reads_store().await;
         let own = relays(&node).role == Role::Relay;
-        match reader.read(at, waits::SLOW_WATCH).await {
+        match reader.read(at, waits::RULES_WATCH_WAIT).await {
             // The rules may be among what it did not bring.
             Ok(step) if step.cut => {
                 adopt(&node, step);
--- a/crates/forward/src/watch/store.rs
+++ b/crates/forward/src/watch/store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use decide::relay::{Place, Unreadable, waits};
+use decide::relay::{EntryKey, UnreadableEntries, waits};
 use model::Name;
 use util::http::{CallError, CallKind, Client};
 
@@ -101,7 +101,7 @@
     client: Client,
     kind: Kind,
     failed: bool,
-    unreadable: Unreadable,
+    unreadable: UnreadableEntries,
     /// Epoch of the state that changes are asked for of.
     epoch: Option<u64>,
 }
@@ -109,7 +109,7 @@
 impl Reader {
     /// A reader that has read nothing yet.
     pub fn new(node: Rc<Node>, kind: Kind) -> Self {
-        let unreadable = Unreadable::default();
+        let unreadable = UnreadableEntries::default();
         let client = Client::new(CONNECT);
         Reader { node, client, kind, failed: false, unreadable, epoch: None }
     }
@@ -171,20 +171,20 @@
         let now = self.node.now();
         for entry in &step.bad {
             let place = match &entry.name {
-                Some(name) => Place::Name(name.clone()),
-                None if step.whole => Place::Listed(entry.place.as_str().into()),
-                None => Place::Passing(entry.place.as_str().into()),
+                Some(name) => EntryKey::Name(name.clone()),
+                None if step.whole => EntryKey::ListIndex(entry.place.as_str().into()),
+                None => EntryKey::ChangeIndex(entry.place.as_str().into()),
             };
-            if let Some(untold) = self.unreadable.note(place, &entry.why.as_str().into(), now) {
+            if let Some(untold) = self.unreadable.record(place, &entry.why.as_str().into(), now) {
                 let (kind, place, why) = (self.kind.as_str(), &entry.place, &entry.why);
                 Event::Unreadable { kind, place, why, untold }.emit();
             }
         }
         for name in healed(&step.changes) {
-            self.unreadable.heal(name);
+            self.unreadable.clear(name);
         }
         if let Some(Change::Rules(_)) = step.changes.last() {
-            self.unreadable.heal_named();
+            self.unreadable.clear_named();
         }
         self.node.metrics.unreadable(self.kind.as_str(), self.unreadable.count());
     }
@@ -259,7 +259,7 @@
         match self.watch(at, wait, wait + waits::WATCH_SLACK).await {
             Err(e) if e.is_timeout() => {
                 self.client = Client::new(CONNECT);
-                self.watch(at, AT_ONCE, waits::ASK_AGAIN).await
+                self.watch(at, AT_ONCE, waits::RETRY_TIMEOUT).await
             }
             end => end,
         }
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use decide::fleet::still_true;
+use decide::fleet::drop_superseded;
 use decide::relay::{Relays, Role, Source, Sources, waits};
 use model::forward::{FollowAnswer, FollowAsk, Target, TargetChange, TargetList, TargetNews};
 use model::member::{Node as PeerNode, NodeId};
@@ -84,17 +84,19 @@
         tokio::time::sleep(chosen.pause).await;
         match chosen.source {
             Source::Store => self.ask_store(&relays).await,
-            Source::Peer { node, patient } => self.ask_peer(&node, patient, relays.role).await,
-            Source::Nobody => return,
+            Source::Peer { node, await_fresh: patient } => {
+                self.ask_peer(&node, patient, relays.role).await
+            }
+            Source::Unavailable => return,
         }
-        tokio::time::sleep(waits::GATHER).await;
+        tokio::time::sleep(waits::COALESCE_TIME).await;
     }
 
     fn tell(&self, source: &Source) {
         let from = match source {
             Source::Store => "store",
             Source::Peer { node, .. } => &node.id.name,
-            Source::Nobody => "nobody",
+            Source::Unavailable => "nobody",
         };
         let age_ms = millis(self.node.feed.age(self.node.now()));
         Event::Source { from, age_ms }.emit();
@@ -106,7 +108,7 @@
         let known = node.feed.at().filter(|_| !self.history_gone);
         let at = known.filter(|_| !is_due);
         self.reader.go_on_from(node.feed.epoch());
-        match self.reader.read(at, waits::TARGETS_WATCH).await {
+        match self.reader.read(at, waits::TARGETS_WATCH_WAIT).await {
             Ok(mut step) => {
                 self.history_gone = false;
                 node.feed.set_out_of_touch(false);
@@ -140,7 +142,7 @@
         let is_unsettled = node.fleet(|f| f.versions().unsettled().is_some());
         let wait = match role {
             // The peer, which reads the orders, soon knows them up to the newest version.
-            _ if is_unsettled => waits::GATHER,
+            _ if is_unsettled => waits::COALESCE_TIME,
             Role::Standby => waits::STANDBY_WAIT,
             _ => waits::PEER_WAIT,
         };
@@ -155,7 +157,7 @@
         let answer = self.follow(peer, ask, wait).await;
         let now = node.now();
         let Some(Followed { answer, epoch }) = answer else {
-            self.sources.relay_silent(&peer.id, now);
+            self.sources.relay_failed(&peer.id, now);
             node.feed.set_out_of_touch(true);
             return;
         };
@@ -213,7 +215,8 @@
             Err(e) if e.kind == CallKind::Timeout => {
                 self.client = Client::new(peers::CONNECT);
                 let ask = FollowAsk { wait_ms: 0, patient: false, ..ask };
-                let again = peers::follow(node, &self.client, entry, &ask, epoch, waits::ASK_AGAIN);
+                let again =
+                    peers::follow(node, &self.client, entry, &ask, epoch, waits::RETRY_TIMEOUT);
                 again.await.ok()
             }
             answer => answer.ok(),
@@ -227,7 +230,7 @@
     let Step { at, epoch, whole, cut, changes, .. } = step;
     let epoch = epoch.unwrap_or(node.feed.epoch());
     let changes: Vec<TargetChange> = changes.into_iter().filter_map(target_change).collect();
-    let doubt = node.doubt(|d| d.read(now));
+    let doubt = node.doubt(|d| d.read_from_store(now));
     let begins = cut && (node.feed.at() != Some(at) || node.feed.epoch() != epoch);
     if whole {
         take_whole(node, epoch, at, list_of(changes), doubt);
@@ -256,7 +259,7 @@
         rollouts::take(node, list, from);
     }
     let now = node.now();
-    let heard = || node.doubt(|d| d.heard(Duration::from_millis(doubt_ms), now));
+    let heard = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
     match news {
         TargetNews::Unknown => return,
         TargetNews::Whole(list) => take_whole(node, epoch, at, list, heard()),
@@ -278,7 +281,7 @@
 
 fn take_changes(node: &Node, at: u64, changes: Vec<TargetChange>, doubt: Option<Time>) {
     let now = node.now();
-    let changes = still_true(changes);
+    let changes = drop_superseded(changes);
     for change in &changes {
         match change {
             TargetChange::Now(target) => {
@@ -294,12 +297,12 @@
                 }
             }
             TargetChange::Unreadable(name) => {
-                if node.fleet(|f| f.unreadable(name)) {
+                if node.fleet(|f| f.mark_unreadable(name)) {
                     Event::Target { target: name, service: "", state: "unreadable" }.emit();
                 }
             }
             TargetChange::Gone(name) => {
-                node.fleet(|f| f.vanish(name, doubt, now));
+                node.fleet(|f| f.remove(name, doubt, now));
                 Event::Target { target: name, service: "", state: "gone" }.emit();
             }
         }
@@ -422,7 +425,7 @@
     let lacks = || node.feed.since(ask.at).is_none_or(|c| !c.is_empty());
     let lacks_targets = !is_same || (known > ask.at && lacks());
     let lacks_lists = node.fleet(|f| {
-        f.evacuated().is_news_since(ask.evacuations.filter(|_| is_same))
+        f.evacuated().changed_since(ask.evacuations.filter(|_| is_same))
             || f.versions().is_news_since(ask.rollouts.filter(|_| is_same))
     });
     let lacks = lacks_targets || lacks_lists;
