--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -6,23 +6,23 @@
 //! an evacuated failure domain get nothing new, cold ones little.
 
 mod answers;
-mod belief;
 mod changed;
 mod cold;
 mod evacuation;
 mod load;
-mod news;
 mod notice;
 mod pick;
+mod state;
+mod supersede;
 mod targets;
 mod terms;
 
-pub use belief::{Observation, Presence, TargetState};
 pub use changed::ChangedTargets;
 pub use cold::{ColdBounds, ColdLimit};
 pub use evacuation::{Evacuated, EvacuationChange};
-pub use news::drop_superseded;
 pub use notice::{NoticeChange, Notices};
 pub use pick::{ColdStarts, Home, PickCriteria, shares};
+pub use state::{Observation, Presence, TargetState};
+pub use supersede::drop_superseded;
 pub use targets::Fleet;
 pub use terms::{Exclusion, Regions, Terms};
--- a/crates/decide/src/fleet/targets.rs
+++ b/crates/decide/src/fleet/targets.rs
@@ -9,9 +9,9 @@
 };
 use model::{Name, Time};
 
-use super::belief::{Observation, Presence, TargetState};
 use super::changed::ChangeLog;
 use super::notice::{NoticeChange, Notices};
+use super::state::{Observation, Presence, TargetState};
 use super::{ChangedTargets, ColdLimit, Evacuated, EvacuationChange, Exclusion, Regions, Terms};
 use crate::permit::{LimitChange, LimitObservation, Limits};
 use crate::rollout::Versions;
--- a/crates/decide/src/permit/mod.rs
+++ b/crates/decide/src/permit/mod.rs
@@ -5,12 +5,12 @@
 //! there asks it for a permit first. Nodes that disagree on who that is for a moment ask two; what
 //! one gives out leaves room for another.
 
-mod book;
+mod issuer;
 mod limits;
-mod returns;
-mod word;
+mod observation;
+mod pacer;
 
-pub use book::{Grant, MAX_LIMITED_PIECES, PermitIssuer, issue_rate};
+pub use issuer::{Grant, MAX_LIMITED_PIECES, PermitIssuer, issue_rate};
 pub use limits::{LimitChange, Limits};
-pub use returns::RetryPacer;
-pub use word::{LimitObservation, MAX_TRANSIT};
+pub use observation::{LimitObservation, MAX_TRANSIT};
+pub use pacer::RetryPacer;
--- a/crates/decide/src/relay/mod.rs
+++ b/crates/decide/src/relay/mod.rs
@@ -11,19 +11,19 @@
 //! then wait with a relay until it is in touch again, and ask the store themselves only now
 //! and then, the more seldom the more of them there are.
 
-mod doubt;
 mod history;
 mod list;
 mod newest;
+mod outage;
 mod source;
 mod start;
 mod unreadable;
 pub mod waits;
 
-pub use doubt::OutageGrace;
 pub use history::History;
 pub use list::{Entry, List};
 pub use newest::LatestList;
+pub use outage::OutageGrace;
 pub use source::{Choice, Relays, Role, Source, Sources};
 pub use start::startup_wait;
 pub use unreadable::{EntryKey, UnreadableEntries};
