--- a/crates/decide/src/fleet/answers.rs
+++ b/crates/decide/src/fleet/answers.rs
@@ -1,50 +1,51 @@
-//! What a target's answers tell of it.
+//! Latency and failure rate of a target, estimated from its answers.
 //!
-//! Both means fade with the time since the last observation, so that a target that was slow or
-//! failed once is tried again: without new requests nothing else would show that it recovered.
+//! Both are moving averages that decay with the time since the last observation, so that a target
+//! that was slow or failed once is tried again: without new requests nothing else would show its
+//! recovery.
 
 use std::time::Duration;
 
 use model::Time;
 
-/// Least weight of the newest observation in the means.
+/// Minimum weight of the newest observation in a moving average.
 const MIN_WEIGHT: f64 = 0.15;
-/// Time in which a mean without observations fades to 1/e.
+/// Time constant of the exponential decay (to 1/e) of an average without observations.
 const DECAY_TIME: Duration = Duration::from_secs(10);
 
-/// Running means over the answers of one target.
+/// Moving averages over the answers of one target.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct AnswerStats {
-    /// Milliseconds, at the last answer; zero before the first.
+    /// Milliseconds as of `answered_at`; zero before the first answer.
     mean_ms: f64,
     answered_at: Time,
-    /// Share of failures, at the last observation.
+    /// Share of failed requests as of `observed_at`.
     failure_rate: f64,
     observed_at: Time,
 }
 
 impl AnswerStats {
-    /// Expected time of an answer, in milliseconds; `None` if none has come yet.
+    /// Expected latency in milliseconds; `None` before the first answer.
     pub(super) fn mean_ms(&self, now: Time) -> Option<f64> {
         (self.mean_ms > 0.0).then(|| self.mean_ms * decay(self.answered_at, now))
     }
 
-    /// Expected share of failures.
+    /// Expected share of failed requests, 0 to 1.
     pub(super) fn failure_rate(&self, now: Time) -> f64 {
         self.failure_rate * decay(self.observed_at, now)
     }
 
-    /// When the last observation was made.
+    /// Time of the last recorded outcome.
     pub(super) fn observed_at(&self) -> Time {
         self.observed_at
     }
 
-    /// The share of failures is taken to be half of what it was.
+    /// Halves the failure rate, after an answer of a recovering target.
     pub(super) fn halve_failure_rate(&mut self) {
         self.failure_rate /= 2.0;
     }
 
-    /// Counts one observation.
+    /// Records whether one request failed.
     pub(super) fn record_outcome(&mut self, failed: bool, now: Time) {
         let outcome = if failed { 1.0 } else { 0.0 };
         let decayed = self.failure_rate(now);
@@ -52,7 +53,7 @@
         self.observed_at = now;
     }
 
-    /// An answer came after this time. The older the mean, the less it counts beside it.
+    /// Records the latency of one answer. The older the average, the less weight it keeps.
     pub(super) fn record_latency(&mut self, latency: Duration, now: Time) {
         let ms = latency.as_secs_f64() * 1000.0;
         let weight = if self.mean_ms > 0.0 { 1.0 - decay(self.answered_at, now) } else { 1.0 };
@@ -61,7 +62,7 @@
     }
 }
 
-/// Part of a mean that is left now.
+/// Factor by which an average has decayed.
 fn decay(observed_at: Time, now: Time) -> f64 {
     (-now.since(observed_at).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
 }
--- a/crates/decide/src/fleet/changed.rs
+++ b/crates/decide/src/fleet/changed.rs
@@ -1,21 +1,22 @@
-//! Which targets may have changed since somebody last looked.
+//! Log of the targets whose usability may have changed.
 //!
-//! Whoever keeps an index of targets asks for the names that changed since, and looks only
-//! at those. What concerns all targets alike, or lies too far back, makes them look at all.
+//! An index of targets asks for the names that changed since its cursor and re-examines only those.
+//! A change that affects all targets, or a cursor older than the log, makes it re-examine every
+//! target.
 
 use std::collections::VecDeque;
 
 use model::Name;
 
-/// Changed names remembered: more than change while one who looks often is busy.
+/// Maximum number of names in the log: more than change while a frequent reader is busy.
 const CAPACITY: usize = 4096;
 
-/// What may have changed.
+/// Targets to re-examine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangedTargets {
-    /// These names, the same one several times perhaps.
+    /// These names, possibly with duplicates.
     Names(Vec<Name>),
-    /// Any target.
+    /// Every target.
     Any,
 }
 
@@ -23,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ChangeLog {
     names: VecDeque<Name>,
-    /// Number of the first one; names before it are not known any more.
+    /// Sequence number of the oldest name in the log.
     first: u64,
 }
 
@@ -36,18 +37,18 @@
         }
     }
 
-    /// Any target may have changed.
+    /// Makes every earlier cursor see [`ChangedTargets::Any`].
     pub(super) fn invalidate(&mut self) {
         self.first = self.next() + 1;
         self.names.clear();
     }
 
-    /// Number of the next one.
+    /// Sequence number of the next change.
     pub(super) fn next(&self) -> u64 {
         self.first + self.names.len() as u64
     }
 
-    /// What changed since the next one had this number.
+    /// Changes with this sequence number or a later one.
     pub(super) fn since(&self, number: u64) -> ChangedTargets {
         let Some(index) = number.checked_sub(self.first) else {
             return ChangedTargets::Any;
--- a/crates/decide/src/fleet/evacuation.rs
+++ b/crates/decide/src/fleet/evacuation.rs
@@ -1,10 +1,9 @@
-//! Failure domains whose targets are to get nothing new.
+//! Failure domains whose targets get no new requests.
 //!
-//! An operator evacuates a failure domain through the store. Relays read the list there and
-//! pass it on with the targets' news; its revision orders what a node hears from several
-//! sources, so that a slow one never brings an older list back. A node that is to follow
-//! evacuations and has not heard of any list yet takes every domain for evacuated: it sends
-//! nothing before it knows.
+//! An operator evacuates a failure domain through the store. Relays read the list there and forward
+//! it with the target changes; its revision orders the lists that a node receives from several
+//! sources, so that a slow source never restores an older one. A node that follows evacuations and
+//! has received no list yet treats every domain as evacuated: it sends nothing until it has one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,35 +12,35 @@
 
 use crate::relay::LatestList;
 
-/// What became of a failure domain.
+/// Change of one failure domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationChange {
-    /// Its targets get nothing new from now on.
+    /// Its targets get no new requests from now on.
     Began(Name),
-    /// The operator took the evacuation back.
+    /// The operator ended the evacuation.
     Ended(Name),
 }
 
-/// What a node knows of evacuations.
+/// Evacuations known to this node.
 #[derive(Debug, Default)]
 pub struct Evacuated {
-    /// If the store is to tell of them, nothing is sent before it has.
+    /// If followed, nothing is sent before the first list has arrived.
     domains: LatestList<BTreeSet<Name>>,
     ended_at: BTreeMap<Name, Time>,
 }
 
 impl Evacuated {
-    /// Evacuations are followed from now on.
+    /// Follows evacuations from now on.
     pub fn follow(&mut self) {
         self.domains.follow();
     }
 
-    /// Whether the node may send: the list is known, or none is followed.
+    /// Whether the node may send: a list is known, or none is followed.
     pub fn is_known(&self) -> bool {
         self.domains.is_known()
     }
 
-    /// Whether the targets of a failure domain get nothing new.
+    /// Whether the targets of a failure domain get no new requests.
     pub fn contains(&self, domain: &str) -> bool {
         match self.domains.list() {
             Some(domains) => domains.contains(domain),
@@ -49,17 +48,17 @@
         }
     }
 
-    /// The failure domains that are evacuated, as far as is known.
+    /// Failure domains known to be evacuated.
     pub fn domains(&self) -> impl Iterator<Item = &Name> {
         self.domains.list().into_iter().flatten()
     }
 
-    /// When the evacuation of a failure domain was last taken back, if it was.
+    /// When the evacuation of a failure domain last ended, if it did.
     pub fn ended_at(&self, domain: &str) -> Option<Time> {
         self.ended_at.get(domain).copied()
     }
 
-    /// Takes a list unless a newer one is known; returns what it changes.
+    /// Applies a list unless a newer one is known; returns the resulting changes.
     pub fn update(&mut self, list: Evacuations, now: Time) -> Vec<EvacuationChange> {
         let after: BTreeSet<Name> = list.domains.into_iter().collect();
         let Some(before) = self.domains.update(list.at, after.clone()) else {
@@ -78,23 +77,23 @@
         self.domains.at()
     }
 
-    /// The list, for another node.
+    /// The list, to be sent to another node.
     pub fn list(&self) -> Option<Evacuations> {
         let domains = self.domains.list()?.iter().cloned().collect();
         Some(Evacuations { at: self.at()?, domains })
     }
 
-    /// Whether the list is of this epoch of the store.
+    /// Whether the list belongs to the current epoch of the store.
     pub fn is_current(&self) -> bool {
         self.domains.is_current()
     }
 
-    /// The store came back from an older copy.
+    /// Handles a restore of the store from an older copy.
     pub fn begin_epoch(&mut self) {
         self.domains.begin_epoch();
     }
 
-    /// Whether a node that knows the list of a revision, if any, lacks a change.
+    /// Whether a node with the list of this revision, if any, lacks a change.
     pub fn changed_since(&self, at: Option<u64>) -> bool {
         self.domains.changed_since(at)
     }
--- a/crates/decide/src/fleet/load.rs
+++ b/crates/decide/src/fleet/load.rs
@@ -1,43 +1,43 @@
-//! What is made of the load that a target tells with its answers.
+//! Load that a target reports in its answers.
 //!
-//! It is true for the moment of the answer only: other programs on the target's machine come and
-//! go many times a second, and so do the requests of other nodes. So both fade fast, each to what
-//! a target that tells nothing is taken for.
+//! A report holds for the moment of the answer only: other programs on the target's machine start
+//! and stop many times a second, and so do the requests of other nodes. Both figures therefore
+//! decay quickly towards the defaults of a target that reports nothing.
 
 use std::time::Duration;
 
 use model::Time;
 use model::forward::TargetLoad;
 
-/// Time in which what is known of other nodes' requests fades to 1/e: as long as most take.
+/// Time constant of the decay (to 1/e) of other nodes' requests: the duration of most requests.
 const REQUESTS_DECAY: Duration = Duration::from_millis(500);
-/// Time in which what is known of the machine's pace fades to 1/e.
+/// Time constant of the decay (to 1/e) of the machine's slowdown.
 const SLOWDOWN_DECAY: Duration = Duration::from_millis(200);
 
-/// The last word of a target on its load.
+/// Last load report of a target.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LoadReport {
-    /// Requests of other nodes for each place.
+    /// Requests of other nodes per slot.
     others: f64,
     slowdown: f64,
     received_at: Time,
 }
 
 impl LoadReport {
-    /// A target told its load while this many requests of this node were there, the one whose
-    /// answer told it not counted.
+    /// `own` counts the requests of this node that were at the target, without the one whose answer
+    /// carried the report.
     pub(super) fn new(load: TargetLoad, own: u32, now: Time) -> Self {
         let total = load.running.saturating_add(load.waiting);
         let others = f64::from(total.saturating_sub(own)) / f64::from(load.slots.max(1));
         LoadReport { others, slowdown: load.slowdown, received_at: now }
     }
 
-    /// Expected requests of other nodes for each place.
+    /// Expected requests of other nodes per slot.
     pub(super) fn others(&self, now: Time) -> f64 {
         self.others * self.decay(REQUESTS_DECAY, now)
     }
 
-    /// Times as long as usual that work is expected to take.
+    /// Expected duration of work as a multiple of the usual one.
     pub(super) fn slowdown(&self, now: Time) -> f64 {
         1.0 + (self.slowdown - 1.0) * self.decay(SLOWDOWN_DECAY, now)
     }
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! What a forwarding node believes of targets, and which one gets a request.
+//! A forwarding node's view of the targets, and the choice of one for each request.
 //!
-//! Discovery says which targets exist and which are draining; the node's own
-//! requests say which of them answer. A target whose entry vanished while the
-//! store was out of reach is kept for a short while, since it most likely lives. Targets of
-//! an evacuated failure domain get nothing new, cold ones little.
+//! Discovery reports which targets exist and which are draining; the node's own requests show which
+//! of them answer. A target whose entry vanished while the store was unreachable is kept for a
+//! short time, since it is most likely alive. Targets of an evacuated failure domain get no new
+//! requests, cold ones only a few.
 
 mod answers;
 mod changed;
--- a/crates/decide/src/fleet/notice.rs
+++ b/crates/decide/src/fleet/notice.rs
@@ -1,8 +1,9 @@
-//! What is known for good of one start of a target, and what it asked of this node: that it leaves,
-//! as its answers or its entry said, that its entry was gone, and that it wants nothing for a while.
+//! What targets report about further requests, and facts about one start of a target that stay
+//! true: that it is draining, according to its answers or its entry, that its entry was removed,
+//! and that it asked for a backoff.
 //!
-//! Kept apart from what discovery says now, which may come later, may be older, and may lapse for a
-//! moment.
+//! Kept apart from the state that discovery reports, which may arrive later, be older, or lapse for
+//! a moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,40 +11,39 @@
 use model::Time;
 use model::forward::{Notice, RetryAfter, TargetId};
 
-/// Time for which a notice is remembered of a target that discovery does not know any more.
+/// Time for which draining is remembered of a target that discovery no longer lists.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// Time for which a request is waited for that shows whether a backoff is over, before another one is
-/// sent_at there.
+/// Time to wait for the answer to a probe after a backoff before another one is sent.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for which a backoff is remembered that no answer has ended.
+/// Time after its end for which a backoff is remembered that no answer has cleared.
 const BACKOFF_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time for which a target is remembered whose entry is gone: copies of the store are younger.
+/// Time for which a removed entry is remembered: copies of the store are younger than that.
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What an answer changes.
+/// New information in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeChange {
-    /// The target leaves.
+    /// The target is draining.
     Draining,
-    /// It wants nothing for so long from now on.
+    /// It asked for no requests for this long.
     BackedOff(Duration),
-    /// It wants nothing for a time that cannot be read.
+    /// It asked for a backoff whose duration cannot be parsed.
     Unreadable,
 }
 
-/// A target that wants nothing for a while. Once that is over it gets one request at a time, until
-/// one was answered: it may be as full as before.
+/// Backoff that a target asked for. After its end the target gets one request at a time until one
+/// is answered, because it may be as full as before.
 #[derive(Debug, Clone, Copy, Default)]
 struct Backoff {
     until: Time,
-    /// When it last got a request since.
+    /// When the last request was sent since the backoff was set.
     probed_at: Option<Time>,
 }
 
 impl Backoff {
-    /// Until when it gets nothing.
+    /// When the target may get its next request.
     fn ends_at(&self) -> Time {
         self.probed_at.map_or(self.until, |at| self.until.max(at + PROBE_INTERVAL))
     }
@@ -52,16 +52,16 @@
 /// Notices of all targets.
 #[derive(Debug, Default)]
 pub struct Notices {
-    /// When each was last known.
+    /// Draining targets, and when each was last known to discovery.
     draining: BTreeMap<TargetId, Time>,
     backoffs: BTreeMap<TargetId, Backoff>,
     unreadable: BTreeSet<TargetId>,
-    /// When the entry of each went.
+    /// Targets whose entry was removed, and when.
     removed: BTreeMap<TargetId, Time>,
 }
 
 impl Notices {
-    /// Takes what an answer says; returns what is new.
+    /// Records the notice in an answer; returns what is new.
     pub fn record(&mut self, id: &TargetId, notice: Notice, now: Time) -> Vec<NoticeChange> {
         let mut changes = Vec::new();
         if notice.leaving && self.note_draining(id, now) {
@@ -86,47 +86,47 @@
         changes
     }
 
-    /// A target leaves; returns whether that is new.
+    /// Marks a target as draining; returns whether that is new.
     pub fn note_draining(&mut self, id: &TargetId, now: Time) -> bool {
         self.draining.insert(id.clone(), now).is_none()
     }
 
-    /// The entry of a target is gone.
+    /// Records that a target's entry was removed.
     pub fn note_removed(&mut self, id: &TargetId, now: Time) {
         self.removed.insert(id.clone(), now);
     }
 
-    /// The entry of a target is there again, and not from an older copy of the store.
+    /// Records that a target's entry exists again, and not from an older copy of the store.
     pub fn note_present(&mut self, id: &TargetId) {
         self.removed.remove(id);
     }
 
-    /// Whether the entry of a target was gone a while ago.
+    /// Whether a target's entry was removed recently.
     pub fn was_removed(&self, id: &TargetId) -> bool {
         self.removed.contains_key(id)
     }
 
-    /// Whether a target has notice that it leaves.
+    /// Whether a target has reported that it is draining.
     pub fn is_draining(&self, id: &TargetId) -> bool {
         self.draining.contains_key(id)
     }
 
-    /// Targets that have notice that they leave.
+    /// Targets that have reported that they are draining.
     pub fn draining(&self) -> impl Iterator<Item = &TargetId> {
         self.draining.keys()
     }
 
-    /// Until when a target gets nothing, if it does not now.
+    /// End of a target's backoff; `None` if it is not backed off now.
     pub fn backoff_until(&self, id: &TargetId, now: Time) -> Option<Time> {
         self.backoffs.get(id).map(Backoff::ends_at).filter(|at| now < *at)
     }
 
-    /// Targets that get nothing now, since they want backoff.
+    /// Targets that are backed off now.
     pub fn backed_off(&self, now: Time) -> impl Iterator<Item = &TargetId> {
         self.backoffs.iter().filter(move |(_, backoff)| now < backoff.ends_at()).map(|(id, _)| id)
     }
 
-    /// A request goes to a target; returns whether it is to show that a backoff is over.
+    /// Records that a request is sent to a target; returns whether it is a probe after a backoff.
     pub fn note_attempt(&mut self, id: &TargetId, now: Time) -> bool {
         let Some(backoff) = self.backoffs.get_mut(id) else {
             return false;
@@ -135,13 +135,14 @@
         true
     }
 
-    /// A target took a request that was sent_at at `sent_at`; returns whether that ends a backoff.
+    /// Records that a target accepted a request sent at `sent_at`; returns whether that ends a
+    /// backoff.
     pub fn note_accepted(&mut self, id: &TargetId, sent_at: Time) -> bool {
         let is_over = self.backoffs.get(id).is_some_and(|backoff| sent_at >= backoff.until);
         is_over && self.backoffs.remove(id).is_some()
     }
 
-    /// Forgets what is over, and targets that are known no longer.
+    /// Drops expired records, and those of targets that are no longer known.
     pub fn expire(&mut self, is_known: impl Fn(&TargetId) -> bool, now: Time) {
         self.draining.retain(|id, known| {
             if is_known(id) {
--- a/crates/decide/src/fleet/pick.rs
+++ b/crates/decide/src/fleet/pick.rs
@@ -1,4 +1,4 @@
-//! Which target gets a request.
+//! Choice of the target for a request.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 use crate::region::Map;
 use crate::rng::Rng;
 
-/// Which cold targets a choice may fall on.
+/// Which cold targets may be picked.
 #[derive(Clone, Copy)]
 pub enum ColdStarts<'a> {
     /// None.
     Avoid,
-    /// Those that this node owns, at its pace.
+    /// Those that this node owns, rate-limited.
     InTurn(&'a dyn Fn(&TargetId) -> bool),
 }
 
@@ -27,31 +27,31 @@
     }
 }
 
-/// What a choice is made for.
+/// Criteria for picking a target.
 #[derive(Debug, Clone, Copy)]
 pub struct PickCriteria<'a> {
-    /// Service.
+    /// Service of the target.
     pub service: &'a str,
     /// Failure domain of this node.
     pub domain: &'a str,
-    /// How far the others lie.
+    /// Distances to the other failure domains.
     pub map: &'a Map,
-    /// What the request asks of its target.
+    /// Constraints that the target must meet.
     pub terms: Terms<'a>,
-    /// Region whose targets are homes before others; `None` if those of any region are.
+    /// Region whose targets are preferred as homes; `None` for no preference.
     pub home_region: Option<&'a Name>,
-    /// Targets that the request was sent to before.
+    /// Targets that the request was already sent to.
     pub exclude: &'a [TargetId],
-    /// Requests that this node may have at one target: its part of the connections that
-    /// a target takes from all nodes together.
+    /// Maximum concurrent requests of this node at one target: its share of the connections that a
+    /// target accepts from all nodes together.
     pub max_per_target: u32,
-    /// Share of homes by failure domain, relative to each other; equal if empty.
+    /// Relative weights of the failure domains for homes; all equal if empty.
     pub shares: &'a [(Name, f64)],
-    /// What the service's cold targets bear; `None` if as much as others.
+    /// Limit of the service's cold targets; `None` if they need none.
     pub cold_limit: Option<ColdLimit>,
-    /// Which of them may be chosen.
+    /// Which cold targets may be picked.
     pub cold_starts: ColdStarts<'a>,
-    /// Whether the request may be sent again after a target ran it.
+    /// Whether the request may be repeated after a target has run it.
     pub may_repeat: bool,
 }
 
@@ -62,32 +62,32 @@
     }
 }
 
-/// The home of a prompt: where its shared parts are most likely kept.
+/// Home of a prompt: the target whose cache most likely holds its shared parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Home {
-    /// Hash by which targets are ordered.
+    /// Hash that determines the order of the targets.
     pub key: u64,
-    /// Tokens that are read again elsewhere.
+    /// Tokens that any other target has to process again.
     pub shared_tokens: u64,
 }
 
-/// Tokens in flight above which the next target in the home's order is looked at.
+/// Prompt tokens in flight above which the next target in home order is tried.
 const SPILL_TOKENS: u64 = 40_000;
-/// Size of a part beside the largest below which it does not decide about the home.
+/// Minimum size of the part that determines the home, relative to the largest part.
 const MIN_PART_RATIO: f64 = 0.2;
-/// Makers that a failure domain without any is counted with.
+/// Number of producers assumed for a failure domain that has none.
 const EMPTY_DOMAIN_PRODUCERS: f64 = 0.2;
-/// Extra milliseconds that a request to another failure domain of the region costs.
+/// Additional milliseconds for a request to another failure domain of the same region.
 const REGION_NETWORK_MS: f64 = 2.0;
-/// Milliseconds assumed of a target that has answered nothing yet.
+/// Latency in milliseconds assumed for a target that has not answered yet.
 const DEFAULT_ANSWER_MS: f64 = 20.0;
 
 impl Home {
-    /// Home of a prompt: the last of its shared parts, which are all but the very last,
-    /// that is not small beside the largest. A prompt of one part has itself as home.
+    /// Home of a prompt: determined by the last of its shared parts (all parts but the last) that
+    /// is not small compared with the largest. A prompt with a single part uses that part.
     ///
-    /// A part is shared by more requests the earlier it stands; the first may be shared by
-    /// all, and a home for all of them would be overrun while the other targets idle.
+    /// The earlier a part stands, the more requests share it. The first part may be common to all
+    /// requests; a home derived from it would be overloaded while the other targets are idle.
     pub fn of(prompt: &[PromptPart]) -> Option<Home> {
         let shared = match prompt {
             [] => return None,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Extra milliseconds that a request to a failure domain costs.
+/// Additional milliseconds for a request to a failure domain.
 fn network_ms(criteria: PickCriteria<'_>, domain: &Name) -> f64 {
     if **domain == *criteria.domain {
         return 0.0;
@@ -112,18 +112,18 @@
     criteria.map.round_trip(domain).as_secs_f64() * 1000.0
 }
 
-/// Weighted rendezvous: the least distance wins, in proportion to the shares
-/// (Schindelhauer, Schomaker 2005: the logarithmic method).
+/// Distance in weighted rendezvous hashing: the smallest wins, in proportion to the shares (the
+/// logarithmic method of Schindelhauer and Schomaker, 2005).
 fn distance(hash: u64, share: f64) -> f64 {
-    /// Bits of a hash that a float tells apart.
+    /// Bits of a hash that an `f64` can represent exactly.
     const BITS: u32 = 53;
     let unit = ((hash >> (u64::BITS - BITS)) + 1) as f64 / (1u64 << BITS) as f64;
     -unit.ln() / share.max(f64::MIN_POSITIVE)
 }
 
-/// Share of homes by failure domain for requests whose inputs are made near their
-/// target: as many as the makers there can make, over the targets that are there, those
-/// outside of the regions that are allowed left out.
+/// Weight of each failure domain for homes, for requests whose inputs are produced close to their
+/// target: the number of producers there divided by the number of targets. Only targets in allowed
+/// regions are counted.
 pub fn shares(
     fleet: &Fleet,
     producers: &str,
@@ -134,7 +134,8 @@
     let terms = Terms { allowed, side: Side::Serving };
     let count = |service: &str| {
         let mut by_domain: BTreeMap<Name, u32> = BTreeMap::new();
-        // A rest is over in a moment, and homes that moved meanwhile are read anew.
+        // Backed-off targets count: a backoff is short, and moving homes would invalidate their
+        // caches.
         for t in fleet.eligible(service, terms, now) {
             *by_domain.entry(t.target.domain.clone()).or_default() += 1;
         }
@@ -152,7 +153,7 @@
     count(targets).into_iter().map(share).collect()
 }
 
-/// Targets in the order in which they are the home of a prompt.
+/// Targets in home order for a prompt.
 fn home_order<'a>(
     targets: impl Iterator<Item = &'a TargetState>,
     criteria: PickCriteria<'_>,
@@ -168,9 +169,10 @@
 }
 
 impl Fleet {
-    /// The target with the least expected wait, for services without a cache; before it one
-    /// that names a limit, lies near and was not asked for long, or one that was left out and may
-    /// be well again. The latter is no place for a second send.
+    /// Target with the lowest expected wait, for services without a cache. Preferred to it are a
+    /// nearby target with a named limit that has not been asked for a while, and an ejected target
+    /// that is due for a probe. A request that was already sent elsewhere is never used as a probe
+    /// of the latter.
     pub fn pick_plain(
         &self,
         criteria: PickCriteria<'_>,
@@ -198,9 +200,8 @@
         best.map(|(_, t)| t.target.clone())
     }
 
-    /// The first target in the home's order that is not overloaded, so that all
-    /// nodes of a region find the same one without a message. One of the wanted region if any
-    /// is.
+    /// First target in home order that is not overloaded, so that all nodes of a region pick the
+    /// same one without communicating. Targets of the preferred region come first.
     pub fn pick_home(&self, criteria: PickCriteria<'_>, home: Home, now: Time) -> Option<Target> {
         let mut order = home_order(self.candidates(criteria, now), criteria, home);
         if let Some(region) = criteria.home_region {
@@ -212,13 +213,14 @@
         chosen.map(|t| t.target.clone())
     }
 
-    /// Targets of the wanted failure domain in the home's order.
+    /// Targets of this node's failure domain in home order.
     pub fn local_homes(&self, criteria: PickCriteria<'_>, home: Home, now: Time) -> Vec<TargetId> {
         let near = self.candidates(criteria, now).filter(|t| *t.target.domain == *criteria.domain);
         home_order(near, criteria, home).into_iter().map(|t| t.target.id.clone()).collect()
     }
 
-    /// Usable targets not tried yet that take another connection; those left out for failures only if no other is.
+    /// Usable targets not yet tried that accept another connection. Ejected ones are included only
+    /// if there is no other.
     fn candidates<'a>(
         &'a self,
         criteria: PickCriteria<'a>,
@@ -239,7 +241,7 @@
             .filter(move |t| !any_healthy || !t.is_ejected(now))
     }
 
-    /// Whether a request may start at a target, if that is cold.
+    /// Whether a request may start at a target, which matters only if that is cold.
     fn may_start(&self, t: &TargetState, criteria: PickCriteria<'_>, now: Time) -> bool {
         let Some(limit) = criteria.cold_limit.filter(|l| self.is_cold(t, *l, now)) else {
             return true;
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Whether a target lies in a region that is allowed; one that is not known lies in none.
+    /// Whether a target is in an allowed region; false for an unknown target.
     pub fn is_in_allowed_region(&self, id: &TargetId, allowed: &Allowed) -> bool {
         let region = self.domain_of(id).and_then(|domain| self.regions().of(domain));
         allowed.permits(region.map(|r| &**r))
--- a/crates/decide/src/fleet/state.rs
+++ b/crates/decide/src/fleet/state.rs
@@ -1,4 +1,4 @@
-//! What is believed of one target, and what changes it.
+//! State of one target as this node sees it, and the events that change it.
 
 use std::time::Duration;
 
@@ -8,83 +8,81 @@
 use super::answers::AnswerStats;
 use super::load::LoadReport;
 
-/// First time for which a failing target is left out.
+/// Duration of the first ejection of a failing target.
 const MIN_EJECTION: Duration = Duration::from_millis(400);
-/// Longest time for which a failing target is left out: it is to have its part again soon after it
-/// is well.
+/// Maximum duration of an ejection: a recovered target should get its share again soon.
 const MAX_EJECTION: Duration = Duration::from_millis(2000);
-/// Share of failures from which on a target is left out now and then.
+/// Failure rate above which a failure ejects the target.
 const EJECT_FAILURE_RATE: f64 = 0.5;
-/// Requests that a target turns away one after the other before it is left out: one that is busy
-/// takes some between.
+/// Consecutive rejections that eject a target; one that is merely busy accepts some in between.
 const EJECT_REJECTIONS: u32 = 2;
-/// Share of failures below which a target that was left out counts as well again.
+/// Failure rate below which an ejected target counts as recovered.
 const RECOVERED_FAILURE_RATE: f64 = 0.05;
-/// Least time between two requests that show whether a target is well again.
+/// Minimum time between two probes of a recovering target.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What one send to a target brought.
+/// Outcome of one request to a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Observation {
-    /// An answer after this time.
+    /// Answered after this time.
     Answered(Duration),
-    /// The target turned the request away, which did not run.
+    /// The target rejected the request without running it.
     Rejected,
     /// The target failed the request.
     Failed,
-    /// Its connection ended, or was given up, before a whole answer.
+    /// The connection ended, or was given up, before the answer was complete.
     Interrupted,
-    /// The target could not be reached, or its connection broke.
+    /// The target was unreachable, or its connection broke.
     Unreachable,
-    /// Another target has the address.
+    /// Another target has taken over the address.
     Replaced,
-    /// Nothing was sent after all, for a reason that is not the target's.
+    /// Nothing was sent, for a reason unrelated to the target.
     NotSent,
 }
 
-/// What discovery says of one start of a target.
+/// State of one start of a target according to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It is there.
+    /// Listed and not draining.
     Present,
-    /// It leaves as planned.
+    /// Shutting down as planned.
     Draining,
-    /// Another start has its name by now.
+    /// A later start has taken over the name.
     Restarted,
-    /// Its entry is gone.
+    /// Its entry was removed.
     Removed,
 }
 
-/// What is believed of one target.
+/// State of one target as this node sees it.
 #[derive(Debug, Clone)]
 pub struct TargetState {
-    /// As discovery reports it, but for how long it is cold.
+    /// Entry reported by discovery; `cold_ms` is moved to `cold_until`.
     pub target: Target,
-    /// Until when discovery reports it as cold.
+    /// End of the cold phase that discovery reports.
     pub cold_until: Time,
-    /// When this node may next start a request there while it is cold.
+    /// When this node may next start a request here while the target is cold.
     pub next_start: Time,
-    /// Its entry vanished around an outage of the store; until then it is kept.
+    /// Set if the entry vanished around an outage of the store; the target is kept until then.
     pub missing_until: Option<Time>,
-    /// Requests of this node at the target now.
+    /// Requests of this node in flight at the target.
     pub outstanding: u32,
-    /// Prompt tokens of those that wait for their first event.
+    /// Prompt tokens of the requests that still wait for their first event.
     pub prefill_tokens: u64,
     stats: AnswerStats,
     load: Option<LoadReport>,
-    /// It told a load that cannot be read.
+    /// The last load report could not be parsed.
     load_unreadable: bool,
-    /// Left out until then.
+    /// No requests are sent before this time unless all targets are ejected.
     pub ejected_until: Time,
-    /// Times that it was left out since it last answered.
+    /// Ejections since the last answer.
     ejections: u32,
-    /// Requests that it turned away since it last took one.
+    /// Consecutive rejections.
     rejections: u32,
-    /// It was left out, and is not known to be well again.
+    /// Was ejected and has not been shown to be healthy since.
     recovering: bool,
-    /// It was left out for what did not run there.
+    /// Was ejected for a request that did not run.
     not_run: bool,
-    /// When it was last chosen for a request that shows whether it is well again.
+    /// Time of the last probe.
     probed_at: Time,
 }
 
@@ -109,53 +107,52 @@
         }
     }
 
-    /// Expected time of an answer, in milliseconds; `None` if none has come yet.
+    /// Expected latency in milliseconds; `None` before the first answer.
     pub fn answer_ms(&self, now: Time) -> Option<f64> {
         self.stats.mean_ms(now)
     }
 
-    /// Expected requests for each place: this node's, and those of others that it told of.
+    /// Expected requests per slot: this node's, and those of other nodes as the target reported.
     pub fn load(&self, now: Time) -> f64 {
         let own = f64::from(self.outstanding) / f64::from(self.target.slots.max(1));
         own + self.load.map_or(0.0, |report| report.others(now))
     }
 
-    /// Times as long as usual that work is expected to take there.
+    /// Expected duration of work as a multiple of the usual one.
     pub fn slowdown(&self, now: Time) -> f64 {
         self.load.map_or(1.0, |report| report.slowdown(now))
     }
 
-    /// Expected share of failures.
+    /// Expected share of failed requests, 0 to 1.
     pub fn failure_rate(&self, now: Time) -> f64 {
         self.stats.failure_rate(now)
     }
 
-    /// Whether it is left out for its failures.
+    /// Whether the target is ejected for its failures.
     pub fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it is to get one request that shows whether it is well again. One that may not be
-    /// repeated goes only where nothing ran before.
+    /// Whether the next request should be a probe of a recovering target. A request that may not be
+    /// repeated probes only a target whose ejection was for a request that did not run.
     pub fn needs_probe(&self, may_repeat: bool, now: Time) -> bool {
         let is_due = now.since(self.stats.observed_at().max(self.probed_at)) >= PROBE_INTERVAL;
         let is_free = self.recovering && !self.is_ejected(now) && self.outstanding == 0;
         is_free && is_due && (may_repeat || self.not_run)
     }
 
-    /// It was chosen for a request.
+    /// Records that the target was picked for a request.
     pub(super) fn note_chosen(&mut self, now: Time) {
         if self.recovering {
             self.probed_at = now;
         }
     }
 
-    /// Takes its entry, which counts how long it is cold from now on.
-    /// Returns whether what it says has changed.
+    /// Applies an entry, whose cold time counts from now; returns whether its content has changed.
     pub(super) fn set_target(&mut self, target: Target, now: Time) -> bool {
         let was_cold = now < self.cold_until;
         self.cold_until = now + Duration::from_millis(target.cold_ms);
-        // A node that tells no revision takes none back.
+        // Entries from a node that sends no revision must not clear the known one.
         let known = self.target.revision;
         let revision = if target.revision > 0 { target.revision } else { known };
         let target = Target { cold_ms: 0, revision, ..target };
@@ -165,13 +162,13 @@
         changed
     }
 
-    /// Its entry as another node is to have it now.
+    /// The entry to send to another node now.
     pub(super) fn entry(&self, now: Time) -> Target {
         let cold_ms = self.cold_until.since(now).as_millis() as u64;
         Target { cold_ms, ..self.target.clone() }
     }
 
-    /// Leaves it out for a while, longer each time.
+    /// Ejects the target, for longer each time.
     fn eject(&mut self, not_run: bool, now: Time) {
         let time = MIN_EJECTION * 2u32.pow(self.ejections.min(3));
         self.ejected_until = now + time.min(MAX_EJECTION);
@@ -180,7 +177,7 @@
         self.not_run = not_run;
     }
 
-    /// Takes what a send brought.
+    /// Records the outcome of a request.
     pub(super) fn observe(&mut self, observation: Observation, now: Time) {
         if observation == Observation::NotSent {
             return;
@@ -211,8 +208,8 @@
         }
     }
 
-    /// Takes what an answer says of its load; returns whether it cannot be read while the word
-    /// before could, or there was none.
+    /// Records the load report in an answer; returns whether it cannot be parsed although the one
+    /// before it could, or there was none.
     pub(super) fn note_load(&mut self, report: ReportedLoad, now: Time) -> bool {
         let was_unreadable = self.load_unreadable;
         match report {
--- a/crates/decide/src/fleet/supersede.rs
+++ b/crates/decide/src/fleet/supersede.rs
@@ -1,14 +1,14 @@
-//! News of targets as they come from the store or a peer.
+//! Filter for batches of target changes from the store or a peer.
 
 use std::collections::HashMap;
 
 use model::Name;
 use model::forward::TargetChange;
 
-/// Changes without ends that a later one in the same news takes back: a source tells of changes
-/// that are known too, and an end that was known would cost what is believed of the target.
+/// Drops removals that a later entry in the same batch supersedes: a source may repeat changes that
+/// are already known, and applying a removal again would discard the state of the target.
 ///
-/// An entry before an end stays: it may say that the target was draining.
+/// An entry before a removal is kept, because it may say that the target was draining.
 pub fn drop_superseded(changes: Vec<TargetChange>) -> Vec<TargetChange> {
     let mut last_entry: HashMap<Name, usize> = HashMap::new();
     for (i, change) in changes.iter().enumerate() {
--- a/crates/decide/src/fleet/targets.rs
+++ b/crates/decide/src/fleet/targets.rs
@@ -1,4 +1,4 @@
-//! All targets that a node knows, and which of them may get anything.
+//! Registry of all targets, and the rules for which of them may get requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,45 +16,45 @@
 use crate::permit::{LimitChange, LimitObservation, Limits};
 use crate::rollout::Versions;
 
-/// All targets that a node knows; of each name only the latest start.
+/// All targets known to a node; only the latest start of each name.
 #[derive(Debug, Default)]
 pub struct Fleet {
     states: BTreeMap<Name, TargetState>,
     services: BTreeMap<Name, Vec<Name>>,
-    /// Names whose entries cannot be read; not all belong to a target that was ever known.
+    /// Names whose entries cannot be parsed, including names that never belonged to a known target.
     unreadable: BTreeSet<Name>,
     evacuated: Evacuated,
     versions: Versions,
     regions: Regions,
     limits: Limits,
     notices: Notices,
-    /// When the store was last known to come back from an older copy.
+    /// When the store was last restored from an older copy.
     restored_at: Option<Time>,
     changes: ChangeLog,
 }
 
-/// Time after which an entry that an older copy of the store brought back is its target's own: it
-/// would have lapsed, and what was written since the copy has been written again.
+/// Time after a restore from which a listed entry is taken to be its target's own: a stale entry
+/// would have expired by then, and everything written since the copy has been written again.
 const RESTORE_SETTLE_TIME: Duration = Duration::from_secs(10);
 
 impl Fleet {
-    /// Cursor for [`Fleet::changes_since`], of this moment.
+    /// Current cursor for [`Fleet::changes_since`].
     pub fn cursor(&self) -> u64 {
         self.changes.next()
     }
 
-    /// Targets that may be usable or not otherwise than at a cursor, but for what time alone
-    /// changes: see [`Fleet::valid_until`].
+    /// Targets whose usability may have changed since a cursor, except for changes by time alone:
+    /// see [`Fleet::valid_until`].
     pub fn changes_since(&self, cursor: u64) -> ChangedTargets {
         self.changes.since(cursor)
     }
 
-    /// Belief about the latest start of a target.
+    /// State of the latest start of a target.
     pub fn by_name(&self, name: &str) -> Option<&TargetState> {
         self.states.get(name)
     }
 
-    /// When a target becomes unusable, or warm, by time alone.
+    /// When time alone next changes whether a target is usable or cold.
     pub fn valid_until(
         &self,
         t: &TargetState,
@@ -68,17 +68,17 @@
         times.into_iter().flatten().filter(|at| *at > now).min()
     }
 
-    /// Belief about one start of a target; `None` if another one has its name by now.
+    /// State of one start of a target; `None` if another start has taken over its name.
     pub fn get(&self, id: &TargetId) -> Option<&TargetState> {
         self.states.get(&id.name).filter(|t| t.target.id == *id)
     }
 
-    /// Whether a target is known, and of this service.
+    /// Whether a target is known and belongs to this service.
     pub fn belongs_to(&self, id: &TargetId, service: &str) -> bool {
         self.get(id).is_some_and(|t| *t.target.service == *service)
     }
 
-    /// What discovery says of one start of a target.
+    /// State of one start of a target according to discovery.
     pub fn presence(&self, id: &TargetId) -> Presence {
         match self.states.get(&id.name) {
             None => Presence::Removed,
@@ -92,13 +92,13 @@
         self.states.get_mut(&id.name).filter(|t| t.target.id == *id)
     }
 
-    /// Targets of a service, whatever they may get.
+    /// Targets of a service, usable or not.
     pub fn of_service<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a TargetState> {
         let names = self.services.get(service).map_or(&[][..], Vec::as_slice);
         names.iter().filter_map(|name| self.states.get(name))
     }
 
-    /// Targets of a service that may get new work on these terms, those left out included.
+    /// Targets of a service that may get new requests under these terms, including ejected ones.
     pub fn usable<'a>(
         &'a self,
         service: &str,
@@ -108,14 +108,14 @@
         self.eligible(service, terms, now).filter(move |t| !self.is_backed_off(t, now))
     }
 
-    /// The same with those that want nothing for a while.
+    /// Same as [`Fleet::usable`], including targets that are backed off.
     pub fn eligible<'a>(
         &'a self,
         service: &str,
         terms: Terms<'a>,
         now: Time,
     ) -> impl Iterator<Item = &'a TargetState> {
-        // Looked up once: that takes as long as all else that is asked of a target.
+        // Looked up once because it costs as much as all other checks of a target together.
         let versions = self.versions.on_side(service, terms.side);
         let is_eligible =
             move |t: &&TargetState| self.lasting_exclusion(t, terms.allowed, now).is_none();
@@ -124,8 +124,8 @@
             .filter(is_eligible)
     }
 
-    /// Targets of a service that may get new work in these regions, whatever their version; those
-    /// that want nothing for a while included.
+    /// Targets of a service that may get new requests in these regions, of any version; includes
+    /// those that are backed off.
     pub fn eligible_in<'a>(
         &'a self,
         service: &str,
@@ -139,13 +139,13 @@
             .filter(is_eligible)
     }
 
-    /// Whether a target may get new work on these terms.
+    /// Whether a target may get new requests under these terms.
     pub fn is_usable(&self, id: &TargetId, terms: Terms<'_>, now: Time) -> bool {
         self.get(id).is_some_and(|t| self.exclusion(t, terms, now).is_none())
     }
 
-    /// Why a target may not get new work on these terms now; `None` if it may. Whoever
-    /// chooses a target asks this and nothing else.
+    /// Why a target may not get new requests under these terms now; `None` if it may. The only
+    /// check that callers need before they pick a target.
     pub fn exclusion(&self, t: &TargetState, terms: Terms<'_>, now: Time) -> Option<Exclusion> {
         if let Some(exclusion) = self.exclusion_any_version(t, terms.allowed, now) {
             return Some(exclusion);
@@ -158,7 +158,7 @@
         self.notices.backoff_until(&t.target.id, now).is_some()
     }
 
-    /// The same whichever version the work is for.
+    /// Same as [`Fleet::exclusion`] for any version.
     fn exclusion_any_version(
         &self,
         t: &TargetState,
@@ -169,7 +169,7 @@
         lasting.or_else(|| self.is_backed_off(t, now).then_some(Exclusion::BackedOff))
     }
 
-    /// The same, but for what is over in a moment.
+    /// Same as [`Fleet::exclusion_any_version`] without backoffs, which are short.
     fn lasting_exclusion(
         &self,
         t: &TargetState,
@@ -198,13 +198,13 @@
         (!allowed.permits(region)).then_some(Exclusion::Region)
     }
 
-    /// When what an older copy of the store brought back can be believed.
+    /// When entries from a restored copy of the store can be trusted.
     fn restore_settled_at(&self) -> Option<Time> {
         Some(self.restored_at? + RESTORE_SETTLE_TIME)
     }
 
-    /// The store came back from an older copy: revisions begin anew from somewhere before, and what
-    /// targets had written of leaving since may be there no longer.
+    /// Handles a restore of the store from an older copy: revisions restart from an earlier number,
+    /// and draining marks written since may be lost.
     pub fn begin_epoch(&mut self, now: Time) {
         self.restored_at = Some(now);
         self.evacuated.begin_epoch();
@@ -218,39 +218,39 @@
         self.changes.invalidate();
     }
 
-    /// Where failure domains lie.
+    /// Regions of failure domains.
     pub fn regions(&self) -> &Regions {
         &self.regions
     }
 
-    /// Takes where failure domains lie.
+    /// Replaces the regions of failure domains.
     pub fn set_regions(&mut self, regions: Regions) {
         self.changes.invalidate();
         self.regions = regions;
     }
 
-    /// Versions of services, and the roll-outs that concern them.
+    /// Versions of services, and the rollouts that concern them.
     pub fn versions(&self) -> &Versions {
         &self.versions
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the versions; marks every target as changed.
     pub fn versions_mut(&mut self) -> &mut Versions {
         self.changes.invalidate();
         &mut self.versions
     }
 
-    /// Limits that targets name.
+    /// Limits that targets have named.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the limits.
     pub fn limits_mut(&mut self) -> &mut Limits {
         &mut self.limits
     }
 
-    /// Takes what an answer of a target says of its limit, whose request was sent at `sent`.
+    /// Records the limit in an answer to a request that was sent at `sent_at`.
     pub fn record_limit(
         &mut self,
         id: &TargetId,
@@ -263,7 +263,7 @@
         Some(change)
     }
 
-    /// Takes a word of a target's limit from a peer.
+    /// Merges a limit observation received from a peer.
     pub fn merge_peer_limit(
         &mut self,
         id: &TargetId,
@@ -274,12 +274,12 @@
         Some(change)
     }
 
-    /// What targets report of further requests to them.
+    /// Backoffs and draining marks that targets have reported.
     pub fn notices(&self) -> &Notices {
         &self.notices
     }
 
-    /// Takes what an answer of a target says of further requests; returns what is new.
+    /// Records the notice in an answer; returns what is new.
     pub fn record_notice(&mut self, id: &TargetId, report: Notice, now: Time) -> Vec<NoticeChange> {
         let changes = self.notices.record(id, report, now);
         if changes.contains(&NoticeChange::Draining) {
@@ -291,22 +291,22 @@
         changes
     }
 
-    /// A request, or a call, goes to a target.
+    /// Records that a request or call is sent to a target.
     pub fn note_attempt(&mut self, id: &TargetId, now: Time) {
         if self.notices.note_attempt(id, now) {
             self.changes.push(&id.name);
         }
     }
 
-    /// A target took a request that was sent at `sent`, whatever it answers.
+    /// Records that a target accepted a request sent at `sent_at`, whatever the answer.
     pub fn note_accepted(&mut self, id: &TargetId, sent_at: Time) {
         if self.notices.note_accepted(id, sent_at) {
             self.changes.push(&id.name);
         }
     }
 
-    /// Time until the first target of a service gets something again where all that may get it in
-    /// these regions want nothing for a while; `None` if there are others, or none at all.
+    /// Time until the first backoff ends, if every target of a service that is eligible in these
+    /// regions is backed off; `None` if some are not, or there are none.
     pub fn backoff_left(&self, service: &str, allowed: &Allowed, now: Time) -> Option<Duration> {
         let is_eligible = |t: &&TargetState| self.lasting_exclusion(t, allowed, now).is_none();
         let eligible = self.of_service(service).filter(is_eligible);
@@ -315,7 +315,7 @@
         Some(ends.collect::<Option<Vec<Time>>>()?.into_iter().min()?.since(now))
     }
 
-    /// A target leaves, whatever its entry says.
+    /// Marks a target as draining, whatever its entry says.
     fn set_draining(&mut self, id: &TargetId) {
         let Some(t) = self.states.get_mut(&id.name).filter(|t| t.target.id == *id) else {
             return;
@@ -327,26 +327,26 @@
         self.changes.push(&id.name);
     }
 
-    /// Takes what an answer of a target says of its load; returns whether it cannot be read while
-    /// the word before could, or there was none.
+    /// Records the load report in an answer; returns whether it cannot be parsed although the one
+    /// before it could, or there was none.
     pub fn note_load(&mut self, id: &TargetId, report: ReportedLoad, now: Time) -> bool {
         self.get_mut(id).is_some_and(|t| t.note_load(report, now))
     }
 
-    /// What is known of evacuations.
+    /// Evacuations known to this node.
     pub fn evacuated(&self) -> &Evacuated {
         &self.evacuated
     }
 
-    /// Evacuations are followed: nothing is usable before they are known.
+    /// Follows evacuations: no target is usable before the first list has arrived.
     pub fn follow_evacuations(&mut self) {
         self.changes.invalidate();
         self.evacuated.follow();
     }
 
-    /// Takes a list of evacuations unless a newer one is known; returns what it changes.
+    /// Applies a list of evacuations unless a newer one is known; returns the resulting changes.
     pub fn set_evacuations(&mut self, list: Evacuations, now: Time) -> Vec<EvacuationChange> {
-        // With the first list all domains but those on it may be used, also where it is empty.
+        // The first list makes all other domains usable, even if it is empty.
         let was_known = self.evacuated.is_known();
         let changes = self.evacuated.update(list, now);
         if !was_known || !changes.is_empty() {
@@ -355,14 +355,15 @@
         changes
     }
 
-    /// Whether a target is cold: its entry says so, or the evacuation of its failure domain
-    /// has just been taken back, which its entry tells a moment later.
+    /// Whether a target is cold: according to its entry, or because the evacuation of its failure
+    /// domain has just ended, which the entry reflects only a moment later.
     pub fn is_cold(&self, t: &TargetState, limit: ColdLimit, now: Time) -> bool {
         let ended = self.evacuated.ended_at(&t.target.domain);
         now < t.cold_until || ended.is_some_and(|at| now < at + limit.duration)
     }
 
-    /// This node starts a request at a target; if that is cold, the next one waits.
+    /// Records that this node starts a request at a target; if that is cold, the next start is
+    /// delayed.
     pub fn note_cold_start(&mut self, id: &TargetId, limit: ColdLimit, now: Time) {
         let is_cold = self.get(id).is_some_and(|t| self.is_cold(t, limit, now));
         if let Some(t) = self.get_mut(id).filter(|_| is_cold) {
@@ -370,7 +371,7 @@
         }
     }
 
-    /// All targets with an entry that can be read.
+    /// Entries of all listed targets that can be parsed.
     pub fn targets(&self, now: Time) -> Vec<Target> {
         let is_readable = |t: &&TargetState| {
             t.missing_until.is_none() && !self.unreadable.contains(&t.target.id.name)
@@ -378,23 +379,23 @@
         self.states.values().filter(is_readable).map(|t| t.entry(now)).collect()
     }
 
-    /// All entries, for another node that starts.
+    /// All entries, for another node that is starting.
     pub fn list(&self, now: Time) -> TargetList {
         let unreadable = self.unreadable.iter().cloned().collect();
         TargetList { targets: self.targets(now), unreadable }
     }
 
-    /// Count of entries that cannot be read.
+    /// Number of entries that cannot be parsed.
     pub fn count_unreadable(&self) -> usize {
         self.unreadable.len()
     }
 
-    /// Count of targets whose entries say that they are cold.
+    /// Number of targets whose entries say that they are cold.
     pub fn count_cold(&self, now: Time) -> usize {
         self.states.values().filter(|t| now < t.cold_until).count()
     }
 
-    /// Count of targets known.
+    /// Number of known targets.
     pub fn len(&self) -> usize {
         self.states.len()
     }
@@ -404,11 +405,11 @@
         self.states.is_empty()
     }
 
-    /// Takes an entry as it is now; returns whether what is believed changed. Nothing that
-    /// was believed of an earlier start, or of one in another service or place, holds on.
+    /// Applies an entry; returns whether the state changed. State of an earlier start, or of one in
+    /// another service, failure domain or address, is discarded.
     ///
-    /// An entry that is older than the one known changes nothing: a source that is behind
-    /// would bring an earlier start back.
+    /// An entry older than the known one is ignored: a source that lags behind would restore an
+    /// earlier start.
     pub fn upsert(&mut self, target: Target, now: Time) -> bool {
         let known = self.states.get(&target.id.name).map_or(0, |t| t.target.revision);
         let is_older = target.revision > 0 && target.revision < known;
@@ -417,7 +418,8 @@
 
     fn put(&mut self, mut target: Target, now: Time) -> bool {
         let name = target.id.name.clone();
-        // The target's own word comes before its entry, which may be older or come later.
+        // The target's own report takes precedence over its entry, which may be older or arrive
+        // later.
         target.draining |= self.notices.is_draining(&target.id);
         if self.restore_settled_at().is_none_or(|at| now >= at) {
             self.notices.note_present(&target.id);
@@ -434,7 +436,8 @@
         if let Some(t) = self.states.get_mut(&name).filter(|t| is_same(t)) {
             let was_missing = t.missing_until.take().is_some();
             update_versions(&mut self.versions, &mut self.changes, |versions| {
-                // In first: a version's only target does not make it a new one.
+                // Counted before the old entry is removed, so that a version does not seem new when
+                // its only target is replaced.
                 count_version(versions, &target);
                 uncount_version(versions, &t.target);
             });
@@ -449,8 +452,8 @@
         true
     }
 
-    /// An entry cannot be read: its target gets nothing new, and what it has goes on. Returns
-    /// whether that is new.
+    /// Marks an entry as unparsable: its target gets no new requests, and running ones continue.
+    /// Returns whether that is new.
     pub fn mark_unreadable(&mut self, name: &Name) -> bool {
         self.changes.push(name);
         if let Some(t) = self.states.get_mut(name) {
@@ -459,8 +462,8 @@
         self.unreadable.insert(name.clone())
     }
 
-    /// An entry is gone. After an outage of the store it may have lapsed although its
-    /// target lives: until `grace` the target is kept then.
+    /// Handles the removal of an entry. After an outage of the store it may have expired although
+    /// its target is alive; the target is then kept until `grace`.
     pub fn remove(&mut self, name: &Name, grace: Option<Time>, now: Time) {
         let was_unreadable = self.unreadable.remove(name);
         let Some(t) = self.states.get_mut(name) else {
@@ -478,8 +481,8 @@
         }
     }
 
-    /// Takes a whole list: what it lacks has vanished. Of the entries that it has it is the
-    /// last word, whatever their revisions.
+    /// Applies a complete list: entries missing from it were removed. Its entries replace the known
+    /// ones whatever their revisions.
     pub fn replace(&mut self, list: impl Into<TargetList>, grace: Option<Time>, now: Time) {
         let TargetList { targets, unreadable } = list.into();
         let readable = targets.iter().map(|t| &t.id.name);
@@ -497,8 +500,7 @@
         }
     }
 
-    /// Forgets targets whose vanished entry did not come back in time, and what was kept of others
-    /// that are gone.
+    /// Drops targets whose entry did not reappear in time, and expired records of removed ones.
     pub fn expire(&mut self, now: Time) {
         let is_expired = |t: &TargetState| t.missing_until.is_some_and(|until| now >= until);
         let ids: Vec<TargetId> =
@@ -526,14 +528,14 @@
         });
     }
 
-    /// A target was chosen for a request.
+    /// Records that a target was picked for a request.
     pub fn note_chosen(&mut self, id: &TargetId, now: Time) {
         if let Some(t) = self.get_mut(id) {
             t.note_chosen(now);
         }
     }
 
-    /// A request goes to the target, with this many prompt tokens to read.
+    /// Records a request in flight at a target, with this many prompt tokens to process.
     pub fn request_sent(&mut self, id: &TargetId, tokens: u64) {
         if let Some(t) = self.get_mut(id) {
             t.outstanding += 1;
@@ -541,21 +543,21 @@
         }
     }
 
-    /// The prompt of a request has been read there.
+    /// Records that the target has processed the prompt of a request.
     pub fn prompt_read(&mut self, id: &TargetId, tokens: u64) {
         if let Some(t) = self.get_mut(id) {
             t.prefill_tokens = t.prefill_tokens.saturating_sub(tokens);
         }
     }
 
-    /// A request is no longer at the target.
+    /// Records that a request has left the target.
     pub fn request_done(&mut self, id: &TargetId) {
         if let Some(t) = self.get_mut(id) {
             t.outstanding = t.outstanding.saturating_sub(1);
         }
     }
 
-    /// Takes what a send brought; returns whether the target is now left out.
+    /// Records the outcome of a request; returns whether the target is now ejected.
     pub fn observe(&mut self, id: &TargetId, observation: Observation, now: Time) -> bool {
         let Some(t) = self.get_mut(id) else {
             return false;
@@ -565,7 +567,7 @@
     }
 }
 
-/// Counts targets of versions otherwise; which versions there are decides for all targets.
+/// Runs `count`; a change in the set of versions affects every target.
 fn update_versions(
     versions: &mut Versions,
     changes: &mut ChangeLog,
@@ -578,15 +580,15 @@
     }
 }
 
-/// Counts a target of a version, unless it leaves: such a one is no other that its service
-/// could go on with.
+/// Counts a target towards its version unless it is draining: a service could not continue on that
+/// one.
 fn count_version(versions: &mut Versions, target: &Target) {
     if !target.draining {
         versions.saw(&target.service, &target.version, target.revision, target.id.start);
     }
 }
 
-/// Counts a target of a version no longer.
+/// Removes a target from the count of its version.
 fn uncount_version(versions: &mut Versions, target: &Target) {
     if !target.draining {
         versions.gone(&target.service, &target.version);
--- a/crates/decide/src/fleet/terms.rs
+++ b/crates/decide/src/fleet/terms.rs
@@ -1,4 +1,4 @@
-//! On which terms a target may get a request.
+//! Conditions under which a target may get a request.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,43 +6,43 @@
 use model::Name;
 use model::forward::{Allowed, Side};
 
-/// What a request asks of any target that gets it, or a part of it.
+/// Requirements of a request, or part of one, for its target.
 #[derive(Debug, Clone, Copy)]
 pub struct Terms<'a> {
     /// Regions in which it may be served.
     pub allowed: &'a Allowed,
-    /// Version that it goes to.
+    /// Side of a rollout whose versions serve it.
     pub side: Side,
 }
 
 impl Terms<'static> {
-    /// Served anywhere, by the version that serves.
+    /// Any region, serving version.
     pub const ANY: Terms<'static> = Terms { allowed: &Allowed::ANY, side: Side::Serving };
 }
 
-/// Why a target may not get a request.
+/// Why a target is excluded for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exclusion {
-    /// Its entry cannot be read.
+    /// Its entry cannot be parsed.
     Unreadable,
     /// It is draining.
     Draining,
-    /// Its entry vanished, and did not come back in time.
+    /// Its entry vanished and did not reappear in time.
     Missing,
     /// Its failure domain is evacuated.
     Evacuated,
-    /// Its failure domain lies in no region that is allowed, or in none that is known.
+    /// Its failure domain is in no allowed region, or its region is unknown.
     Region,
-    /// The request does not go to its version.
+    /// The request belongs to another version.
     Version,
-    /// Its entry was gone before the store came back from an older copy.
+    /// Its entry had been removed before the store was restored from an older copy.
     Restored,
-    /// It wants nothing of this node for a while.
+    /// It asked this node for a backoff.
     BackedOff,
 }
 
 impl Exclusion {
-    /// Name in log lines and metrics.
+    /// Label in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Exclusion::Unreadable => "unreadable",
@@ -57,39 +57,39 @@
     }
 }
 
-/// Regions in which failure domains lie, as settings tell. Clones share one copy.
+/// Regions of failure domains according to the settings. Clones share one map.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Regions(Arc<BTreeMap<Name, Name>>);
 
 impl Regions {
-    /// The region of each failure domain.
+    /// Creates the map from failure domain to region.
     pub fn new(of_domain: BTreeMap<Name, Name>) -> Self {
         Regions(Arc::new(of_domain))
     }
 
-    /// Region of a failure domain, if it is known.
+    /// Region of a failure domain, if known.
     pub fn of(&self, domain: &str) -> Option<&Name> {
         self.0.get(domain)
     }
 
-    /// Whether any failure domain lies where something may be served.
+    /// Whether any failure domain lies in an allowed region.
     pub fn any_allowed(&self, allowed: &Allowed) -> bool {
         allowed.is_any() || self.0.values().any(|region| allowed.permits(Some(region)))
     }
 
-    /// Regions among these that no failure domain lies in.
+    /// Allowed regions that contain no failure domain.
     pub fn unknown<'a>(&self, allowed: &'a Allowed) -> impl Iterator<Item = &'a Name> {
         allowed.names().filter(|name| !self.0.values().any(|region| region == *name))
     }
 
-    /// Whether failure domains lie in more than one region.
+    /// Whether the failure domains span more than one region.
     pub fn is_multi_region(&self) -> bool {
         let mut regions = self.0.values();
         let first = regions.next();
         regions.any(|region| Some(region) != first)
     }
 
-    /// Failure domains whose region is known.
+    /// Failure domains with a known region.
     pub fn domains(&self) -> impl Iterator<Item = &Name> {
         self.0.keys()
     }
--- a/crates/decide/src/permit/issuer.rs
+++ b/crates/decide/src/permit/issuer.rs
@@ -1,4 +1,4 @@
-//! What a keeper gives out: permits to send requests to targets that name limits.
+//! Issues permits for requests to targets that name limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,37 +8,37 @@
 
 use super::LimitObservation;
 
-/// Part of a limit that is given out. Half as much again may be sent, and some requests: that
-/// leaves room for a second keeper, one that others still or already ask, and for requests that
-/// arrive later than their permits were given.
+/// Share of a limit that is issued as permits. The platform tolerates 1.5 times the limit and a few
+/// requests more. The rest leaves room for a second keeper, which some nodes may still or already
+/// ask, and for requests that arrive later than their permits were issued.
 const ISSUED_SHARE: f64 = 0.7;
-/// Permits that may be saved up.
+/// Maximum number of accumulated permits.
 const BURST: f64 = 2.0;
-/// Least permits a second: a target that gets no request cannot say that its limit is over.
+/// Minimum permits per second: a target that gets no requests cannot report the end of its limit.
 const MIN_RATE: f64 = 0.1;
-/// Longest time for which an asker is sent away beyond that until there is a permit: whoever
-/// asked before it may have no request by then.
+/// Maximum retry delay beyond the time of the next permit: the nodes queued ahead may have no
+/// request left by then.
 const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
-/// Time for which a target is remembered that nobody asks for.
+/// Time for which a target is kept after the last request for a permit.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Pieces that a call may have at a maker that names a limit, where others name none: it may
-/// count pieces, and saved permits cover so many.
+/// Maximum pieces per call to a target that names a limit, if no other maximum applies: the target
+/// may count pieces, and accumulated permits cover this many.
 pub const MAX_LIMITED_PIECES: u32 = BURST as u32;
 
-/// Permits a second that are given out for a limit.
+/// Permits issued per second for a limit.
 pub fn issue_rate(per_s: f64) -> f64 {
     (per_s * ISSUED_SHARE).max(MIN_RATE)
 }
 
-/// The answer to whoever asks for a permit.
+/// Response to a request for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Grant {
-    /// It may send now.
+    /// Send now.
     Now,
-    /// It may ask again after this time.
+    /// Ask again after this time.
     Later(Duration),
-    /// The target names no limit any more.
+    /// The target no longer names a limit.
     Unlimited,
 }
 
@@ -47,13 +47,13 @@
     limit: LimitObservation,
     tokens: f64,
     refilled_at: Time,
-    /// When nodes that were sent away may ask again. One that has several requests waits once.
+    /// When rejected nodes may ask again. A node has one place, however many requests it has.
     queue: BTreeMap<Name, Time>,
     requested_at: Time,
 }
 
 impl Bucket {
-    /// Nothing is saved up: an earlier keeper may have given it out.
+    /// Starts without accumulated permits, since an earlier keeper may have issued them.
     fn new(limit: LimitObservation, now: Time) -> Self {
         Bucket { limit, tokens: 0.0, refilled_at: now, queue: BTreeMap::new(), requested_at: now }
     }
@@ -76,8 +76,8 @@
         Grant::Later(self.enqueue(node, next, interval, now).since(now))
     }
 
-    /// When an asker may ask again: one after the other, as permits come. `next` is when there is
-    /// one, `each` the time between two.
+    /// When a node may ask again: one after the other, at the rate of the permits. `next` is the
+    /// time of the next permit, `interval` the time between two.
     fn enqueue(&mut self, node: &Name, next: Time, interval: Duration, now: Time) -> Time {
         self.queue.retain(|_, at| *at > now);
         if let Some(at) = self.queue.get(node) {
@@ -91,12 +91,13 @@
     }
 }
 
-/// Targets that this node keeps, or kept.
+/// Targets that this node is or was the keeper of.
 #[derive(Debug, Default)]
 pub struct PermitIssuer(BTreeMap<TargetId, Bucket>);
 
 impl PermitIssuer {
-    /// Takes a word of a target; returns whether it names a limit since then, or none any more.
+    /// Merges an observation of a target's limit; returns whether the target has started or stopped
+    /// naming one.
     pub fn merge(&mut self, id: &TargetId, limit: LimitObservation, now: Time) -> bool {
         let Some(bucket) = self.0.get_mut(id) else {
             if limit.per_s.is_some() {
@@ -110,7 +111,7 @@
         was_limited != bucket.limit.per_s.is_some()
     }
 
-    /// A node asks for a permit to send so many requests to a target at once.
+    /// Requests a permit for `count` requests to a target at once.
     pub fn request(&mut self, id: &TargetId, node: &Name, count: u32, now: Time) -> Grant {
         let Some(bucket) = self.0.get_mut(id) else {
             return Grant::Unlimited;
@@ -119,12 +120,12 @@
         bucket.grant(node, count, now)
     }
 
-    /// The last word of a target.
+    /// Latest observation of a target's limit.
     pub fn observation(&self, id: &TargetId) -> Option<LimitObservation> {
         self.0.get(id).map(|bucket| bucket.limit)
     }
 
-    /// Forgets targets that nobody asked for in a long time.
+    /// Drops targets for which no node has requested a permit for a long time.
     pub fn expire(&mut self, now: Time) {
         self.0.retain(|_, bucket| now.since(bucket.requested_at) < RETENTION);
     }
--- a/crates/decide/src/permit/limits.rs
+++ b/crates/decide/src/permit/limits.rs
@@ -1,4 +1,4 @@
-//! What one node knows of the limits that targets name.
+//! Limits that targets name, as known to one node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,31 +8,32 @@
 
 use super::LimitObservation;
 
-/// Time for which a word is remembered whose target is known no longer, or names no limit any
-/// more: entries that lapse around an outage of the store come back, and peers may tell older words.
+/// Time for which an observation is kept whose target is no longer known or names no limit any
+/// more: entries that expire around an outage of the store reappear, and peers may send older
+/// observations.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Time after which a target is due that this node asked nothing of: it may be faster by now than
-/// it was, and that its limit is over shows by its answers alone.
+/// Time without requests from this node after which a target is probed: it may be faster by now,
+/// and only its answers show that its limit has ended.
 const PROBE_AFTER: Duration = Duration::from_secs(2);
 
-/// What a word changes.
+/// Effect of an observation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitChange {
-    /// The target names a limit from now on, or another one.
+    /// The target named a limit, or a different one, in requests per second.
     Named(f64),
-    /// It names none any more.
+    /// The target no longer names a limit.
     Ended,
-    /// It names one that cannot be read; what was known of it holds.
+    /// The target named a limit that cannot be parsed; the known one stays in force.
     Unreadable,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     limit: LimitObservation,
-    /// Until then this node sends nothing there.
+    /// This node sends nothing to the target before this time.
     closed_until: Time,
-    /// When this node last asked for a permit.
+    /// When this node last requested a permit.
     requested_at: Time,
 }
 
@@ -49,17 +50,17 @@
         self.named().next().is_none()
     }
 
-    /// The limit that a target names, in requests a second.
+    /// Limit of a target, in requests per second.
     pub fn get(&self, id: &TargetId) -> Option<f64> {
         self.entries.get(id)?.limit.per_s
     }
 
-    /// Targets that name a limit, with it.
+    /// Targets that name a limit, with the limit in requests per second.
     pub fn named(&self) -> impl Iterator<Item = (&TargetId, f64)> {
         self.entries.iter().filter_map(|(id, entry)| Some((id, entry.limit.per_s?)))
     }
 
-    /// Until when this node sends nothing to a target, as far as is known.
+    /// Time before which this node sends nothing to a target that names a limit.
     pub fn closed_until(&self, id: &TargetId) -> Option<Time> {
         let entry = self.entries.get(id)?;
         entry.limit.per_s.map(|_| entry.closed_until)
@@ -70,28 +71,28 @@
         self.closed_until(id).is_some_and(|until| now < until)
     }
 
-    /// Whether a target that names a limit is to be asked now, however slow it seemed.
+    /// Whether a target that names a limit should get a request now, however slow it seemed.
     pub fn needs_probe(&self, id: &TargetId, now: Time) -> bool {
         let entry = self.entries.get(id).filter(|entry| entry.limit.per_s.is_some());
         entry.is_some_and(|e| now >= e.closed_until && now.since(e.requested_at) >= PROBE_AFTER)
     }
 
-    /// This node is to send to a target: the last word of it, if it names a limit, so that a
-    /// permit is asked for.
+    /// Records that this node needs a permit for a target; returns the latest observation of its
+    /// limit, or `None` if it names none and no permit is needed.
     pub fn request_permit(&mut self, id: &TargetId, now: Time) -> Option<LimitObservation> {
         let entry = self.entries.get_mut(id).filter(|entry| entry.limit.per_s.is_some())?;
         entry.requested_at = now;
         Some(entry.limit)
     }
 
-    /// Nothing is to be sent to a target before this.
+    /// Sends nothing to a target before `until`.
     pub fn close(&mut self, id: &TargetId, until: Time) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.closed_until = until;
         }
     }
 
-    /// Takes what an answer says whose request was sent at `sent`.
+    /// Records the limit in an answer to a request that was sent at `sent_at`.
     pub fn record(
         &mut self,
         id: &TargetId,
@@ -110,7 +111,7 @@
         self.merge(id, LimitObservation { per_s, sent_at, received_at: now })
     }
 
-    /// Takes a word, of an answer or of a peer.
+    /// Merges an observation from an answer or a peer.
     pub fn merge(&mut self, id: &TargetId, limit: LimitObservation) -> Option<LimitChange> {
         let Some(entry) = self.entries.get_mut(id) else {
             let per_s = limit.per_s?;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Forgets targets that are known no longer, and limits that ended long ago.
+    /// Drops targets that are no longer known, and limits that ended long ago.
     pub fn expire(&mut self, is_known: impl Fn(&TargetId) -> bool, now: Time) {
         let is_kept = |id: &TargetId, entry: &Entry| {
             let is_recent = now.since(entry.limit.received_at) < RETENTION;
--- a/crates/decide/src/permit/mod.rs
+++ b/crates/decide/src/permit/mod.rs
@@ -1,9 +1,9 @@
-//! Limits that targets name in their answers, and permits to send requests there.
+//! Limits that targets name in their answers, and permits to send them requests.
 //!
-//! A limit is the requests a second that a target takes from all nodes together, for as long as
-//! its answers say so. One node, the target's keeper, keeps the sum: whoever sends a request
-//! there asks it for a permit first. Nodes that disagree on who that is for a moment ask two; what
-//! one gives out leaves room for another.
+//! A limit is the number of requests per second that a target accepts from all nodes together, in
+//! force as long as its answers name it. One node, the target's keeper, accounts for all of them:
+//! every other node asks it for a permit before it sends a request. Nodes that briefly disagree on
+//! the keeper ask two of them; the share that one issues leaves room for another.
 
 mod issuer;
 mod limits;
--- a/crates/decide/src/permit/observation.rs
+++ b/crates/decide/src/permit/observation.rs
@@ -1,30 +1,30 @@
-//! What one answer said of its target's limit, and which of two such words is the later one.
+//! Observation of a target's limit in one answer, and how two observations are merged.
 
 use std::time::Duration;
 
 use model::Time;
 use model::forward::LimitWord;
 
-/// Longest time in which a peer's word comes, as long as nodes wait for the answer to a message: by
-/// so much it may be older than it tells.
+/// Maximum transit time of a peer's observation, which may be older than it says by this much.
+/// Equal to the time that nodes wait for the response to a message.
 pub const MAX_TRANSIT: Duration = Duration::from_millis(800);
 
-/// What an answer said of the requests that its target takes.
+/// Limit that one answer of a target named.
 ///
-/// The target said it at some moment between the two times. Answers overtake one another, on many
-/// connections and at many nodes, so that of two words it is not always known which is later.
+/// The target named it at some moment between the two times. Answers overtake one another on many
+/// connections and at many nodes, so it is not always known which of two observations is later.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitObservation {
-    /// Requests a second; `None` if it names no limit.
+    /// Requests per second; `None` if no limit was named.
     pub per_s: Option<f64>,
     /// When the request was sent.
     pub sent_at: Time,
-    /// When the answer came.
+    /// When the answer arrived.
     pub received_at: Time,
 }
 
 impl LimitObservation {
-    /// A peer's word.
+    /// Converts an observation received from a peer.
     pub fn from_peer(limit: &LimitWord, now: Time) -> LimitObservation {
         let ago = |ms: u64| now - Duration::from_millis(ms);
         LimitObservation {
@@ -34,14 +34,13 @@
         }
     }
 
-    /// The word as a peer is told it.
+    /// Converts the observation into the form sent to peers.
     pub fn to_peer(&self, now: Time) -> LimitWord {
         let age = |at: Time| now.since(at).as_millis() as u64;
         LimitWord { per_s: self.per_s, sent_ms: age(self.sent_at), came_ms: age(self.received_at) }
     }
 
-    /// What holds after both: the later word, and the tighter one where it is not known which
-    /// that is.
+    /// Merges two observations: the later one wins, or the lower limit if their order is unknown.
     pub fn merge(self, other: LimitObservation) -> LimitObservation {
         if self.per_s == other.per_s {
             let (sent_at, received_at) =
@@ -53,7 +52,7 @@
         if lower.received_at <= higher.sent_at { higher } else { lower }
     }
 
-    /// Requests a second that the target takes.
+    /// Requests per second that the target accepts.
     fn rate(&self) -> f64 {
         self.per_s.unwrap_or(f64::INFINITY)
     }
--- a/crates/decide/src/permit/pacer.rs
+++ b/crates/decide/src/permit/pacer.rs
@@ -1,23 +1,24 @@
-//! When callers are told to come back to a service all of whose targets are at their limits.
+//! Retry times for callers of a service whose targets are all at their limits.
 
 use std::time::Duration;
 
 use model::Time;
 
-/// Longest time that a caller is told, beyond that until any target gets a request. Few wait for
-/// longer; those told later times are taken to have given up, and the next are told early ones.
+/// Maximum retry delay beyond the time when a target accepts the next request. Few callers wait
+/// longer than this; those with later times are assumed to have given up, and the delays restart
+/// from the earliest time.
 const MAX_SPREAD: Duration = Duration::from_secs(10);
 
-/// Callers of one service that were sent away: one after the other, as fast as this node's part of
-/// the permits comes, so that those of all nodes together find some.
+/// Spreads the retries of rejected callers of one service at the rate of this node's share of the
+/// permits, so that the retries at all nodes together find permits.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RetryPacer {
     last: Time,
 }
 
 impl RetryPacer {
-    /// Time after which the next caller may come back. `soonest` is the time until a target may
-    /// get a request, `pace` the permits a second of all targets, of which this is one of `nodes`.
+    /// Delay after which the next caller should retry. `min_wait` is the time until a target may
+    /// get a request, `rate` the permits per second of all targets, shared by `nodes` nodes.
     pub fn next(&mut self, min_wait: Duration, rate: f64, nodes: usize, now: Time) -> Duration {
         let interval =
             Duration::from_secs_f64((nodes.max(1) as f64 / rate).min(MAX_SPREAD.as_secs_f64()));
--- a/crates/decide/src/relay/history.rs
+++ b/crates/decide/src/relay/history.rs
@@ -1,8 +1,8 @@
-//! Changes by the store's revision, bounded.
+//! Bounded log of changes, indexed by store revision.
 
 use std::collections::VecDeque;
 
-/// Most changes held; a follower that is further behind takes the whole state.
+/// Maximum number of changes; a follower that is further behind reads the complete state.
 const MAX_CHANGES: usize = 1024;
 
 #[derive(Debug)]
@@ -11,7 +11,7 @@
     changes: Vec<T>,
 }
 
-/// What changed since a revision, as far back as it is held.
+/// Changes since a revision, as far back as the log reaches.
 #[derive(Debug)]
 pub struct History<T> {
     from: u64,
@@ -27,17 +27,18 @@
 }
 
 impl<T: Clone> History<T> {
-    /// Revision that the state is at; 0 if none was ever read.
+    /// Revision of the state; 0 if none was read yet.
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// The whole state was read at this revision: what came before is not known.
+    /// Restarts the log after the complete state was read at this revision; earlier changes are
+    /// unknown.
     pub fn restart(&mut self, at: u64) {
         *self = History { from: at, at, ..History::default() };
     }
 
-    /// Takes the changes after the current revision up to `at`.
+    /// Appends the changes after the current revision up to `at`.
     pub fn append(&mut self, at: u64, changes: Vec<T>) {
         if at <= self.at {
             return;
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Changes after a revision, oldest first, and maybe some before it: taking a change
-    /// twice changes nothing. `None` if it is further back than the history goes.
+    /// Changes after a revision, oldest first, possibly with some before it: applying a change
+    /// twice has no effect. `None` if the log does not reach back that far.
     pub fn since(&self, at: u64) -> Option<Vec<T>> {
         if at < self.from {
             return None;
--- a/crates/decide/src/relay/list.rs
+++ b/crates/decide/src/relay/list.rs
@@ -1,27 +1,27 @@
-//! A list of objects that operators keep, as one reader of the store follows it from revision
+//! A list of objects maintained by operators, as one reader of the store follows it from revision
 //! to revision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use model::Name;
 
-/// What became of one object.
+/// State of one object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Entry<T> {
-    /// It is like this now.
+    /// The current value.
     Present(T),
-    /// It is there but cannot be read: what was known of it holds on.
+    /// It exists but cannot be parsed; the last known value stays in force.
     Unreadable,
-    /// It is gone.
+    /// It was deleted.
     Removed,
 }
 
-/// The list.
+/// Objects by name, with the revision they were read at.
 #[derive(Debug)]
 pub struct List<T> {
     at: Option<u64>,
     objects: BTreeMap<Name, T>,
-    /// Those that are there and cannot be read, whether or not they were known before.
+    /// Objects that exist but cannot be parsed, whether or not they were known before.
     unreadable: BTreeSet<Name>,
 }
 
@@ -32,22 +32,24 @@
 }
 
 impl<T> List<T> {
-    /// Revision to go on from; `None` if the whole list is to be read.
+    /// Revision to continue from; `None` if the complete list has to be read.
     pub fn at(&self) -> Option<u64> {
         self.at
     }
 
-    /// The store does not reach back to this revision: the whole list is read next.
+    /// Requires the complete list to be read next, since the store's history does not reach back to
+    /// the current revision.
     pub fn restart(&mut self) {
         self.at = None;
     }
 
-    /// These objects are in force: what cannot be read in the next whole list holds on.
+    /// Sets the objects in force, which stay in force if the next complete list has them in a form
+    /// that cannot be parsed.
     pub fn set_objects(&mut self, objects: BTreeMap<Name, T>) {
         self.objects = objects;
     }
 
-    /// Takes the whole list, which is to be followed from `at` on by what changed since.
+    /// Replaces the list by the complete one at revision `at`.
     pub fn replace(&mut self, at: u64, entries: impl IntoIterator<Item = (Name, Entry<T>)>) {
         let mut before = std::mem::take(&mut self.objects);
         self.unreadable.clear();
@@ -60,7 +62,7 @@
         self.at = Some(at);
     }
 
-    /// Takes what changed up to `at`, oldest first.
+    /// Applies the changes up to `at`, oldest first.
     pub fn apply(&mut self, at: u64, entries: impl IntoIterator<Item = (Name, Entry<T>)>) {
         self.at = Some(at);
         for (name, entry) in entries {
@@ -77,18 +79,17 @@
         }
     }
 
-    /// The objects by name.
+    /// Objects by name.
     pub fn objects(&self) -> &BTreeMap<Name, T> {
         &self.objects
     }
 
-    /// Names of objects that are there and cannot be read.
+    /// Names of objects that exist but cannot be parsed.
     pub fn unreadable(&self) -> impl Iterator<Item = &Name> {
         self.unreadable.iter()
     }
 
-    /// The objects by name, and the revision at which they are so; `None` if the whole list is
-    /// to be read.
+    /// Objects by name and the revision of that state; `None` if the complete list has to be read.
     pub fn snapshot(&self) -> Option<(u64, &BTreeMap<Name, T>)> {
         Some((self.at?, &self.objects))
     }
--- a/crates/decide/src/relay/mod.rs
+++ b/crates/decide/src/relay/mod.rs
@@ -1,15 +1,15 @@
-//! How a node follows the store without calling it.
+//! Follows the store through other nodes.
 //!
-//! Calls of the store are dear and its rates grow more slowly than the fleet, so one node of
-//! each failure domain, its relay, watches the store. The others follow it, and a standby
-//! among them takes its place at any moment. All use the store's own revisions, so a node
-//! moves from one source to another without beginning anew. A relay tells with each answer
-//! how long ago the store last confirmed what it knows; whoever hears of too great an age
-//! moves on: to the standby, to the relays of other domains, at last to the store.
+//! Calls to the store are expensive and its call rate limits grow more slowly than the fleet, so
+//! one node per failure domain, its relay, watches the store. The others follow the relay, and a
+//! standby among them can replace it at any moment. All of them use the store's own revisions, so a
+//! node switches to another source without starting over. With each answer a relay reports how long
+//! ago the store last confirmed its state; a follower switches when that age is too great: to the
+//! standby, to the relays of other domains, and finally to the store.
 //!
-//! Where all relays are out of touch the store is most likely lost to everybody: followers
-//! then wait with a relay until it is in touch again, and ask the store themselves only now
-//! and then, the more seldom the more of them there are.
+//! If all relays have lost contact with the store, most likely no node can reach it. Followers then
+//! wait at a relay until that has contact again, and call the store themselves only occasionally,
+//! the less often the more followers there are.
 
 mod history;
 mod list;
--- a/crates/decide/src/relay/newest.rs
+++ b/crates/decide/src/relay/newest.rs
@@ -1,23 +1,24 @@
-//! The newest of the lists that a node hears of from several sources. The store's revisions
-//! order them, so that a slow source never brings an older one back. Where the store came back from
-//! an older copy they begin anew: what is known holds until the next list, whatever its revision.
+//! Latest version of a list that a node receives from several sources. The store's revisions order
+//! the versions, so that a slow source never restores an older one. Revisions restart when the
+//! store is restored from an older copy: the known list then stays in force until the next one,
+//! whatever its revision.
 
 /// A list and its revisions.
 #[derive(Debug)]
 struct Known<T> {
-    /// Revision of the newest list that was heard of.
+    /// Revision of the newest list received.
     at: u64,
-    /// Revision of the first list that was like it.
+    /// Revision at which the list took its present value.
     since: u64,
     list: T,
 }
 
-/// What a node knows of a list, if it is to follow it.
+/// Latest version of a list, if the node follows it.
 #[derive(Debug)]
 pub struct LatestList<T> {
     followed: bool,
     known: Option<Known<T>>,
-    /// What is known is of an earlier epoch of the store.
+    /// The known list belongs to an earlier epoch of the store.
     outdated: bool,
 }
 
@@ -28,7 +29,7 @@
 }
 
 impl<T: Default + PartialEq> LatestList<T> {
-    /// The list is followed from now on.
+    /// Follows the list from now on.
     pub fn follow(&mut self) {
         self.followed = true;
     }
@@ -38,12 +39,12 @@
         self.followed
     }
 
-    /// Whether the list is known, or is not followed.
+    /// Whether the list is known or not followed.
     pub fn is_known(&self) -> bool {
         !self.followed || self.known.is_some()
     }
 
-    /// The list, if one was heard of.
+    /// The list; `None` before the first one was received.
     pub fn list(&self) -> Option<&T> {
         self.known.as_ref().map(|k| &k.list)
     }
@@ -53,24 +54,24 @@
         self.known.as_ref().map(|k| k.at)
     }
 
-    /// Whether a node that knows the list of a revision, if any, lacks a change.
+    /// Whether a node with the list of this revision, if any, lacks a change.
     pub fn changed_since(&self, at: Option<u64>) -> bool {
         let is_newer = |k: &Known<T>| at.is_none_or(|at| at < k.since);
         self.is_current() && self.known.as_ref().is_some_and(is_newer)
     }
 
-    /// Whether a list of this epoch of the store is known.
+    /// Whether the known list belongs to the current epoch of the store.
     pub fn is_current(&self) -> bool {
         self.known.is_some() && !self.outdated
     }
 
-    /// The store came back from an older copy.
+    /// Handles a restore of the store from an older copy.
     pub fn begin_epoch(&mut self) {
         self.outdated = self.known.is_some();
     }
 
-    /// Takes the list of a revision unless a newer one is known; returns the one before if it
-    /// was another, an empty one if none was known.
+    /// Applies a list unless a newer one is known. Returns the previous list if its value differs,
+    /// or an empty list for the first one.
     pub fn update(&mut self, at: u64, list: T) -> Option<T> {
         let Some(known) = &mut self.known else {
             self.known = Some(Known { at, since: at, list });
--- a/crates/decide/src/relay/outage.rs
+++ b/crates/decide/src/relay/outage.rs
@@ -1,27 +1,28 @@
-//! Until when targets are kept whose entries vanished around an outage of the store: their entries
-//! may have lapsed although they live.
+//! Grace period for targets whose entries vanished around an outage of the store: the entries may
+//! have expired although the targets are alive.
 //!
-//! Only the node that read the state in the store knows of such an outage. Those that took it from
-//! a peer go by what that peer told: a node that the store turns away itself would else doubt what
-//! others know for certain, for as long again at each node that it passes through.
+//! Only a node that read the state from the store can judge such an outage. A node that got the
+//! state from a peer uses the grace period of that peer: otherwise a node that the store itself
+//! rejects would keep targets that its peer knows to be gone, and every node that the state passes
+//! through would extend the period again.
 
 use std::time::Duration;
 
 use model::Time;
 
-/// Time in which entries that lapsed during an outage of the store are back after it.
+/// Time after an outage of the store within which expired entries are written again.
 const REREGISTER_TIME: Duration = Duration::from_secs(2);
 
-/// Where the state that a node has came from.
+/// Source of this node's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
-    /// The store, read by this node.
+    /// Read from the store by this node.
     Store,
-    /// A peer, which doubted until then what had vanished.
+    /// Received from a peer whose grace period ends at this time.
     Peer(Time),
 }
 
-/// What a node knows of outages of the store.
+/// Store outages as observed by this node.
 #[derive(Debug)]
 pub struct OutageGrace {
     store_down: bool,
@@ -36,42 +37,43 @@
 }
 
 impl OutageGrace {
-    /// The store did not answer this node.
+    /// Records that a store call of this node failed.
     pub fn store_failed(&mut self) {
         self.store_down = true;
     }
 
-    /// The store answered this node.
+    /// Records that the store answered this node.
     pub fn store_answered(&mut self, now: Time) {
         if std::mem::take(&mut self.store_down) {
             self.recovered_at = Some(now);
         }
     }
 
-    /// The store came back from an older copy, in which entries may lack that were there.
+    /// Handles a restore of the store from an older copy, which may lack entries that existed.
     pub fn restored(&mut self, now: Time) {
         self.recovered_at = Some(now);
     }
 
-    /// Whether the last call of the store failed.
+    /// Whether the last call to the store failed.
     pub fn is_store_down(&self) -> bool {
         self.store_down
     }
 
-    /// The state was read in the store; until when what it lacks is kept.
+    /// Records that the state was read from the store; returns the end of the grace period for
+    /// entries that it lacks.
     pub fn read_from_store(&mut self, now: Time) -> Option<Time> {
         self.origin = Origin::Store;
         self.until(now)
     }
 
-    /// The state was taken from a peer that doubts for so long what its own lacks; until when
-    /// this node keeps that.
+    /// Records that the state came from a peer with `remaining` left of its grace period; returns
+    /// the end of this node's.
     pub fn read_from_peer(&mut self, remaining: Duration, now: Time) -> Option<Time> {
         self.origin = Origin::Peer(now + remaining);
         self.until(now)
     }
 
-    /// Until when what vanished from the state is kept, by this node and whoever follows it.
+    /// End of the grace period for this node and its followers; `None` if none is running.
     pub fn until(&self, now: Time) -> Option<Time> {
         let until = match self.origin {
             Origin::Peer(until) => Some(until),
--- a/crates/decide/src/relay/source.rs
+++ b/crates/decide/src/relay/source.rs
@@ -1,4 +1,4 @@
-//! Which source a node reads the store's state from.
+//! Choice of the source from which a node reads the store's state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,74 +6,76 @@
 use model::Time;
 use model::member::{Node, NodeId};
 
-/// Time for which a relay that did not answer is passed over.
+/// Time for which a relay that did not answer is skipped.
 const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(3);
-/// Time for which a relay that was out of touch itself is asked after the others.
+/// Time for which a relay that had no contact with the store is tried after the others.
 const STALE_BACKOFF: Duration = Duration::from_secs(3);
-/// First time for which a relay leaves the store alone after a failed call.
+/// First delay of a relay after a failed call to the store.
 const STORE_BACKOFF_MIN: Duration = Duration::from_millis(100);
-/// Longest such time.
+/// Maximum delay of a relay after failed calls to the store.
 const STORE_BACKOFF_MAX: Duration = Duration::from_millis(800);
-/// Such time of a node that is no relay, and whose relays do not answer or are out of touch.
+/// Delay after a failed call to the store of a node that is not a relay, and whose relays do not
+/// answer or have no contact with the store.
 const STORE_BACKOFF_FOLLOWER: Duration = Duration::from_secs(2);
-/// Such time of a node whose relays answer but are out of touch, for each follower in its
-/// failure domain: most likely nobody reaches the store, and all of them together ask it
-/// less often than their relays do.
+/// Delay per follower in the failure domain before a node calls the store because its relays answer
+/// but have no contact with it. Most likely no node reaches the store then, and all followers
+/// together call it less often than their relays do.
 const FALLBACK_PER_FOLLOWER: Duration = Duration::from_millis(150);
-/// Longest such time: half of what a configuration may take where the store is in trouble.
+/// Maximum of that delay: half of the time allowed for distributing a configuration while the store
+/// is failing.
 const FALLBACK_MAX: Duration = Duration::from_secs(8);
-/// Longest wait before a source that rests is tried all the same.
+/// Maximum pause before a source is tried although its backoff has not ended.
 const PAUSE_MAX: Duration = Duration::from_millis(500);
-/// Wait of a node that has just started and knows no relay yet.
+/// Pause of a node that has just started and knows no relay yet.
 const PAUSE_STARTUP: Duration = Duration::from_millis(20);
 
-/// What a node is to those that follow the store through others.
+/// Role of a node in following the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Role {
-    /// It has just started and does not know its peers yet.
+    /// Just started; its peers are not known yet.
     #[default]
     Unknown,
-    /// It reads the store.
+    /// Reads from the store.
     Relay,
-    /// It reads the relay, often enough to take its place at any moment.
+    /// Reads from the relay, often enough to replace it at any moment.
     Standby,
-    /// It reads the relay, or the standby.
+    /// Reads from the relay or the standby.
     Follower,
 }
 
-/// Who relays the store's state, as one node sees it.
+/// Relays of the store's state, as seen by one node.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Relays {
-    /// What this node is.
+    /// Role of this node.
     pub role: Role,
-    /// Nodes of its failure domain that do not read the store.
+    /// Number of nodes in its failure domain that do not read from the store.
     pub followers: usize,
-    /// The relays but this node, in the order in which it asks them.
+    /// Other relays, in order of preference.
     pub peers: Vec<Node>,
 }
 
-/// Where the state is read from.
+/// Source to read the state from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// The store itself.
     Store,
-    /// A relay. While none is in touch with the store one is asked to answer once it is.
+    /// A relay. If none has contact with the store, one is asked to answer once it has.
     Peer {
         /// The relay.
         node: Node,
-        /// Whether it holds its answer back until it is in touch.
+        /// Whether the relay delays its answer until it has contact with the store.
         await_fresh: bool,
     },
-    /// None yet.
+    /// No source is known yet.
     Unavailable,
 }
 
-/// A source, and the pause before it is asked.
+/// A source, and the pause before it is called.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
-    /// Source.
+    /// Source to call.
     pub source: Source,
-    /// Zero unless all sources failed a moment ago.
+    /// Zero unless all sources have just failed.
     pub pause: Duration,
 }
 
@@ -83,20 +85,20 @@
     }
 }
 
-/// Sources that failed, and until when they are passed over.
+/// Sources that failed, each with the end of its backoff.
 #[derive(Debug, Default)]
 pub struct Sources {
     store_until: Option<Time>,
     failures: u32,
     unresponsive: BTreeMap<NodeId, Time>,
     stale: BTreeMap<NodeId, Time>,
-    /// When a follower of stale relays asks the store by itself.
+    /// When a follower whose relays are all stale calls the store itself.
     fallback_at: Option<Time>,
 }
 
 impl Sources {
-    /// The source to read from now: a relay reads the store, the others a relay, each
-    /// the other kind when that fails; `jitter` draws a part of a time.
+    /// Chooses the source to read from now: a relay reads from the store and other nodes from a
+    /// relay, and each falls back to the other kind. `jitter` draws a random part of a duration.
     pub fn choose(
         &mut self,
         relays: &Relays,
@@ -109,8 +111,8 @@
         if relays.role == Role::Relay && !store_backed_off {
             return Choice::now(Source::Store);
         }
-        // A standby takes the place of a relay that is out of touch: the store may turn away the
-        // relays of all domains and serve everybody else.
+        // A standby replaces a relay that has lost contact: the store may reject the relays of all
+        // failure domains and still serve other nodes.
         let relay_is_stale = relays.peers.first().is_some_and(|n| self.stale.contains_key(&n.id));
         if relays.role == Role::Standby && relay_is_stale && !store_backed_off {
             return Choice::now(Source::Store);
@@ -125,13 +127,14 @@
         if relays.role == Role::Unknown && relays.peers.is_empty() {
             return Choice { source: Source::Unavailable, pause: PAUSE_STARTUP };
         }
-        // The relay that was found stale first is the likeliest to be well again.
+        // The relay that became stale first is the most likely to have recovered.
         let stale = relays.peers.iter().filter(is_responsive).min_by_key(|n| self.stale.get(&n.id));
         let Some(stale) = stale.cloned() else {
             return self.without_peers(relays, now);
         };
         let backoff = match relays.role {
-            // Its followers are better off with it than each with the store.
+            // For its followers, a standby with store contact is better than each of them calling
+            // the store.
             Role::Standby => STORE_BACKOFF_MAX,
             _ => fallback_delay(relays.followers),
         };
@@ -144,7 +147,7 @@
         Choice::now(Source::Peer { node: stale, await_fresh: true })
     }
 
-    /// The source where no relay answers.
+    /// Source to use while no relay answers.
     fn without_peers(&self, relays: &Relays, now: Time) -> Choice {
         let pending = |until: Option<Time>| until.filter(|until| now < *until);
         let peer = |n: &Node| {
@@ -159,22 +162,22 @@
         Choice { source, pause: pause.min(PAUSE_MAX) }
     }
 
-    /// A relay did not answer.
+    /// Records that a relay did not answer.
     pub fn relay_failed(&mut self, id: &NodeId, now: Time) {
         self.unresponsive.insert(id.clone(), now + UNRESPONSIVE_BACKOFF);
     }
 
-    /// A relay answered, but was out of touch with the store.
+    /// Records that a relay answered but had no contact with the store.
     pub fn relay_stale(&mut self, id: &NodeId, now: Time) {
         self.stale.insert(id.clone(), now + STALE_BACKOFF);
     }
 
-    /// A relay answered, and was in touch with the store.
+    /// Records that a relay answered and had contact with the store.
     pub fn relay_fresh(&mut self, id: &NodeId) {
         self.stale.remove(id);
     }
 
-    /// A call of the store failed; `jitter` draws a part of a time.
+    /// Records a failed call to the store; `jitter` draws a random part of a duration.
     pub fn store_failed(
         &mut self,
         role: Role,
@@ -185,20 +188,21 @@
         self.failures += 1;
         let backoff = match role {
             Role::Relay => bound.min(STORE_BACKOFF_MAX),
-            // A standby's relay asks sooner; if neither is answered, most likely nobody is.
+            // The relay of a standby retries sooner; if neither gets an answer, most likely no node
+            // does.
             Role::Standby | Role::Follower | Role::Unknown => STORE_BACKOFF_FOLLOWER,
         };
         self.store_until = Some(now + STORE_BACKOFF_MIN / 2 + jitter(backoff));
     }
 
-    /// The store answered.
+    /// Records that the store answered.
     pub fn store_answered(&mut self) {
         self.store_until = None;
         self.failures = 0;
     }
 }
 
-/// Time out of which a follower of stale relays draws when it asks the store.
+/// Upper bound of the random delay before a follower of stale relays calls the store.
 fn fallback_delay(followers: usize) -> Duration {
     let total = FALLBACK_PER_FOLLOWER * u32::try_from(followers).unwrap_or(u32::MAX);
     total.min(FALLBACK_MAX)
--- a/crates/decide/src/relay/unreadable.rs
+++ b/crates/decide/src/relay/unreadable.rs
@@ -1,36 +1,35 @@
-//! Which entries of the store cannot be read, and when that is worth a line.
+//! Store entries that cannot be parsed, and rate limiting of their log lines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use model::{Name, Time};
 
-/// Lines that may be written at once. A store in which a whole service's entries turn bad
-/// still names each in most deployments.
+/// Maximum burst of log lines: enough to name each entry of a whole service in most deployments.
 const BURST: u32 = 32;
-/// Time after which one more line may be written, so that a writer that puts another bad
-/// entry in place of a bad one all the time fills no log.
+/// Interval at which further log lines are allowed, so that a writer that keeps replacing one bad
+/// entry by another does not flood the log.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where an entry is: its name, or its position in an answer if that cannot be read.
+/// Identifies an entry: by name, or by its position in an answer if the name cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EntryKey {
-    /// Entry of this name.
+    /// Entry with this name.
     Name(Name),
-    /// Entry at this position of the whole list.
+    /// Entry at this position of a complete list.
     ListIndex(Name),
-    /// Entry at this position among changes. It cannot be told from others, nor be seen to
-    /// heal, so it is not counted.
+    /// Entry at this position among changes. It cannot be told apart from others, nor seen to be
+    /// corrected, so it is not counted.
     ChangeIndex(Name),
 }
 
-/// Entries of one kind that cannot be read now, and why.
+/// Entries of one kind that cannot be parsed now, each with the reason.
 ///
-/// One without a readable name is held until the whole list is read again.
+/// An entry without a parsable name is kept until the next complete list.
 #[derive(Debug)]
 pub struct UnreadableEntries {
     current: BTreeMap<EntryKey, Name>,
-    /// Entries of the list read before this one.
+    /// Entries of the previous complete list.
     previous: BTreeMap<EntryKey, Name>,
     tokens: u32,
     refilled_at: Time,
@@ -50,23 +49,23 @@
 }
 
 impl UnreadableEntries {
-    /// The whole list is read: entries that it does not hold are forgotten.
+    /// Starts a new complete list: entries that it lacks are dropped.
     pub fn restart(&mut self) {
         self.previous = std::mem::take(&mut self.current);
     }
 
-    /// An entry can be read, or is gone.
+    /// Drops an entry that can be parsed or was deleted.
     pub fn clear(&mut self, name: &Name) {
         self.current.remove(&EntryKey::Name(name.clone()));
     }
 
-    /// The only entry that a kind has can be read.
+    /// Drops all named entries, for a kind that has a single object.
     pub fn clear_named(&mut self) {
         self.current.retain(|key, _| !matches!(key, EntryKey::Name(_)));
     }
 
-    /// An entry cannot be read. Returns the count of changes that got no line since the last
-    /// one if this is a change that gets one.
+    /// Records an entry that cannot be parsed. If this is a change and the rate limit allows a log
+    /// line, returns the number of changes suppressed since the last line.
     pub fn record(&mut self, key: EntryKey, reason: &Name, now: Time) -> Option<u64> {
         let known = self.previous.remove(&key);
         let known = self.current.insert(key, reason.clone()).or(known);
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Count of entries that cannot be read, as far as they can be told apart.
+    /// Number of entries that cannot be parsed, as far as they can be told apart.
     pub fn count(&self) -> usize {
         self.current.keys().filter(|key| !matches!(key, EntryKey::ChangeIndex(_))).count()
     }
--- a/crates/decide/src/relay/waits.rs
+++ b/crates/decide/src/relay/waits.rs
@@ -1,50 +1,53 @@
-//! How long each wait for news may last.
+//! Timeouts of the watches and long polls through which nodes learn of changes.
 //!
-//! A connection may fall silent without an end while new ones work, and then only the end of a
-//! wait shows it. All that a node waits for adds up to [`MAX_STALENESS`] at most, whichever
-//! connections fall silent together; the sums are worked out in [`max_relay_delay`] and
-//! [`max_follower_delay`]. The waits follow from that and not from the cost of a call: few nodes
-//! read the store, so that their calls may be frequent.
+//! A connection may go silent without being closed while new ones work, and then only a timeout
+//! reveals it. All timeouts on the way to a node add up to [`MAX_STALENESS`] at most, whichever
+//! connections go silent together; [`max_relay_delay`] and [`max_follower_delay`] compute the sums.
+//! The timeouts follow from that bound rather than from the cost of a call: few nodes read from the
+//! store, so their calls may be frequent.
 
 use std::time::Duration;
 
-/// Time after which a node knows what changed, however its connections were disturbed. It is
-/// held to that from 3 s after the disturbance on.
+/// Time within which a node learns of a change, however its connections are disturbed. The bound
+/// applies from 3 s after a disturbance on.
 pub const MAX_STALENESS: Duration = Duration::from_millis(2500);
-/// Age from which on what a node knows counts as old, and its log says so: what it waits for has
-/// failed by then. It serves on, as a failure domain that is cut off does.
+/// Age at which a node's state counts as stale and is logged as such: the timeouts that should have
+/// refreshed it have passed by then. The node continues to serve, as one in a partitioned failure
+/// domain does.
 pub const STALE_AFTER: Duration = Duration::from_secs(3);
-/// Time that a watch of the targets waits at the store. Followers judge a relay by their age.
+/// Duration of a watch of the targets at the store. Followers judge a relay by the age of its
+/// targets.
 pub const TARGETS_WATCH_WAIT: Duration = Duration::from_secs(1);
-/// Time that a watch of the rules or the evacuations waits there.
+/// Duration of a watch of the rules or the evacuations at the store.
 pub const RULES_WATCH_WAIT: Duration = Duration::from_millis(1500);
-/// Time beyond its wait before a watch is given up. A store that is slow by 60 times takes
+/// Time beyond its duration after which a watch is abandoned. A store slowed down 60 times takes
 /// 240 ms for an answer.
 pub const WATCH_SLACK: Duration = Duration::from_millis(400);
-/// Time that a peer holds an answer back until there is news.
+/// Time for which a peer holds a long poll open until there are changes.
 pub const PEER_WAIT: Duration = Duration::from_millis(700);
-/// The same for a relay's standby: it passes on what it has, whose age is to stay fit for
-/// use at those that follow it.
+/// Same for the standby of a relay, which forwards the state: its age must stay acceptable to the
+/// nodes that follow the standby.
 pub const STANDBY_WAIT: Duration = Duration::from_millis(250);
-/// Time beyond that before a peer's answer is given up.
+/// Time beyond that after which a peer's answer is abandoned.
 pub const PEER_SLACK: Duration = Duration::from_millis(350);
-/// Time in which a node that knows nothing yet takes the whole list from a relay, as long as parts
-/// of it come: the list of a large fleet takes a small host's link half a second, and a relay's
-/// longer where many start together. Whoever asked anew would get the same from its beginning.
+/// Timeout for a node without any state to read the complete list from a relay, as long as parts of
+/// it arrive. The list of a large fleet takes half a second on a small host's link, and longer on a
+/// relay's when many nodes start together. A retry would transfer the same list from its beginning.
 pub const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for an answer that is not to wait for news, asked for over a new connection after one
-/// that had no answer in time.
+/// Timeout of an immediate answer, requested over a new connection after one that did not answer in
+/// time.
 pub const RETRY_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for news to gather between two questions, which each cost a call.
+/// Time to collect changes between two requests, each of which costs a call.
 pub const COALESCE_TIME: Duration = Duration::from_millis(100);
 
-/// Longest time in which a node that reads the store notices silence and has asked again.
+/// Maximum time until a node that reads from the store detects a silent connection and has asked
+/// again.
 pub fn max_relay_delay() -> Duration {
     TARGETS_WATCH_WAIT.max(RULES_WATCH_WAIT) + WATCH_SLACK + RETRY_TIMEOUT
 }
 
-/// The same for a node that follows it, where all connections fell silent together: its own
-/// wait ends sooner, and the relay's news take a question more.
+/// Same for a node that follows it when all connections go silent together: its own timeout ends
+/// sooner, but the relay's changes take one more request to arrive.
 pub fn max_follower_delay() -> Duration {
     let own = PEER_WAIT + PEER_SLACK + RETRY_TIMEOUT;
     own.max(max_relay_delay()) + COALESCE_TIME
