--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -1,28 +1,28 @@
-//! What a forwarding node believes of targets, and which one gets a request.
+//! A forwarding node's view of the targets, and the choice of one for each request.
 //!
-//! Discovery says which targets exist and which are draining; the node's own
-//! requests say which of them answer. A target whose entry vanished while the
-//! store was out of reach is kept for a short while, since it most likely lives. Targets of
-//! an evacuated failure domain get nothing new, cold ones little.
+//! Discovery reports which targets exist and which are draining; the node's own requests show which
+//! of them answer. A target whose entry vanished while the store was unreachable is kept for a
+//! short time, since it is most likely alive. Targets of an evacuated failure domain get no new
+//! requests, cold ones only a few.
 
 mod answers;
-mod belief;
 mod changed;
 mod cold;
 mod evacuation;
 mod load;
-mod news;
 mod notice;
 mod pick;
+mod state;
+mod supersede;
 mod targets;
 mod terms;
 
-pub use belief::{Belief, Observation, Presence};
 pub use changed::ChangedTargets;
 pub use cold::{ColdBounds, ColdLimit};
 pub use evacuation::{Evacuated, EvacuationChange};
-pub use news::still_true;
 pub use notice::{NoticeChange, Notices};
-pub use pick::{ColdStarts, Home, Wanted, shares};
+pub use pick::{ColdStarts, Home, PickCriteria, shares};
+pub use state::{Observation, Presence, TargetState};
+pub use supersede::drop_superseded;
 pub use targets::Fleet;
-pub use terms::{Barred, Regions, Terms};
+pub use terms::{Exclusion, Regions, Terms};
--- a/crates/decide/src/fleet/notice.rs
+++ b/crates/decide/src/fleet/notice.rs
@@ -1,8 +1,9 @@
-//! What is known for good of one start of a target, and what it asked of this node: that it leaves,
-//! as its answers or its entry said, that its entry was gone, and that it wants nothing for a while.
+//! What targets report about further requests, and facts about one start of a target that stay
+//! true: that it is draining, according to its answers or its entry, that its entry was removed,
+//! and that it asked for a backoff.
 //!
-//! Kept apart from what discovery says now, which may come later, may be older, and may lapse for a
-//! moment.
+//! Kept apart from the state that discovery reports, which may arrive later, be older, or lapse for
+//! a moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,72 +11,71 @@
 use model::Time;
 use model::forward::{Notice, RetryAfter, TargetId};
 
-/// Time for which a notice is remembered of a target that discovery does not know any more.
-const KEPT: Duration = Duration::from_secs(600);
+/// Time for which draining is remembered of a target that discovery no longer lists.
+const RETENTION: Duration = Duration::from_secs(600);
 
-/// Time for which a request is waited for that shows whether a rest is over, before another one is
-/// sent there.
-const PROBES_APART: Duration = Duration::from_millis(500);
-/// Time for which a rest is remembered that no answer has ended.
-const REST_KEPT: Duration = Duration::from_secs(60);
+/// Time to wait for the answer to a probe after a backoff before another one is sent.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after its end for which a backoff is remembered that no answer has cleared.
+const BACKOFF_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time for which a target is remembered whose entry is gone: copies of the store are younger.
-const GONE_KEPT: Duration = Duration::from_secs(60);
+/// Time for which a removed entry is remembered: copies of the store are younger than that.
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What an answer changes.
+/// New information in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeChange {
-    /// The target leaves.
-    Leaves,
-    /// It wants nothing for so long from now on.
-    Rests(Duration),
-    /// It wants nothing for a time that cannot be read.
+    /// The target is draining.
+    Draining,
+    /// It asked for no requests for this long.
+    BackedOff(Duration),
+    /// It asked for a backoff whose duration cannot be parsed.
     Unreadable,
 }
 
-/// A target that wants nothing for a while. Once that is over it gets one request at a time, until
-/// one was answered: it may be as full as before.
+/// Backoff that a target asked for. After its end the target gets one request at a time until one
+/// is answered, because it may be as full as before.
 #[derive(Debug, Clone, Copy, Default)]
-struct Rest {
+struct Backoff {
     until: Time,
-    /// When it last got a request since.
-    probed: Option<Time>,
+    /// When the last request was sent since the backoff was set.
+    probed_at: Option<Time>,
 }
 
-impl Rest {
-    /// Until when it gets nothing.
-    fn ends(&self) -> Time {
-        self.probed.map_or(self.until, |at| self.until.max(at + PROBES_APART))
+impl Backoff {
+    /// When the target may get its next request.
+    fn ends_at(&self) -> Time {
+        self.probed_at.map_or(self.until, |at| self.until.max(at + PROBE_INTERVAL))
     }
 }
 
 /// Notices of all targets.
 #[derive(Debug, Default)]
 pub struct Notices {
-    /// When each was last known.
-    leaving: BTreeMap<TargetId, Time>,
-    rests: BTreeMap<TargetId, Rest>,
+    /// Draining targets, and when each was last known to discovery.
+    draining: BTreeMap<TargetId, Time>,
+    backoffs: BTreeMap<TargetId, Backoff>,
     unreadable: BTreeSet<TargetId>,
-    /// When the entry of each went.
-    gone: BTreeMap<TargetId, Time>,
+    /// Targets whose entry was removed, and when.
+    removed: BTreeMap<TargetId, Time>,
 }
 
 impl Notices {
-    /// Takes what an answer says; returns what is new.
-    pub fn hear(&mut self, id: &TargetId, said: Notice, now: Time) -> Vec<NoticeChange> {
+    /// Records the notice in an answer; returns what is new.
+    pub fn record(&mut self, id: &TargetId, notice: Notice, now: Time) -> Vec<NoticeChange> {
         let mut changes = Vec::new();
-        if said.leaving && self.note_leaving(id, now) {
-            changes.push(NoticeChange::Leaves);
+        if notice.leaving && self.note_draining(id, now) {
+            changes.push(NoticeChange::Draining);
         }
-        match said.retry_after {
+        match notice.retry_after {
             RetryAfter::None => {}
             RetryAfter::After(time) => {
                 self.unreadable.remove(id);
-                let rest = self.rests.entry(id.clone()).or_default();
-                let begins = rest.until <= now;
-                *rest = Rest { until: rest.until.max(now + time), probed: None };
-                if begins {
-                    changes.push(NoticeChange::Rests(time));
+                let backoff = self.backoffs.entry(id.clone()).or_default();
+                let is_new = backoff.until <= now;
+                *backoff = Backoff { until: backoff.until.max(now + time), probed_at: None };
+                if is_new {
+                    changes.push(NoticeChange::BackedOff(time));
                 }
             }
             RetryAfter::Unreadable if self.unreadable.insert(id.clone()) => {
@@ -86,71 +86,72 @@
         changes
     }
 
-    /// A target leaves; returns whether that is new.
-    pub fn note_leaving(&mut self, id: &TargetId, now: Time) -> bool {
-        self.leaving.insert(id.clone(), now).is_none()
+    /// Marks a target as draining; returns whether that is new.
+    pub fn note_draining(&mut self, id: &TargetId, now: Time) -> bool {
+        self.draining.insert(id.clone(), now).is_none()
     }
 
-    /// The entry of a target is gone.
-    pub fn note_gone(&mut self, id: &TargetId, now: Time) {
-        self.gone.insert(id.clone(), now);
+    /// Records that a target's entry was removed.
+    pub fn note_removed(&mut self, id: &TargetId, now: Time) {
+        self.removed.insert(id.clone(), now);
     }
 
-    /// The entry of a target is there again, and not from an older copy of the store.
-    pub fn note_back(&mut self, id: &TargetId) {
-        self.gone.remove(id);
+    /// Records that a target's entry exists again, and not from an older copy of the store.
+    pub fn note_present(&mut self, id: &TargetId) {
+        self.removed.remove(id);
     }
 
-    /// Whether the entry of a target was gone a while ago.
-    pub fn was_gone(&self, id: &TargetId) -> bool {
-        self.gone.contains_key(id)
+    /// Whether a target's entry was removed recently.
+    pub fn was_removed(&self, id: &TargetId) -> bool {
+        self.removed.contains_key(id)
     }
 
-    /// Whether a target has said that it leaves.
-    pub fn leaves(&self, id: &TargetId) -> bool {
-        self.leaving.contains_key(id)
+    /// Whether a target has reported that it is draining.
+    pub fn is_draining(&self, id: &TargetId) -> bool {
+        self.draining.contains_key(id)
     }
 
-    /// Targets that have said that they leave.
-    pub fn leaving(&self) -> impl Iterator<Item = &TargetId> {
-        self.leaving.keys()
+    /// Targets that have reported that they are draining.
+    pub fn draining(&self) -> impl Iterator<Item = &TargetId> {
+        self.draining.keys()
     }
 
-    /// Until when a target gets nothing, if it does not now.
-    pub fn rests_until(&self, id: &TargetId, now: Time) -> Option<Time> {
-        self.rests.get(id).map(Rest::ends).filter(|ends| now < *ends)
+    /// End of a target's backoff; `None` if it is not backed off now.
+    pub fn backoff_until(&self, id: &TargetId, now: Time) -> Option<Time> {
+        self.backoffs.get(id).map(Backoff::ends_at).filter(|at| now < *at)
     }
 
-    /// Targets that get nothing now, since they want rest.
-    pub fn resting(&self, now: Time) -> impl Iterator<Item = &TargetId> {
-        self.rests.iter().filter(move |(_, rest)| now < rest.ends()).map(|(id, _)| id)
+    /// Targets that are backed off now.
+    pub fn backed_off(&self, now: Time) -> impl Iterator<Item = &TargetId> {
+        self.backoffs.iter().filter(move |(_, backoff)| now < backoff.ends_at()).map(|(id, _)| id)
     }
 
-    /// A request goes to a target; returns whether it is to show that a rest is over.
-    pub fn sent(&mut self, id: &TargetId, now: Time) -> bool {
-        let Some(rest) = self.rests.get_mut(id) else {
+    /// Records that a request is sent to a target; returns whether it is a probe after a backoff.
+    pub fn note_attempt(&mut self, id: &TargetId, now: Time) -> bool {
+        let Some(backoff) = self.backoffs.get_mut(id) else {
             return false;
         };
-        rest.probed = Some(now);
+        backoff.probed_at = Some(now);
         true
     }
 
-    /// A target took a request that was sent at `sent`; returns whether that ends a rest.
-    pub fn took(&mut self, id: &TargetId, sent: Time) -> bool {
-        let is_over = self.rests.get(id).is_some_and(|rest| sent >= rest.until);
-        is_over && self.rests.remove(id).is_some()
+    /// Records that a target accepted a request sent at `sent_at`; returns whether that ends a
+    /// backoff.
+    pub fn note_accepted(&mut self, id: &TargetId, sent_at: Time) -> bool {
+        let is_over = self.backoffs.get(id).is_some_and(|backoff| sent_at >= backoff.until);
+        is_over && self.backoffs.remove(id).is_some()
     }
 
-    /// Forgets what is over, and targets that are known no longer.
+    /// Drops expired records, and those of targets that are no longer known.
     pub fn expire(&mut self, is_known: impl Fn(&TargetId) -> bool, now: Time) {
-        self.leaving.retain(|id, known| {
+        self.draining.retain(|id, known| {
             if is_known(id) {
                 *known = now;
             }
-            now.since(*known) < KEPT
+            now.since(*known) < RETENTION
         });
-        self.rests.retain(|_, rest| now.since(rest.until) < REST_KEPT);
-        self.gone.retain(|_, at| now.since(*at) < GONE_KEPT);
+        self.backoffs.retain(|_, backoff| now.since(backoff.until) < BACKOFF_RETENTION);
+        self.removed.retain(|_, at| now.since(*at) < REMOVED_RETENTION);
         self.unreadable.retain(is_known);
     }
 }
--- a/crates/decide/src/quarantine/verdict.rs
+++ b/crates/decide/src/quarantine/verdict.rs
@@ -30,12 +30,12 @@
 /// Judges by what discovery says and by the last connection.
 pub fn judge(presence: Presence, contact: ConnectOutcome) -> Verdict {
     match (presence, contact) {
-        (Presence::Leaving, _) => Verdict::Planned,
-        (Presence::StartedAgain, _) => Verdict::Crashed("started_again"),
+        (Presence::Draining, _) => Verdict::Planned,
+        (Presence::Restarted, _) => Verdict::Crashed("started_again"),
         (_, ConnectOutcome::Refused) => Verdict::Crashed("refused"),
         // Somebody else has its address.
-        (Presence::Gone, ConnectOutcome::Accepted) => Verdict::Crashed("replaced"),
-        (Presence::Gone | Presence::Here, ConnectOutcome::NoResponse) => Verdict::Undecided,
-        (Presence::Here, ConnectOutcome::Accepted) => Verdict::Undecided,
+        (Presence::Removed, ConnectOutcome::Accepted) => Verdict::Crashed("replaced"),
+        (Presence::Removed | Presence::Present, ConnectOutcome::NoResponse) => Verdict::Undecided,
+        (Presence::Present, ConnectOutcome::Accepted) => Verdict::Undecided,
     }
 }
--- a/crates/decide/src/rollout/versions.rs
+++ b/crates/decide/src/rollout/versions.rs
@@ -15,7 +15,7 @@
 
 use super::present::LiveVersions;
 use super::withdrawn::WithdrawnVersions;
-use crate::relay::Newest;
+use crate::relay::LatestList;
 
 pub use list::RolloutChange;
 use trial::Trial;
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub struct Versions {
     /// Once orders are followed, no version is used before the first list arrives.
-    orders: Newest<Orders>,
+    orders: LatestList<Orders>,
     /// Revision of the first list of orders that this node received.
     first_list: Option<u64>,
     live: LiveVersions,
@@ -89,7 +89,7 @@
 
     /// Whether a node that holds the list of revision `at`, if any, lacks a change.
     pub fn has_changed_since(&self, at: Option<u64>) -> bool {
-        self.orders.is_news_since(at)
+        self.orders.changed_since(at)
     }
 
     /// Adds a target of a version, with the revision of its entry and its start time.
--- a/crates/decide/tests/quarantine_ends.rs
+++ b/crates/decide/tests/quarantine_ends.rs
@@ -1,22 +1,22 @@
 //! Whether a target ended, by what discovery says and by a new connection.
 
-use decide::fleet::Presence::{Gone, Here, Leaving, StartedAgain};
+use decide::fleet::Presence::{Draining, Present, Removed, Restarted};
 use decide::quarantine::ConnectOutcome::{Accepted, NoResponse, Refused};
 use decide::quarantine::{Verdict, judge};
 
 #[test]
 fn a_broken_connection_alone_is_no_end() {
     let cases = [
-        (Here, Accepted, Verdict::Undecided),
-        (Here, NoResponse, Verdict::Undecided),
-        (Gone, NoResponse, Verdict::Undecided),
-        (Here, Refused, Verdict::Crashed("refused")),
-        (Gone, Refused, Verdict::Crashed("refused")),
-        (Gone, Accepted, Verdict::Crashed("replaced")),
-        (StartedAgain, Accepted, Verdict::Crashed("started_again")),
-        (StartedAgain, NoResponse, Verdict::Crashed("started_again")),
-        (Leaving, Accepted, Verdict::Planned),
-        (Leaving, Refused, Verdict::Planned),
+        (Present, Accepted, Verdict::Undecided),
+        (Present, NoResponse, Verdict::Undecided),
+        (Removed, NoResponse, Verdict::Undecided),
+        (Present, Refused, Verdict::Crashed("refused")),
+        (Removed, Refused, Verdict::Crashed("refused")),
+        (Removed, Accepted, Verdict::Crashed("replaced")),
+        (Restarted, Accepted, Verdict::Crashed("started_again")),
+        (Restarted, NoResponse, Verdict::Crashed("started_again")),
+        (Draining, Accepted, Verdict::Planned),
+        (Draining, Refused, Verdict::Planned),
     ];
     for (presence, contact, verdict) in cases {
         assert_eq!(judge(presence, contact), verdict, "{presence:?} {contact:?}");
