--- a/crates/bench/src/slopes/fleet.rs
+++ b/crates/bench/src/slopes/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use decide::batch::{Action, Call, CallEnd, Coordinator, Event, MakerFeed};
+use decide::batch::{Action, Call, CallEnd, Coordinator, Event, WorkerFeed};
 use decide::fleet::{Fleet, Regions};
 use decide::region::Map;
 use decide::roster::{PeerView, Roster};
@@ -82,7 +82,7 @@
 fn made(call: &Call) -> CallEnd {
     let result = |p: &PieceOrder| {
         let text = format!("{}/{}", p.piece, call.number);
-        PieceResult::Made(Handle { maker: call.maker.clone(), text })
+        PieceResult::Made(Handle { maker: call.worker.clone(), text })
     };
     CallEnd::Answered(call.pieces.iter().map(result).collect())
 }
@@ -103,12 +103,12 @@
     for i in 0..makers {
         fleet.upsert(maker(&format!("m{i}"), i), Time::ZERO);
     }
-    let mut feed = MakerFeed::default();
+    let mut feed = WorkerFeed::default();
     let mut coordinator = Coordinator::new(pool, Policy::default());
     let mut on = |coordinator: &mut Coordinator, fleet: &Fleet, event, now| {
-        let news = feed.news(fleet, &id, &map, None, now);
-        news.map(|news| coordinator.on(now, news));
-        coordinator.on(now, event)
+        let news = feed.next_event(fleet, &id, &map, None, now);
+        news.map(|news| coordinator.handle(now, news));
+        coordinator.handle(now, event)
     };
     on(&mut coordinator, &fleet, Event::Tick, Time::ZERO);
     let before = coordinator.visited();
@@ -121,7 +121,7 @@
         let event = Event::Order { id: i, order: order(), pinned: false };
         for action in on(&mut coordinator, &fleet, event, now) {
             if let Action::Start(call) = action {
-                on(&mut coordinator, &fleet, Event::Ended(call.number, made(&call)), now);
+                on(&mut coordinator, &fleet, Event::CallEnded(call.number, made(&call)), now);
             }
         }
     }
--- a/crates/control/src/domain.rs
+++ b/crates/control/src/domain.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use decide::place::{Placer, SEND_MAX, SPARE, View};
+use decide::place::{LEASE_MARGIN, MAX_SEND_TIME, Placer, View};
 use hyper::Method;
 use kameo::actor::ActorRef;
 use model::Name;
@@ -30,7 +30,7 @@
     let mut registry = (Vec::new(), shared.clock.now());
     loop {
         tokio::time::sleep(LOOK).await;
-        let Ok(Some(epoch)) = lease.ask(GetEpoch(SPARE)).await else {
+        let Ok(Some(epoch)) = lease.ask(GetEpoch(LEASE_MARGIN)).await else {
             continue;
         };
         order(&shared, &lease, &mut placer, epoch).await;
@@ -43,19 +43,19 @@
     let accepted = shared.accepted.load_full();
     let news: BTreeMap<Name, TargetNews> = {
         let board = shared.board();
-        board.news().map(|n| (n.report.target.clone(), n.clone())).collect()
+        board.reports().map(|n| (n.report.target.clone(), n.clone())).collect()
     };
     let leaving = shared.leaving.load_full();
     let view = View {
         set: &accepted.set,
         number: accepted.number,
         domain: &shared.settings.domain,
-        news: &news,
+        reports: &news,
         leaving: &leaving,
     };
     for order in placer.plan(shared.clock.now(), epoch, view) {
         // The lease is asked again just before each send: the node may have been paused.
-        let held = lease.ask(GetEpoch(SPARE)).await.ok().flatten();
+        let held = lease.ask(GetEpoch(LEASE_MARGIN)).await.ok().flatten();
         if held != Some(epoch) {
             return;
         }
@@ -68,8 +68,13 @@
     let Some(address) = targets.clone().find(|t| t.name == order.target).map(|t| &t.address) else {
         return;
     };
-    let call =
-        shared.client.json::<_, Reply>(address, Method::POST, "/order", Some(&order), SEND_MAX);
+    let call = shared.client.json::<_, Reply>(
+        address,
+        Method::POST,
+        "/order",
+        Some(&order),
+        MAX_SEND_TIME,
+    );
     match call.await {
         Ok(reply) => {
             log::info!("order: {:?} to {}: {reply:?}.", order.task, order.target);
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -109,7 +109,7 @@
                 log::info!("member: {} is {:?}.", r.node.id.name, r.health);
                 None
             }
-            Action::Load(load) => self.shared.board().heard(load).map(Event::Load),
+            Action::Load(load) => self.shared.board().merge_rumor(load).map(Event::Load),
         }
     }
 
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -49,14 +49,14 @@
     let call = shared.client.json::<(), Report>(&address, Method::GET, "/load", None, WAIT);
     let result = call.await;
     let rumor = match result {
-        Ok(report) if report.target == target => shared.board().polled(report),
+        Ok(report) if report.target == target => shared.board().record_poll(report),
         Ok(report) => {
             log::warn!("poll: {address} is {}, not {target}.", report.target);
-            shared.board().unreachable(&target)
+            shared.board().record_unreachable(&target)
         }
         Err(e) => {
             log::debug!("poll: {target}: {e}");
-            shared.board().unreachable(&target)
+            shared.board().record_unreachable(&target)
         }
     };
     if let Some(rumor) = rumor {
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -107,7 +107,7 @@
             return;
         }
         report = Report { target: target.clone(), leaving: true, seq, ..report };
-        board.polled(report)
+        board.record_poll(report)
     };
     if let Some(rumor) = rumor {
         let _ = membership.tell(membership::Happened(MemberEvent::Load(rumor))).await;
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use arc_swap::ArcSwap;
-use decide::load::Board;
+use decide::load::LoadTable;
 use model::Name;
 use model::member::Node;
 use model::object::Set;
@@ -51,7 +51,7 @@
     /// Configuration.
     pub accepted: ArcSwap<Accepted>,
     /// Loads.
-    pub board: Mutex<Board>,
+    pub board: Mutex<LoadTable>,
     /// Hosts that are leaving, as this node knows.
     pub leaving: ArcSwap<BTreeSet<Name>>,
 }
@@ -63,7 +63,7 @@
     }
 
     /// Locks the loads.
-    pub fn board(&self) -> std::sync::MutexGuard<'_, Board> {
+    pub fn board(&self) -> std::sync::MutexGuard<'_, LoadTable> {
         self.board.lock().expect("no panic while held")
     }
 }
--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -16,22 +16,22 @@
 const PATIENT_SHARE: f64 = 0.7;
 
 /// Weight of a new sample in the pace.
-const PACE: f64 = 0.05;
+const INTERVAL_WEIGHT: f64 = 0.05;
 /// Running that takes more than this share of the deadline means congestion.
-const CONGESTED: f64 = 0.6;
+const CONGESTION_SHARE: f64 = 0.6;
 /// Growth of the width with each uncongested end, and its loss with each
 /// congested one: it settles where a fifth of the ends are congested. Cutting on
 /// single late ones kept it far too narrow.
-const GROW: f64 = 0.001;
-const SHRINK: f64 = 0.004;
+const LIMIT_GROWTH: f64 = 0.001;
+const LIMIT_DECAY: f64 = 0.004;
 /// Width at the start; an overload must not flood the targets before it is noticed.
-const WIDTH_START: f64 = 64.0;
+const INITIAL_LIMIT: f64 = 64.0;
 /// Least width.
-const WIDTH_LEAST: f64 = 4.0;
+const MIN_LIMIT: f64 = 4.0;
 
 /// A request at the door.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiter {
+pub struct PendingRequest {
     /// Request id.
     pub request: Name,
     /// Priority of its workspace.
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Order {
+struct QueueKey {
     priority: Priority,
     deadline: Time,
     seq: u64,
@@ -62,81 +62,81 @@
 /// deadline, narrower when it takes most, so that the wait stays at the door, where
 /// the hopeless can be refused before they cost anything.
 #[derive(Debug)]
-struct Width {
-    most: f64,
-    now: f64,
-    fixed: bool,
+struct ConcurrencyLimit {
+    max: f64,
+    current: f64,
+    is_fixed: bool,
 }
 
-impl Width {
+impl ConcurrencyLimit {
     fn get(&self) -> usize {
-        (self.now as usize).max(1)
+        (self.current as usize).max(1)
     }
 
-    fn learn(&mut self, congested: bool, busy: bool) {
-        if self.fixed {
+    fn adapt(&mut self, is_congested: bool, is_busy: bool) {
+        if self.is_fixed {
             return;
         }
-        let step = match (congested, busy) {
-            (true, _) => -SHRINK,
-            (false, true) => GROW,
+        let step = match (is_congested, is_busy) {
+            (true, _) => -LIMIT_DECAY,
+            (false, true) => LIMIT_GROWTH,
             (false, false) => 0.0,
         };
-        self.now = (self.now * (1.0 + step)).clamp(WIDTH_LEAST.min(self.most), self.most);
+        self.current = (self.current * (1.0 + step)).clamp(MIN_LIMIT.min(self.max), self.max);
     }
 }
 
 /// Smoothed time between two requests' ends while the gate is full.
 #[derive(Debug, Default)]
-struct Pace {
-    last: Option<Time>,
-    gap: Duration,
+struct CompletionInterval {
+    last_end: Option<Time>,
+    mean: Duration,
 }
 
-impl Pace {
-    fn finished(&mut self, now: Time, busy: bool) {
-        let last = self.last.replace(now).filter(|_| busy);
+impl CompletionInterval {
+    fn record(&mut self, now: Time, is_busy: bool) {
+        let last = self.last_end.replace(now).filter(|_| is_busy);
         let Some(last) = last else {
             return;
         };
         let sample = now.since(last);
-        self.gap = match self.gap {
+        self.mean = match self.mean {
             Duration::ZERO => sample,
-            gap => gap.mul_f64(1.0 - PACE) + sample.mul_f64(PACE),
+            gap => gap.mul_f64(1.0 - INTERVAL_WEIGHT) + sample.mul_f64(INTERVAL_WEIGHT),
         };
     }
 }
 
 /// Admission of one node.
 #[derive(Debug)]
-pub struct Gate {
-    width: Width,
-    depth: usize,
+pub struct AdmissionQueue {
+    limit: ConcurrencyLimit,
+    max_queued: usize,
     running: BTreeMap<Name, Priority>,
-    waiting: BTreeMap<Order, Waiter>,
+    waiting: BTreeMap<QueueKey, PendingRequest>,
     seq: u64,
-    pace: Pace,
+    interval: CompletionInterval,
 }
 
-impl Gate {
+impl AdmissionQueue {
     /// At most `width` requests run and `depth` wait.
-    pub fn new(width: usize, depth: usize) -> Self {
-        let now = (width as f64).min(WIDTH_START);
-        let width = Width { most: width as f64, now, fixed: false };
-        Gate {
-            width,
-            depth,
+    pub fn new(limit: usize, max_queued: usize) -> Self {
+        let current = (limit as f64).min(INITIAL_LIMIT);
+        let limit = ConcurrencyLimit { max: limit as f64, current, is_fixed: false };
+        AdmissionQueue {
+            limit,
+            max_queued,
             running: BTreeMap::new(),
             waiting: BTreeMap::new(),
             seq: 0,
-            pace: Pace::default(),
+            interval: CompletionInterval::default(),
         }
     }
 
     /// Keeps the width as it was given.
-    pub fn with_fixed_width(mut self) -> Self {
-        self.width.now = self.width.most;
-        self.width.fixed = true;
+    pub fn with_fixed_limit(mut self) -> Self {
+        self.limit.current = self.limit.max;
+        self.limit.is_fixed = true;
         self
     }
 
@@ -151,21 +151,21 @@
     }
 
     /// A request arrives.
-    pub fn arrive(&mut self, now: Time, w: Waiter) -> Vec<Verdict> {
+    pub fn submit(&mut self, now: Time, w: PendingRequest) -> Vec<Verdict> {
         // With nothing running there is nothing to wait for: times seen under
         // load must not shut an idle node.
         if !self.running.is_empty() && now + w.need > w.deadline {
             return vec![Verdict::Refuse(w.request, Reason::Hopeless)];
         }
         self.seq += 1;
-        let order = Order { priority: w.priority, deadline: w.deadline, seq: self.seq };
-        let full = self.running.len() >= self.width.get();
-        if full && now + self.expected_wait(&order) + w.need > w.deadline {
+        let key = QueueKey { priority: w.priority, deadline: w.deadline, seq: self.seq };
+        let is_full = self.running.len() >= self.limit.get();
+        if is_full && now + self.expected_wait(&key) + w.need > w.deadline {
             return vec![Verdict::Refuse(w.request, Reason::Hopeless)];
         }
-        self.waiting.insert(order, w);
+        self.waiting.insert(key, w);
         let mut out = self.advance(now);
-        if self.waiting.len() > self.depth
+        if self.waiting.len() > self.max_queued
             && let Some((_, last)) = self.waiting.pop_last()
         {
             out.push(Verdict::Refuse(last.request, Reason::Overload));
@@ -174,27 +174,27 @@
     }
 
     /// Requests that may run at once, as adapted.
-    pub fn width(&self) -> usize {
-        self.width.get()
+    pub fn limit(&self) -> usize {
+        self.limit.get()
     }
 
     /// A request ended after running for `ran` under a deadline of `most`.
-    pub fn finished(
+    pub fn complete(
         &mut self,
         now: Time,
         request: &Name,
         ran: Duration,
-        most: Duration,
+        budget: Duration,
     ) -> Vec<Verdict> {
-        let congested = ran > most.mul_f64(CONGESTED);
-        let busy = self.running.len() * 5 >= self.width.get() * 4;
-        self.width.learn(congested, busy);
-        self.pace.finished(now, busy);
-        self.leave(now, request)
+        let is_congested = ran > budget.mul_f64(CONGESTION_SHARE);
+        let is_busy = self.running.len() * 5 >= self.limit.get() * 4;
+        self.limit.adapt(is_congested, is_busy);
+        self.interval.record(now, is_busy);
+        self.remove_request(now, request)
     }
 
     /// A request went away, running or waiting.
-    pub fn leave(&mut self, now: Time, request: &Name) -> Vec<Verdict> {
+    pub fn remove_request(&mut self, now: Time, request: &Name) -> Vec<Verdict> {
         if self.running.remove(request).is_none() {
             self.waiting.retain(|_, w| w.request != *request);
         }
@@ -207,47 +207,47 @@
     }
 
     /// Time after which a refused caller finds room, if `mean` is a request's time.
-    pub fn come_back(&self, mean: Duration) -> Duration {
-        mean.mul_f64((self.waiting.len() + 1) as f64 / self.width.get() as f64)
+    pub fn retry_after(&self, mean: Duration) -> Duration {
+        mean.mul_f64((self.waiting.len() + 1) as f64 / self.limit.get() as f64)
     }
 
     /// Wait of a newcomer, by those before it and the pace at which turns come free.
-    fn expected_wait(&self, order: &Order) -> Duration {
-        let ahead = self.waiting.range(..*order).count() as u32;
-        self.pace.gap * (ahead + 1)
+    fn expected_wait(&self, key: &QueueKey) -> Duration {
+        let ahead = self.waiting.range(..*key).count() as u32;
+        self.interval.mean * (ahead + 1)
     }
 
     fn advance(&mut self, now: Time) -> Vec<Verdict> {
         let mut out = Vec::new();
-        let idle = self.running.is_empty();
+        let is_idle = self.running.is_empty();
         self.waiting.retain(|_, w| {
-            let need = if idle { Duration::ZERO } else { w.need };
-            let late = now + need > w.deadline;
-            if late {
+            let need = if is_idle { Duration::ZERO } else { w.need };
+            let is_late = now + need > w.deadline;
+            if is_late {
                 out.push(Verdict::Refuse(w.request.clone(), Reason::Hopeless));
             }
-            !late
+            !is_late
         });
-        while self.running.len() < self.width.get() {
-            let Some((order, w)) = self.next() else {
+        while self.running.len() < self.limit.get() {
+            let Some((key, w)) = self.next_request() else {
                 break;
             };
-            self.waiting.remove(&order);
+            self.waiting.remove(&key);
             self.running.insert(w.request.clone(), w.priority);
             out.push(Verdict::Run(w.request));
         }
         out
     }
 
-    fn next(&self) -> Option<(Order, Waiter)> {
-        let (order, w) = self.waiting.first_key_value()?;
+    fn next_request(&self) -> Option<(QueueKey, PendingRequest)> {
+        let (key, w) = self.waiting.first_key_value()?;
         if w.priority == Priority::Patient {
             let patient = self.running.values().filter(|p| **p == Priority::Patient).count();
-            let share = ((self.width.get() as f64 * PATIENT_SHARE) as usize).max(1);
-            if patient >= share {
+            let max_patient = ((self.limit.get() as f64 * PATIENT_SHARE) as usize).max(1);
+            if patient >= max_patient {
                 return None;
             }
         }
-        Some((*order, w.clone()))
+        Some((*key, w.clone()))
     }
 }
--- a/crates/decide/src/batch/feed.rs
+++ b/crates/decide/src/batch/feed.rs
@@ -1,6 +1,6 @@
-//! Tells a coordinator which makers may get calls.
+//! Tells a coordinator which workers may get calls.
 //!
-//! The whole list is told once, and again when something changes that concerns all makers. Apart
+//! The whole list is told once, and again when something changes that concerns all workers. Apart
 //! from that only what discovery changed, and what time alone changes, is looked at.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,22 +9,22 @@
 use model::forward::{PoolId, Side, TargetId};
 use model::{Name, Time};
 
-use super::types::{Event, MakerInfo};
+use super::types::{Event, WorkerInfo};
 use crate::fleet::{Belief, ChangedTargets, ColdLimit, Fleet, Terms};
 use crate::permit::{LIMITED_CALL, pace_of};
 use crate::region::Map;
 
-/// Makers of one pool as its coordinator was told of them.
+/// Workers of one pool as its coordinator was told of them.
 #[derive(Debug, Default)]
-pub struct MakerFeed {
+pub struct WorkerFeed {
     /// Up to where changes of the fleet were looked at; `None` before the first look.
     cursor: Option<u64>,
     cold: Option<ColdLimit>,
-    /// Whether makers are there that name no limit, so that those that do get short calls.
-    others_bear: bool,
-    told: BTreeMap<Name, TargetId>,
+    /// Whether workers are there that name no limit, so that those that do get short calls.
+    has_unlimited: bool,
+    announced: BTreeMap<Name, TargetId>,
     /// Targets that become usable or not, or warm, by time alone.
-    due: BTreeSet<(Time, Name)>,
+    timers: BTreeSet<(Time, Name)>,
 }
 
 /// What is looked at for one pool.
@@ -33,14 +33,14 @@
     pool: &'a PoolId,
     map: &'a Map,
     cold: Option<ColdLimit>,
-    others_bear: bool,
+    has_unlimited: bool,
     sides: Vec<(Side, Option<f64>)>,
     now: Time,
 }
 
-impl MakerFeed {
+impl WorkerFeed {
     /// What the coordinator is to be told by now, if anything.
-    pub fn news(
+    pub fn next_event(
         &mut self,
         fleet: &Fleet,
         pool: &PoolId,
@@ -53,13 +53,13 @@
             return None;
         }
         let sides = fleet.versions().maker_sides(&pool.service);
-        let others_bear = self.others_bear;
-        let mut view = View { fleet, pool, map, cold, others_bear, sides, now };
-        view.others_bear = view.bear_others();
-        let holds = view.cold == self.cold && view.others_bear == self.others_bear;
-        match names.filter(|_| holds) {
-            Some(names) => self.changed(&view, &names),
-            None => Some(self.whole(&view)),
+        let has_unlimited = self.has_unlimited;
+        let mut view = View { fleet, pool, map, cold, has_unlimited, sides, now };
+        view.has_unlimited = view.any_unlimited();
+        let is_unchanged = view.cold == self.cold && view.has_unlimited == self.has_unlimited;
+        match names.filter(|_| is_unchanged) {
+            Some(names) => self.delta(&view, &names),
+            None => Some(self.snapshot(&view)),
         }
     }
 
@@ -69,9 +69,9 @@
         let ChangedTargets::Names(mut names) = fleet.changes_since(cursor?) else {
             return None;
         };
-        while let Some((at, name)) = self.due.pop_first() {
+        while let Some((at, name)) = self.timers.pop_first() {
             if at > now {
-                self.due.insert((at, name));
+                self.timers.insert((at, name));
                 break;
             }
             names.push(name);
@@ -79,80 +79,80 @@
         Some(names)
     }
 
-    fn whole(&mut self, view: &View<'_>) -> Event {
+    fn snapshot(&mut self, view: &View<'_>) -> Event {
         self.cold = view.cold;
-        self.others_bear = view.others_bear;
-        self.told.clear();
-        self.due.clear();
-        let mut makers = Vec::new();
+        self.has_unlimited = view.has_unlimited;
+        self.announced.clear();
+        self.timers.clear();
+        let mut workers = Vec::new();
         for b in view.fleet.of_service(&view.pool.service) {
-            let until = view.fleet.holds_until(b, view.cold, view.now);
-            self.due.extend(until.map(|at| (at, b.target.id.name.clone())));
-            makers.extend(view.info(b));
+            let due_at = view.fleet.holds_until(b, view.cold, view.now);
+            self.timers.extend(due_at.map(|at| (at, b.target.id.name.clone())));
+            workers.extend(view.info(b));
         }
-        self.told.extend(makers.iter().map(|m| (m.id.name.clone(), m.id.clone())));
-        Event::Makers(makers)
+        self.announced.extend(workers.iter().map(|m| (m.id.name.clone(), m.id.clone())));
+        Event::Workers(workers)
     }
 
-    fn changed(&mut self, view: &View<'_>, names: &[Name]) -> Option<Event> {
+    fn delta(&mut self, view: &View<'_>, names: &[Name]) -> Option<Event> {
         let names: BTreeSet<&Name> = names.iter().collect();
-        let (mut there, mut gone) = (Vec::new(), Vec::new());
+        let (mut updated, mut removed) = (Vec::new(), Vec::new());
         for name in names {
             let belief = view.fleet.named(name).filter(|b| b.target.service == view.pool.service);
-            let until = belief.and_then(|b| view.fleet.holds_until(b, view.cold, view.now));
-            self.due.extend(until.map(|at| (at, name.clone())));
+            let due_at = belief.and_then(|b| view.fleet.holds_until(b, view.cold, view.now));
+            self.timers.extend(due_at.map(|at| (at, name.clone())));
             let info = belief.and_then(|b| view.info(b));
-            let told = self.told.remove(name);
-            gone.extend(told.filter(|id| info.as_ref().is_none_or(|info| info.id != *id)));
+            let announced = self.announced.remove(name);
+            removed.extend(announced.filter(|id| info.as_ref().is_none_or(|info| info.id != *id)));
             if let Some(info) = info {
-                self.told.insert(name.clone(), info.id.clone());
-                there.push(info);
+                self.announced.insert(name.clone(), info.id.clone());
+                updated.push(info);
             }
         }
-        let is_news = !there.is_empty() || !gone.is_empty();
-        is_news.then_some(Event::Changed { there, gone })
+        let is_changed = !updated.is_empty() || !removed.is_empty();
+        is_changed.then_some(Event::WorkersChanged { updated, removed })
     }
 }
 
 impl View<'_> {
-    fn names_limit(&self, b: &Belief) -> bool {
+    fn has_limit(&self, b: &Belief) -> bool {
         self.fleet.limits().get(&b.target.id).is_some()
     }
 
-    fn bear_others(&self) -> bool {
+    fn any_unlimited(&self) -> bool {
         let limits = self.fleet.limits();
         let mut usable = self.fleet.usable(&self.pool.service, Terms::ANY, self.now);
-        limits.is_empty() || usable.any(|b| !self.names_limit(b))
+        limits.is_empty() || usable.any(|b| !self.has_limit(b))
     }
 
     /// A target as the machine is to know it; `None` if it may get no calls.
-    fn info(&self, b: &Belief) -> Option<MakerInfo> {
+    fn info(&self, b: &Belief) -> Option<WorkerInfo> {
         let region = self.pool.region.as_ref();
         if region.is_some_and(|r| self.map.region_of(&b.target.domain) != *r) {
             return None;
         }
         let is_usable = |side| self.fleet.bars(b, Terms { side, ..Terms::ANY }, self.now).is_none();
         let (_, share) = self.sides.iter().find(|(side, _)| is_usable(*side))?;
-        Some(MakerInfo {
+        Some(WorkerInfo {
             id: b.target.id.clone(),
             domain: b.target.domain.clone(),
             region: self.fleet.regions().of(&b.target.domain).cloned(),
             gap: self.cold_gap(b).max(self.limit_gap(b)),
-            most: (self.others_bear && self.names_limit(b)).then_some(LIMITED_CALL as usize),
+            max_pieces: (self.has_unlimited && self.has_limit(b)).then_some(LIMITED_CALL as usize),
             share: *share,
         })
     }
 
-    /// Least time between two calls of a cold maker.
+    /// Least time between two calls of a cold worker.
     fn cold_gap(&self, b: &Belief) -> Option<Duration> {
         let limit = self.cold.filter(|l| self.fleet.is_cold(b, *l, self.now))?;
         Some(limit.gap.unwrap_or(Duration::MAX))
     }
 
-    /// Least time between two calls of a maker that names a limit.
+    /// Least time between two calls of a worker that names a limit.
     fn limit_gap(&self, b: &Belief) -> Option<Duration> {
-        let pace = pace_of(self.fleet.limits().get(&b.target.id)?);
-        let most = if self.others_bear { LIMITED_CALL } else { 1 };
-        Some(Duration::from_secs_f64(f64::from(most) / pace))
+        let rate = pace_of(self.fleet.limits().get(&b.target.id)?);
+        let max_pieces = if self.has_unlimited { LIMITED_CALL } else { 1 };
+        Some(Duration::from_secs_f64(f64::from(max_pieces) / rate))
     }
 }
--- a/crates/decide/src/batch/maker.rs
+++ b/crates/decide/src/batch/maker.rs
@@ -1,4 +1,4 @@
-//! One maker: its calls, its failures and its room for results.
+//! One worker: its calls, its failures and its room for results.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,48 +6,48 @@
 use model::forward::StagePool;
 use model::{Name, Time};
 
-use super::types::{CallEnd, MakerInfo};
+use super::types::{CallEnd, WorkerInfo};
 
-/// First time for which a failing maker is left out.
-const EJECT_FIRST: Duration = Duration::from_millis(300);
-/// Longest time for which a failing maker is left out.
-const EJECT_LONGEST: Duration = Duration::from_millis(2400);
-/// Time for which a maker that was full is left out.
-const FULL: Duration = Duration::from_millis(60);
-/// Time for which a maker's want of room is held for true.
-const NO_ROOM: Duration = Duration::from_millis(120);
-/// Part of a maker's room that is used; sizes are known only roughly.
-const ROOM_USED: f64 = 0.9;
+/// First time for which a failing worker is left out.
+const EJECTION_BASE: Duration = Duration::from_millis(300);
+/// Longest time for which a failing worker is left out.
+const EJECTION_MAX: Duration = Duration::from_millis(2400);
+/// Time for which a worker that was full is left out.
+const FULL_BACKOFF: Duration = Duration::from_millis(60);
+/// Time for which a worker's want of room is held for true.
+const NO_ROOM_TTL: Duration = Duration::from_millis(120);
+/// Part of a worker's room that is used; sizes are known only roughly.
+const ROOM_FRACTION: f64 = 0.9;
 
-/// What each maker of a pool bears.
+/// What each worker of a pool bears.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Bounds {
+pub(super) struct Capacity {
     slots: u32,
     /// Bytes of results.
-    room: u64,
+    max_bytes: u64,
     /// Time for which a result rests at most.
-    keep: Duration,
+    result_ttl: Duration,
 }
 
-impl From<&StagePool> for Bounds {
+impl From<&StagePool> for Capacity {
     fn from(pool: &StagePool) -> Self {
-        Bounds {
+        Capacity {
             slots: pool.slots.max(1),
-            room: (pool.room_mb * 1e6 * ROOM_USED) as u64,
-            keep: Duration::from_millis(pool.keep_ms),
+            max_bytes: (pool.room_mb * 1e6 * ROOM_FRACTION) as u64,
+            result_ttl: Duration::from_millis(pool.keep_ms),
         }
     }
 }
 
-/// Where a maker is.
+/// Where a worker is.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct Location {
     pub(super) domain: Name,
     /// Region of that, if it is known.
     pub(super) region: Option<Name>,
 }
 
-/// Whether a maker that failed has been asked for a sign of life since.
+/// Whether a worker that failed has been asked for a sign of life since.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Breaker {
     Closed,
@@ -57,172 +57,173 @@
     HalfOpen,
 }
 
-/// How a maker stands at one moment.
+/// How a worker stands at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(super) struct Standing {
+pub(super) struct Status {
     /// It may get calls, now or once one of its own ends.
-    pub(super) works: bool,
+    pub(super) is_available: bool,
     /// Bytes of results that it takes with a call now; `None` if it takes no call.
-    pub(super) room: Option<u64>,
+    pub(super) free_bytes: Option<u64>,
     /// When it takes calls again, if it is known to answer.
-    pub(super) back: Option<Time>,
+    pub(super) retry_at: Option<Time>,
     /// When it is to be asked for a sign of life.
-    pub(super) probe: Option<Time>,
+    pub(super) probe_at: Option<Time>,
     /// When this changes without an event.
-    pub(super) until: Option<Time>,
+    pub(super) changes_at: Option<Time>,
 }
 
 #[derive(Debug)]
-pub(super) struct Maker {
-    pub(super) place: Place,
+pub(super) struct Worker {
+    pub(super) location: Location,
     /// Most pieces of its call.
-    pub(super) most: Option<usize>,
-    /// Part of all pieces that makers of its version may get, if that is on trial.
+    pub(super) max_pieces: Option<usize>,
+    /// Part of all pieces that workers of its version may get, if that is on trial.
     pub(super) share: Option<f64>,
     pub(super) present: bool,
     pub(super) calls: u32,
     gap: Option<Duration>,
     last_call: Option<Time>,
-    ejected: Time,
-    strikes: u32,
+    ejected_until: Time,
+    failed_in_a_row: u32,
     /// It answered last, late or that it is full: left out, it is asked again soon.
-    answers: bool,
+    is_responsive: bool,
     breaker: Breaker,
     /// Size of a result that had no room, and until when that is held for true.
-    capped: Option<(u64, Time)>,
-    in_flight: u64,
+    result_cap: Option<(u64, Time)>,
+    in_flight_bytes: u64,
     /// Bytes of each result that rests here.
-    kept: BTreeMap<String, u64>,
-    kept_bytes: u64,
+    results: BTreeMap<String, u64>,
+    stored_bytes: u64,
     /// Results in the order in which they were made; freed ones stay until they would run out.
-    made: VecDeque<(Time, String)>,
+    by_age: VecDeque<(Time, String)>,
 }
 
-impl Maker {
-    pub(super) fn new(info: MakerInfo) -> Self {
-        let MakerInfo { id: _, domain, region, gap, most, share } = info;
-        Maker {
-            place: Place { domain, region },
-            most,
+impl Worker {
+    pub(super) fn new(info: WorkerInfo) -> Self {
+        let WorkerInfo { id: _, domain, region, gap, max_pieces: most, share } = info;
+        Worker {
+            location: Location { domain, region },
+            max_pieces: most,
             share,
             present: true,
             calls: 0,
             gap,
             last_call: None,
-            ejected: Time::ZERO,
-            strikes: 0,
-            answers: false,
+            ejected_until: Time::ZERO,
+            failed_in_a_row: 0,
+            is_responsive: false,
             breaker: Breaker::Closed,
-            capped: None,
-            in_flight: 0,
-            kept: BTreeMap::new(),
-            kept_bytes: 0,
-            made: VecDeque::new(),
+            result_cap: None,
+            in_flight_bytes: 0,
+            results: BTreeMap::new(),
+            stored_bytes: 0,
+            by_age: VecDeque::new(),
         }
     }
 
     /// Whether it is there just as discovery tells.
-    pub(super) fn is_as(&self, info: &MakerInfo) -> bool {
+    pub(super) fn matches(&self, info: &WorkerInfo) -> bool {
         self.present
-            && self.place.domain == info.domain
-            && self.place.region == info.region
+            && self.location.domain == info.domain
+            && self.location.region == info.region
             && self.gap == info.gap
-            && self.most == info.most
+            && self.max_pieces == info.max_pieces
             && self.share == info.share
     }
 
     /// Takes what discovery tells.
-    pub(super) fn set(&mut self, info: MakerInfo) {
-        let MakerInfo { id: _, domain, region, gap, most, share } = info;
-        self.place = Place { domain, region };
+    pub(super) fn set(&mut self, info: WorkerInfo) {
+        let WorkerInfo { id: _, domain, region, gap, max_pieces: most, share } = info;
+        self.location = Location { domain, region };
         self.present = true;
         self.gap = gap;
-        self.most = most;
+        self.max_pieces = most;
         self.share = share;
     }
 
     /// Whether this coordinator is not to start calls there, since it is cold.
-    fn is_left_alone(&self) -> bool {
+    fn is_excluded(&self) -> bool {
         self.gap == Some(Duration::MAX)
     }
 
-    fn works(&self, now: Time) -> bool {
-        let is_left_out = self.ejected > now || self.breaker != Breaker::Closed;
-        self.present && !is_left_out && !self.is_left_alone()
+    fn is_available(&self, now: Time) -> bool {
+        let is_ejected = self.ejected_until > now || self.breaker != Breaker::Closed;
+        self.present && !is_ejected && !self.is_excluded()
     }
 
     /// Until when it is held back, since it had a call too short a time ago.
-    fn held_until(&self) -> Option<Time> {
+    fn throttled_until(&self) -> Option<Time> {
         let gap = self.gap.filter(|gap| *gap < Duration::MAX)?;
         Some(self.last_call? + gap)
     }
 
     /// Forgets results that have run out by now.
-    pub(super) fn expire(&mut self, bounds: Bounds, now: Time) {
-        while let Some((_, text)) = self.made.pop_front_if(|(at, _)| now.since(*at) >= bounds.keep)
+    pub(super) fn expire(&mut self, capacity: Capacity, now: Time) {
+        while let Some((_, text)) =
+            self.by_age.pop_front_if(|(at, _)| now.since(*at) >= capacity.result_ttl)
         {
-            self.freed(&text);
+            self.remove_result(&text);
         }
     }
 
     /// How it stands now.
-    pub(super) fn standing(&self, bounds: Bounds, now: Time) -> Standing {
-        let works = self.works(now);
-        let is_held = self.held_until().is_some_and(|until| now < until);
-        let takes = works && self.calls < bounds.slots && !is_held;
+    pub(super) fn status(&self, capacity: Capacity, now: Time) -> Status {
+        let is_available = self.is_available(now);
+        let is_throttled = self.throttled_until().is_some_and(|until| now < until);
+        let is_ready = is_available && self.calls < capacity.slots && !is_throttled;
         let is_serving = self.present && self.share.is_none();
-        let is_back_soon = is_serving && self.answers && !self.is_left_alone();
-        let is_open = self.present && self.breaker == Breaker::Open;
-        let changes = [
-            Some(self.ejected),
-            self.held_until(),
-            self.capped.map(|(_, until)| until),
-            self.made.front().map(|(at, _)| *at + bounds.keep),
+        let may_retry = is_serving && self.is_responsive && !self.is_excluded();
+        let needs_probe = self.present && self.breaker == Breaker::Open;
+        let times = [
+            Some(self.ejected_until),
+            self.throttled_until(),
+            self.result_cap.map(|(_, until)| until),
+            self.by_age.front().map(|(at, _)| *at + capacity.result_ttl),
         ];
-        Standing {
-            works,
-            room: takes.then(|| self.room(bounds, now)),
-            back: is_back_soon.then_some(self.ejected),
-            probe: is_open.then_some(self.ejected),
-            until: changes.into_iter().flatten().filter(|at| *at > now).min(),
+        Status {
+            is_available,
+            free_bytes: is_ready.then(|| self.free_bytes(capacity, now)),
+            retry_at: may_retry.then_some(self.ejected_until),
+            probe_at: needs_probe.then_some(self.ejected_until),
+            changes_at: times.into_iter().flatten().filter(|at| *at > now).min(),
         }
     }
 
-    fn room(&self, bounds: Bounds, now: Time) -> u64 {
-        let reckoned = bounds.room.saturating_sub(self.kept_bytes + self.in_flight);
-        let seen = self.capped.filter(|(_, until)| now < *until);
-        seen.map_or(reckoned, |(size, _)| reckoned.min(size.saturating_sub(1)))
+    fn free_bytes(&self, capacity: Capacity, now: Time) -> u64 {
+        let estimate = capacity.max_bytes.saturating_sub(self.stored_bytes + self.in_flight_bytes);
+        let cap = self.result_cap.filter(|(_, until)| now < *until);
+        cap.map_or(estimate, |(size, _)| estimate.min(size.saturating_sub(1)))
     }
 
     fn eject(&mut self, now: Time) {
-        let time = EJECT_FIRST * 2u32.pow(self.strikes.min(3));
-        self.ejected = now + time.min(EJECT_LONGEST);
-        self.strikes += 1;
+        let duration = EJECTION_BASE * 2u32.pow(self.failed_in_a_row.min(3));
+        self.ejected_until = now + duration.min(EJECTION_MAX);
+        self.failed_in_a_row += 1;
         self.breaker = Breaker::Open;
     }
 
     /// A call starts, whose results will take this many bytes.
-    pub(super) fn started(&mut self, bytes: u64, now: Time) {
+    pub(super) fn call_started(&mut self, bytes: u64, now: Time) {
         self.calls += 1;
         self.last_call = Some(now);
-        self.in_flight += bytes;
+        self.in_flight_bytes += bytes;
     }
 
     /// A call ended.
-    pub(super) fn ended(&mut self, bytes: u64, end: &CallEnd, was_slow: bool, now: Time) {
+    pub(super) fn call_ended(&mut self, bytes: u64, end: &CallEnd, was_slow: bool, now: Time) {
         self.calls = self.calls.saturating_sub(1);
-        self.in_flight = self.in_flight.saturating_sub(bytes);
-        self.answers = !matches!(end, CallEnd::Failed);
+        self.in_flight_bytes = self.in_flight_bytes.saturating_sub(bytes);
+        self.is_responsive = !matches!(end, CallEnd::Failed);
         match end {
             CallEnd::Answered(_) if was_slow => self.eject(now),
-            CallEnd::Answered(_) => self.strikes = 0,
-            CallEnd::Full => self.ejected = now + FULL,
+            CallEnd::Answered(_) => self.failed_in_a_row = 0,
+            CallEnd::Full => self.ejected_until = now + FULL_BACKOFF,
             CallEnd::Failed => self.eject(now),
         }
     }
 
     /// It is being asked for a sign of life.
-    pub(super) fn asked(&mut self) {
+    pub(super) fn probe_sent(&mut self) {
         self.breaker = Breaker::HalfOpen;
     }
 
@@ -234,29 +235,29 @@
         if alive {
             self.breaker = Breaker::Closed;
         } else {
-            self.answers = false;
+            self.is_responsive = false;
             self.eject(now);
         }
     }
 
     /// It had less room than was reckoned: results of this size or more are not made there for a
     /// while, smaller ones are.
-    pub(super) fn had_no_room(&mut self, size: u64, now: Time) {
-        self.capped = Some((size, now + NO_ROOM));
+    pub(super) fn record_no_room(&mut self, size: u64, now: Time) {
+        self.result_cap = Some((size, now + NO_ROOM_TTL));
     }
 
     /// A result rests here from now on.
-    pub(super) fn keep(&mut self, text: &str, bytes: u64, now: Time) {
-        self.freed(text);
-        self.kept.insert(text.to_string(), bytes);
-        self.kept_bytes += bytes;
-        self.made.push_back((now, text.to_string()));
+    pub(super) fn store(&mut self, text: &str, bytes: u64, now: Time) {
+        self.remove_result(text);
+        self.results.insert(text.to_string(), bytes);
+        self.stored_bytes += bytes;
+        self.by_age.push_back((now, text.to_string()));
     }
 
     /// A result no longer takes room.
-    pub(super) fn freed(&mut self, text: &str) {
-        if let Some(bytes) = self.kept.remove(text) {
-            self.kept_bytes -= bytes;
+    pub(super) fn remove_result(&mut self, text: &str) {
+        if let Some(bytes) = self.results.remove(text) {
+            self.stored_bytes -= bytes;
         }
     }
 }
--- a/crates/decide/src/batch/mod.rs
+++ b/crates/decide/src/batch/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! A call costs the same whatever it carries, so pieces of many requests share
 //! calls. The coordinator knows every call that it has in flight and what room
-//! each maker has left; when a maker is free it fills a call with what waits, most
+//! each worker has left; when a worker is free it fills a call with what waits, most
 //! urgent first. Nothing depends on there being only one coordinator: pieces may
-//! be made twice, and a maker turns away what it cannot take.
+//! be made twice, and a worker turns away what it cannot take.
 
 mod coordinator;
 mod feed;
@@ -18,5 +18,5 @@
 mod types;
 
 pub use coordinator::Coordinator;
-pub use feed::MakerFeed;
-pub use types::{Action, Call, CallEnd, Event, MakerInfo, OrderId};
+pub use feed::WorkerFeed;
+pub use types::{Action, Call, CallEnd, Event, OrderId, WorkerInfo};
--- a/crates/decide/src/batch/orders.rs
+++ b/crates/decide/src/batch/orders.rs
@@ -5,45 +5,45 @@
 use model::forward::{BatchOrder, LARGE_RESULT, PieceResult, Rank, StagePool};
 use model::{Name, Time};
 
-use super::maker::Place;
+use super::maker::Location;
 
 /// Slack below which an urgent order may be made elsewhere after all.
 const SPILL_SLACK: Duration = Duration::from_millis(150);
 /// Part of a call that is filled while orders wait. More, and an order that can still be in
 /// time goes behind others as a late one; less, and a late one takes the place of one in time.
-const USUAL_FILL: f64 = 0.75;
+const TYPICAL_FILL: f64 = 0.75;
 /// Failed calls from which on an order goes alone.
-const ALONE_FROM: u32 = 2;
+const ISOLATE_AFTER: u32 = 2;
 /// Workspaces of ranks up to this one may be made elsewhere for want of time.
-const SPILL_RANK: u8 = 1;
+const MAX_SPILL_RANK: u8 = 1;
 
 /// Key by which orders are taken; the least goes first.
 pub(super) type Urgency = (bool, bool, Rank, bool, Duration);
 
 /// Time of a call with these pieces, filled up by others as it usually is when orders wait.
-pub(super) fn usual_call(pool: &StagePool, pieces: u32) -> Duration {
-    let usual = (pool.batch as f64 * USUAL_FILL) as u32;
-    pool.call_time(usual.max(pieces))
+pub(super) fn typical_call_time(pool: &StagePool, pieces: u32) -> Duration {
+    let typical = (pool.batch as f64 * TYPICAL_FILL) as u32;
+    pool.call_time(typical.max(pieces))
 }
 
 /// One order that is not answered yet.
 #[derive(Debug)]
 pub(super) struct Order {
     pub(super) order: BatchOrder,
-    pub(super) waiting: Vec<usize>,
+    pub(super) queued: Vec<usize>,
     pub(super) results: Vec<Option<PieceResult>>,
     /// Calls under way for each piece.
-    calls: Vec<u8>,
+    in_flight_calls: Vec<u8>,
     pub(super) failures: u32,
     /// When the last of these was seen.
-    failed: Option<Time>,
+    last_failure: Option<Time>,
     pub(super) pinned: bool,
     /// A call was overdue and its pieces were asked for again.
     was_repeated: bool,
-    /// A maker that could take a call had too little room for it.
+    /// A worker that could take a call had too little room for it.
     pub(super) lacked_room: bool,
     arrived: Time,
-    home: Option<Name>,
+    home_domain: Option<Name>,
 }
 
 impl Order {
@@ -51,16 +51,16 @@
         let n = order.pieces as usize;
         Order {
             order,
-            waiting: (0..n).collect(),
+            queued: (0..n).collect(),
             results: vec![None; n],
-            calls: vec![0; n],
+            in_flight_calls: vec![0; n],
             failures: 0,
-            failed: None,
+            last_failure: None,
             pinned,
             was_repeated: false,
             lacked_room: false,
             arrived: now,
-            home: None,
+            home_domain: None,
         }
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// Whether the request is given up by now.
-    pub(super) fn is_over(&self, now: Time) -> bool {
+    pub(super) fn is_expired(&self, now: Time) -> bool {
         now.since(self.arrived) >= Duration::from_millis(self.order.left_ms)
     }
 
@@ -91,129 +91,129 @@
         let had_call = self.failures > 0 || self.was_repeated;
         let could_be_in_time =
             Duration::from_millis(self.order.slack_ms) >= pool.call_time(self.order.pieces);
-        !self.is_begun() && !had_call && could_be_in_time
+        !self.is_started() && !had_call && could_be_in_time
     }
 
     /// Whether its calls carry nothing else: two have failed under it, and a piece that ends
     /// whatever makes it would take the others' with it a third time.
-    pub(super) fn is_alone(&self) -> bool {
-        self.failures >= ALONE_FROM
+    pub(super) fn is_isolated(&self) -> bool {
+        self.failures >= ISOLATE_AFTER
     }
 
     /// A call that was begun then failed. Calls that were under way together count once: they
     /// fail for one reason, such as a lost failure domain.
-    pub(super) fn call_failed(&mut self, begun: Time, now: Time) {
-        if self.failed.is_none_or(|seen| begun >= seen) {
+    pub(super) fn call_failed(&mut self, started: Time, now: Time) {
+        if self.last_failure.is_none_or(|last| started >= last) {
             self.failures += 1;
-            self.failed = Some(now);
+            self.last_failure = Some(now);
         }
     }
 
     /// Whether a call has taken some of it.
-    pub(super) fn is_begun(&self) -> bool {
-        self.waiting.len() < self.results.len()
+    pub(super) fn is_started(&self) -> bool {
+        self.queued.len() < self.results.len()
     }
 
     /// Whether the request will be late even if a call takes the order now.
     pub(super) fn is_hopeless(&self, pool: &StagePool, now: Time) -> bool {
-        self.slack(now) < self.usual_time(pool)
+        self.slack(now) < self.typical_time(pool)
     }
 
     /// Time of a call with the order's pieces, filled up by others' as it usually is when
     /// orders wait.
-    fn usual_time(&self, pool: &StagePool) -> Duration {
-        usual_call(pool, self.waiting.len() as u32)
+    fn typical_time(&self, pool: &StagePool) -> Duration {
+        typical_call_time(pool, self.queued.len() as u32)
     }
 
     /// Begun orders first, then those that can still be in time, the higher ranks,
     /// those that this failure domain is meant for, the least slack.
     pub(super) fn urgency(&self, domain: &str, pool: &StagePool, now: Time) -> Urgency {
-        let begun = self.is_begun();
+        let is_started = self.is_started();
         let slack = self.slack(now);
-        let hopeless = self.is_hopeless(pool, now);
-        (!begun, hopeless, self.order.rank, !self.is_meant_for(domain), slack)
+        let is_hopeless = self.is_hopeless(pool, now);
+        (!is_started, is_hopeless, self.order.rank, !self.prefers_domain(domain), slack)
     }
 
-    fn is_meant_for(&self, domain: &str) -> bool {
-        self.home.as_ref().or(self.order.near.as_ref()).is_some_and(|d| **d == *domain)
+    fn prefers_domain(&self, domain: &str) -> bool {
+        self.home_domain.as_ref().or(self.order.near.as_ref()).is_some_and(|d| **d == *domain)
     }
 
     /// Whether the request may be served at a place.
-    fn permits(&self, place: &Place) -> bool {
-        self.order.allowed.permits(place.region.as_deref())
+    fn permits(&self, location: &Location) -> bool {
+        self.order.allowed.permits(location.region.as_deref())
     }
 
-    /// Whether a call at a maker at `place` suits this order. A call that orders share is
+    /// Whether a call at a worker at `place` suits this order. A call that orders share is
     /// made only where each of them permits it.
-    pub(super) fn suits(
+    pub(super) fn accepts(
         &self,
-        place: &Place,
-        working: &[Place],
+        location: &Location,
+        available: &[Location],
         pool: &StagePool,
         now: Time,
     ) -> bool {
-        if !self.permits(place) {
+        if !self.permits(location) {
             return false;
         }
-        let (bound, bytes) = match &self.home {
+        let (preferred, bytes) = match &self.home_domain {
             Some(home) => (Some(home), self.order.spread_bytes),
             None => (self.order.near.as_ref(), self.order.moved_bytes),
         };
-        let Some(bound) = bound else {
+        let Some(preferred) = preferred else {
             return true;
         };
-        let pressed = self.slack(now) < self.usual_time(pool) + SPILL_SLACK;
-        *bound == place.domain
+        let is_urgent = self.slack(now) < self.typical_time(pool) + SPILL_SLACK;
+        *preferred == location.domain
             || bytes < LARGE_RESULT
-            || !working.iter().any(|w| w.domain == *bound && self.permits(w))
-            || (pressed && self.order.rank.workspace <= SPILL_RANK)
+            || !available.iter().any(|w| w.domain == *preferred && self.permits(w))
+            || (is_urgent && self.order.rank.workspace <= MAX_SPILL_RANK)
     }
 
     /// Takes up to `most` waiting pieces for a call in `domain`.
-    pub(super) fn take(&mut self, most: usize, domain: &Name) -> Vec<usize> {
-        let some = self.waiting.len().min(most);
-        if some > 0 {
-            self.home.get_or_insert_with(|| domain.clone());
+    pub(super) fn take_queued(&mut self, limit: usize, domain: &Name) -> Vec<usize> {
+        let count = self.queued.len().min(limit);
+        if count > 0 {
+            self.home_domain.get_or_insert_with(|| domain.clone());
         }
-        let taken: Vec<usize> = self.waiting.drain(..some).collect();
+        let taken: Vec<usize> = self.queued.drain(..count).collect();
         for piece in &taken {
-            self.calls[*piece] += 1;
+            self.in_flight_calls[*piece] += 1;
         }
         taken
     }
 
     /// A call for a piece ended.
     pub(super) fn call_ended(&mut self, piece: usize) {
-        self.calls[piece] = self.calls[piece].saturating_sub(1);
+        self.in_flight_calls[piece] = self.in_flight_calls[piece].saturating_sub(1);
     }
 
     /// The piece waits for a call again, unless it is made or another call is under way.
     pub(super) fn requeue(&mut self, piece: usize) {
-        if self.calls[piece] == 0 {
-            self.wait_again(piece);
+        if self.in_flight_calls[piece] == 0 {
+            self.enqueue(piece);
         }
     }
 
     /// Whether only one call, which is overdue, is under way for a piece that is not made yet.
     pub(super) fn may_repeat(&self, piece: usize) -> bool {
-        self.calls[piece] == 1 && self.results[piece].is_none()
+        self.in_flight_calls[piece] == 1 && self.results[piece].is_none()
     }
 
     /// The piece waits for a second call although the first one is still under way.
     pub(super) fn repeat(&mut self, piece: usize) {
         self.was_repeated = true;
-        self.wait_again(piece);
+        self.enqueue(piece);
     }
 
-    fn wait_again(&mut self, piece: usize) {
-        if self.results[piece].is_none() && !self.waiting.contains(&piece) {
-            self.waiting.push(piece);
+    fn enqueue(&mut self, piece: usize) {
+        if self.results[piece].is_none() && !self.queued.contains(&piece) {
+            self.queued.push(piece);
         }
     }
 
     /// A piece is made, or will not be.
     pub(super) fn set_result(&mut self, piece: usize, result: PieceResult) {
-        self.waiting.retain(|p| *p != piece);
+        self.queued.retain(|p| *p != piece);
         self.results[piece] = Some(result);
     }
 }
--- a/crates/decide/src/batch/types.rs
+++ b/crates/decide/src/batch/types.rs
@@ -8,9 +8,9 @@
 /// Number of an order at this coordinator.
 pub type OrderId = u64;
 
-/// A maker as the coordinator is told of it.
+/// A worker as the coordinator is told of it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct MakerInfo {
+pub struct WorkerInfo {
     /// Target.
     pub id: TargetId,
     /// Failure domain.
@@ -21,8 +21,8 @@
     /// none.
     pub gap: Option<Duration>,
     /// Most pieces of a call, if it takes fewer than others.
-    pub most: Option<usize>,
-    /// Part of all pieces that makers of its version may get, if that is on trial beside another
+    pub max_pieces: Option<usize>,
+    /// Part of all pieces that workers of its version may get, if that is on trial beside another
     /// one.
     pub share: Option<f64>,
 }
@@ -42,17 +42,17 @@
     /// Nobody waits for an order any more.
     Cancel(OrderId),
     /// A call came to an end.
-    Ended(u64, CallEnd),
-    /// All makers that may get calls.
-    Makers(Vec<MakerInfo>),
-    /// Makers that came or changed, and those that get no calls any more.
-    Changed {
+    CallEnded(u64, CallEnd),
+    /// All workers that may get calls.
+    Workers(Vec<WorkerInfo>),
+    /// Workers that came or changed, and those that get no calls any more.
+    WorkersChanged {
         /// Those that may get calls.
-        there: Vec<MakerInfo>,
+        updated: Vec<WorkerInfo>,
         /// Those that may not.
-        gone: Vec<TargetId>,
+        removed: Vec<TargetId>,
     },
-    /// A maker gave a sign of life, or none.
+    /// A worker gave a sign of life, or none.
     Probed(TargetId, bool),
     /// Results are no longer wanted and are being freed.
     Freed(Vec<Handle>),
@@ -66,11 +66,11 @@
 /// How a call came to an end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The maker answered for each piece.
+    /// The worker answered for each piece.
     Answered(Vec<PieceResult>),
-    /// The maker was full and did nothing.
+    /// The worker was full and did nothing.
     Full,
-    /// The maker could not be reached, or gave no usable answer.
+    /// The worker could not be reached, or gave no usable answer.
     Failed,
 }
 
@@ -79,8 +79,8 @@
 pub struct Call {
     /// Number.
     pub number: u64,
-    /// Maker.
-    pub maker: TargetId,
+    /// Worker.
+    pub worker: TargetId,
     /// Pieces.
     pub pieces: Vec<PieceOrder>,
 }
@@ -94,21 +94,21 @@
     Overdue {
         /// Call.
         number: u64,
-        /// Its maker.
-        maker: TargetId,
+        /// Its worker.
+        worker: TargetId,
         /// Pieces that are asked for again.
-        again: usize,
+        repeated: usize,
         /// How long it has been under way.
         age: Duration,
         /// When it counted as overdue.
         limit: Duration,
     },
-    /// Ask a maker that failed for a sign of life.
+    /// Ask a worker that failed for a sign of life.
     Probe(TargetId),
     /// Answer an order.
     Answer(OrderId, Vec<PieceResult>),
     /// An order is to be placed with another coordinator.
-    Moved(OrderId),
+    HandOver(OrderId),
     /// Results that nobody waits for: free them.
     Free(Vec<Handle>),
 }
--- a/crates/decide/src/forecast/mod.rs
+++ b/crates/decide/src/forecast/mod.rs
@@ -16,41 +16,41 @@
 use crate::stages;
 
 /// Time over which what was heard of a wait fades to nothing.
-const FADES: Duration = Duration::from_millis(1500);
+const WAIT_FADE: Duration = Duration::from_millis(1500);
 /// Time that an engine usually takes to its first event, about the median (139 ms) of long
 /// prompts. The door turns away by it: more would refuse requests that are in time.
-const USUAL_FIRST_EVENT: Duration = Duration::from_millis(150);
+const TYPICAL_FIRST_EVENT: Duration = Duration::from_millis(150);
 /// Part of a request's spare time, the objective less the time that it takes without any
 /// wait, from which on waits turn it away: what is expected of a wait is half a second old,
 /// and in a burst the true one is longer by the time that the request gets there.
-const WAIT_PART: f64 = 0.35;
+const MAX_WAIT_FRACTION: f64 = 0.35;
 /// Waits that never turn a request away, however tight its objective is: less than the
 /// time of one call, which any order may find under way.
-const WAIT_FREE: Duration = Duration::from_millis(150);
+const TOLERATED_WAIT: Duration = Duration::from_millis(150);
 /// Shortest wait before a refused caller comes back.
-const COME_BACK_LEAST: Duration = Duration::from_millis(300);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Part of a caller's time after which it does not come back any more.
-const COME_BACK_PART: u32 = 4;
+const RETRY_AFTER_DIVISOR: u32 = 4;
 
 /// What is decided about a request at the door.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Door {
+pub enum Admission {
     /// It is served.
-    Enter,
+    Admit,
     /// It is refused; its caller may come back after this time.
     Refuse(Duration),
 }
 
 #[derive(Debug, Clone)]
-struct Heard {
+struct ReportedWaits {
     waits: Waits,
-    at: Time,
+    received_at: Time,
 }
 
-impl Heard {
+impl ReportedWaits {
     /// Wait of a new order by now.
     fn wait(&self, rank: Rank, now: Time) -> Duration {
-        let age = now.since(self.at).as_secs_f64() / FADES.as_secs_f64();
+        let age = now.since(self.received_at).as_secs_f64() / WAIT_FADE.as_secs_f64();
         let wait = Duration::from_millis(u64::from(self.waits.of(rank)));
         wait.mul_f64((1.0 - age).clamp(0.0, 1.0))
     }
@@ -58,46 +58,50 @@
 
 /// What this node heard of the stages' waits.
 #[derive(Debug, Default)]
-pub struct Forecast(HashMap<QueueId, Heard>);
+pub struct Forecast(HashMap<QueueId, ReportedWaits>);
 
 impl Forecast {
     /// A coordinator told what the next orders in a queue wait.
-    pub fn hear(&mut self, queue: QueueId, waits: Waits, now: Time) {
-        self.0.retain(|_, heard| now.since(heard.at) < FADES);
-        self.0.insert(queue, Heard { waits, at: now });
+    pub fn record(&mut self, queue: QueueId, waits: Waits, now: Time) {
+        self.0.retain(|_, reported| now.since(reported.received_at) < WAIT_FADE);
+        self.0.insert(queue, ReportedWaits { waits, received_at: now });
     }
 
     /// A maker of a service came, so that word that none works says nothing any more.
-    pub fn maker_came(&mut self, service: &Name) {
-        let nobody = |heard: &Heard| heard.waits.0.iter().any(|(_, wait)| *wait == Waits::NOBODY);
-        self.0.retain(|queue, heard| queue.pool.service != *service || !nobody(heard));
+    pub fn worker_added(&mut self, service: &Name) {
+        let has_no_worker = |reported: &ReportedWaits| {
+            reported.waits.0.iter().any(|(_, wait)| *wait == Waits::NOBODY)
+        };
+        self.0.retain(|queue, reported| queue.pool.service != *service || !has_no_worker(reported));
     }
 
     /// What tells how long a new order waits, as far as it is still known: what was heard of its
     /// queue, or later of one in which orders wait as long at most.
-    fn newest_bound(&self, queue: &QueueId, rank: Rank, now: Time) -> Option<&Heard> {
-        let since = self.0.get(queue).map_or(Time::ZERO, |own| own.at);
-        let heard = self.0.iter().filter(|(q, heard)| q.bounds(queue) && heard.at >= since);
-        heard.map(|(_, heard)| heard).max_by_key(|heard| heard.wait(rank, now))
+    fn newest_bound(&self, queue: &QueueId, rank: Rank, now: Time) -> Option<&ReportedWaits> {
+        let since = self.0.get(queue).map_or(Time::ZERO, |known| known.received_at);
+        let reported =
+            self.0.iter().filter(|(q, reported)| q.bounds(queue) && reported.received_at >= since);
+        reported.map(|(_, reported)| reported).max_by_key(|reported| reported.wait(rank, now))
     }
 
     fn wait(&self, queue: &QueueId, rank: Rank, now: Time) -> Duration {
-        self.newest_bound(queue, rank, now).map_or(Duration::ZERO, |heard| heard.wait(rank, now))
+        self.newest_bound(queue, rank, now)
+            .map_or(Duration::ZERO, |reported| reported.wait(rank, now))
     }
 
     /// The queue on a request's path in which it would wait longest; none if it would wait
     /// nowhere.
     pub fn longest_wait<'a>(
         &self,
-        least: &[Duration],
+        min_times: &[Duration],
         queues: &'a [QueueId],
         rank: Rank,
         now: Time,
     ) -> Option<LongestWait<'a>> {
-        let with_pieces = queues.iter().zip(least).filter(|(_, least)| !least.is_zero());
+        let with_pieces = queues.iter().zip(min_times).filter(|(_, min_time)| !min_time.is_zero());
         let waits = with_pieces.filter_map(|(queue, _)| {
-            let heard = self.newest_bound(queue, rank, now)?;
-            let (wait, age) = (heard.wait(rank, now), now.since(heard.at));
+            let reported = self.newest_bound(queue, rank, now)?;
+            let (wait, age) = (reported.wait(rank, now), now.since(reported.received_at));
             Some(LongestWait { service: &queue.pool.service, wait, age })
         });
         waits.max_by_key(|longest| longest.wait).filter(|longest| !longest.wait.is_zero())
@@ -107,16 +111,16 @@
     /// waits in.
     pub fn stage_times(
         &self,
-        least: &[Duration],
+        min_times: &[Duration],
         queues: &[QueueId],
         rank: Rank,
         now: Time,
     ) -> Vec<Duration> {
-        let time = |(least, queue): (&Duration, &QueueId)| match *least {
+        let time = |(min_time, queue): (&Duration, &QueueId)| match *min_time {
             Duration::ZERO => Duration::ZERO,
-            least => least + self.wait(queue, rank, now),
+            min_time => min_time + self.wait(queue, rank, now),
         };
-        least.iter().zip(queues).map(time).collect()
+        min_times.iter().zip(queues).map(time).collect()
     }
 
     /// Expected time to the first event of a request whose stages take `least` without
@@ -124,15 +128,18 @@
     pub fn expected(
         &self,
         route: &Route,
-        least: &[Duration],
+        min_times: &[Duration],
         queues: &[QueueId],
         rank: Rank,
         now: Time,
     ) -> Expected {
         let order = route.order();
-        let without = stages::longest(&order, least);
-        let whole = stages::longest(&order, &self.stage_times(least, queues, rank, now));
-        Expected { least: without + USUAL_FIRST_EVENT, waits: whole.saturating_sub(without) }
+        let without_wait = stages::critical_path(&order, min_times);
+        let total = stages::critical_path(&order, &self.stage_times(min_times, queues, rank, now));
+        Expected {
+            without_wait: without_wait + TYPICAL_FIRST_EVENT,
+            waits: total.saturating_sub(without_wait),
+        }
     }
 }
 
@@ -151,20 +158,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Expected {
     /// Time that it takes without any wait.
-    pub least: Duration,
+    pub without_wait: Duration,
     /// Time that waits add.
     pub waits: Duration,
 }
 
 impl Expected {
     /// All of it.
-    pub fn whole(&self) -> Duration {
-        self.least + self.waits
+    pub fn total(&self) -> Duration {
+        self.without_wait + self.waits
     }
 }
 
 /// Time of each stage's call without any wait; none for a stage that is left out.
-pub fn least_times<'a>(
+pub fn min_stage_times<'a>(
     route: &Route,
     pieces: &[u32],
     service: impl Fn(&Name) -> Option<&'a Service>,
@@ -178,12 +185,12 @@
 }
 
 /// Decides about a request whose first event is expected after this time.
-pub fn at_the_door(expected: Expected, objective: Duration, patience: Duration) -> Door {
-    let spare = objective.saturating_sub(expected.least);
-    if expected.waits <= spare.mul_f64(WAIT_PART).max(WAIT_FREE) {
-        return Door::Enter;
+pub fn decide_admission(expected: Expected, objective: Duration, patience: Duration) -> Admission {
+    let spare = objective.saturating_sub(expected.without_wait);
+    if expected.waits <= spare.mul_f64(MAX_WAIT_FRACTION).max(TOLERATED_WAIT) {
+        return Admission::Admit;
     }
-    let excess = expected.whole().saturating_sub(objective);
-    let most = (patience / COME_BACK_PART).max(COME_BACK_LEAST);
-    Door::Refuse(excess.clamp(COME_BACK_LEAST, most))
+    let excess = expected.total().saturating_sub(objective);
+    let max = (patience / RETRY_AFTER_DIVISOR).max(MIN_RETRY_AFTER);
+    Admission::Refuse(excess.clamp(MIN_RETRY_AFTER, max))
 }
--- a/crates/decide/src/load/mod.rs
+++ b/crates/decide/src/load/mod.rs
@@ -24,12 +24,12 @@
 }
 
 /// Packs a target's state for gossip.
-pub fn pack(news: &TargetNews) -> LoadRumor {
+pub fn to_rumor(state: &TargetNews) -> LoadRumor {
     LoadRumor {
-        target: key(&news.report.target),
-        wait: coarse(news.report.wait),
-        seq: news.seq as u16,
-        flags: u8::from(news.ready) * READY + u8::from(news.report.leaving) * LEAVING,
+        target: key(&state.report.target),
+        wait: quantize_wait(state.report.wait),
+        seq: state.seq as u16,
+        flags: u8::from(state.ready) * READY + u8::from(state.report.leaving) * LEAVING,
     }
 }
 
@@ -39,7 +39,7 @@
 }
 
 /// Rounds a wait so that two within about a quarter of each other look the same.
-fn coarse(wait: u32) -> u16 {
+fn quantize_wait(wait: u32) -> u16 {
     let w = wait.min(60_000);
     let step = (w.next_power_of_two() / 8).max(1);
     (w / step * step) as u16
@@ -47,24 +47,24 @@
 
 /// What one control node knows of all targets.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct LoadTable {
     names: BTreeMap<u32, Name>,
-    news: BTreeMap<Name, Entry>,
+    reports: BTreeMap<Name, Entry>,
     changes: u64,
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
-    news: TargetNews,
+    state: TargetNews,
     change: u64,
 }
 
-impl Board {
+impl LoadTable {
     /// Takes the list of targets; forgets the others.
     pub fn set_targets<'a>(&mut self, targets: impl Iterator<Item = &'a Name>) {
         self.names = targets.map(|t| (key(t), t.clone())).collect();
         let names = &self.names;
-        self.news.retain(|t, _| names.get(&key(t)) == Some(t));
+        self.reports.retain(|t, _| names.get(&key(t)) == Some(t));
     }
 
     /// Grows with each change.
@@ -73,60 +73,60 @@
     }
 
     /// Everything known.
-    pub fn news(&self) -> impl Iterator<Item = &TargetNews> {
-        self.news.values().map(|e| &e.news)
+    pub fn reports(&self) -> impl Iterator<Item = &TargetNews> {
+        self.reports.values().map(|e| &e.state)
     }
 
     /// What is known of one target.
     pub fn get(&self, target: &str) -> Option<&TargetNews> {
-        self.news.get(target).map(|e| &e.news)
+        self.reports.get(target).map(|e| &e.state)
     }
 
     /// What changed after the change numbered `since`.
     pub fn since(&self, since: u64) -> impl Iterator<Item = &TargetNews> {
-        self.news.values().filter(move |e| e.change > since).map(|e| &e.news)
+        self.reports.values().filter(move |e| e.change > since).map(|e| &e.state)
     }
 
-    fn put(&mut self, name: Name, news: TargetNews) {
+    fn put(&mut self, name: Name, state: TargetNews) {
         self.changes += 1;
-        self.news.insert(name, Entry { news, change: self.changes });
+        self.reports.insert(name, Entry { state, change: self.changes });
     }
 
     /// Takes this node's own poll; returns news worth passing on.
-    pub fn polled(&mut self, report: Report) -> Option<LoadRumor> {
+    pub fn record_poll(&mut self, report: Report) -> Option<LoadRumor> {
         let seq = report.seq;
         let name = report.target.clone();
-        let news = TargetNews { report, seq, ready: true, polled: true };
-        let rumor = pack(&news);
-        let old = self.news.get(&name).map(|e| pack(&e.news));
-        self.put(name, news);
-        let same = old.is_some_and(|o| o.wait == rumor.wait && o.flags == rumor.flags);
-        (!same).then_some(rumor)
+        let state = TargetNews { report, seq, ready: true, polled: true };
+        let rumor = to_rumor(&state);
+        let old = self.reports.get(&name).map(|e| to_rumor(&e.state));
+        self.put(name, state);
+        let is_same = old.is_some_and(|o| o.wait == rumor.wait && o.flags == rumor.flags);
+        (!is_same).then_some(rumor)
     }
 
     /// A poll failed; returns news worth passing on.
-    pub fn unreachable(&mut self, target: &Name) -> Option<LoadRumor> {
-        let old = self.news.get(target).map(|e| e.news.clone());
+    pub fn record_unreachable(&mut self, target: &Name) -> Option<LoadRumor> {
+        let old = self.reports.get(target).map(|e| e.state.clone());
         let was_ready = old.as_ref().is_none_or(|n| n.ready);
-        let mut news = old.unwrap_or_else(|| TargetNews {
+        let mut state = old.unwrap_or_else(|| TargetNews {
             report: Report { target: target.clone(), ..Report::default() },
             seq: 0,
             ready: true,
             polled: true,
         });
-        news.ready = false;
-        news.seq += 1;
-        let rumor = pack(&news);
-        self.put(target.clone(), news);
+        state.ready = false;
+        state.seq += 1;
+        let rumor = to_rumor(&state);
+        self.put(target.clone(), state);
         was_ready.then_some(rumor)
     }
 
     /// Takes gossip; returns it if it is news to this node, to be passed on.
-    pub fn heard(&mut self, rumor: LoadRumor) -> Option<LoadRumor> {
+    pub fn merge_rumor(&mut self, rumor: LoadRumor) -> Option<LoadRumor> {
         let name = self.names.get(&rumor.target)?.clone();
-        let old = self.news.get(&name).map(|e| &e.news);
-        let newer = old.is_none_or(|o| (rumor.seq.wrapping_sub(o.seq as u16) as i16) > 0);
-        if !newer {
+        let old = self.reports.get(&name).map(|e| &e.state);
+        let is_newer = old.is_none_or(|o| (rumor.seq.wrapping_sub(o.seq as u16) as i16) > 0);
+        if !is_newer {
             return None;
         }
         let mut report = old.map(|o| o.report.clone()).unwrap_or_default();
--- a/crates/decide/src/prefill/mod.rs
+++ b/crates/decide/src/prefill/mod.rs
@@ -20,158 +20,174 @@
 use model::forward::{PrefillAsk, TargetId};
 use model::{Name, Time};
 
-use pace::Pace;
+use pace::Throughput;
 
 /// Engines of a home's order that are weighed against each other. Few, so that another
 /// scheduler finds a home again; with a quarter of the engines reading, one in 250 prompts
 /// finds all four at work.
-const WEIGHED: usize = 4;
+const CANDIDATES: usize = 4;
 /// Tokens that wait at an engine from which on all others are weighed too.
-const OVERLOADED: u64 = 40_000;
+const OVERLOAD_TOKENS: u64 = 40_000;
 /// What a token counts that is read although another engine keeps it: its reading is work
 /// that nobody would have had.
-const READ_AGAIN: f64 = 1.5;
+const REREAD_FACTOR: f64 = 1.5;
 /// Part of a prompt's slack that its reading may take by what is expected, so that it is in
 /// time: what other engines do meanwhile is not known to the millisecond.
-const SLACK_USED: f64 = 0.6;
+const SLACK_FRACTION: f64 = 0.6;
 /// Time after which a prompt whose reading has not been told of is forgotten: the longest
 /// take an engine a second or two.
-const FORGOTTEN: Duration = Duration::from_secs(4);
+const PROMPT_TTL: Duration = Duration::from_secs(4);
 /// Time for which a new scheduler takes it that prompts are kept at their first home.
-const NEW: Duration = Duration::from_secs(10);
+const WARMUP: Duration = Duration::from_secs(10);
 /// Homes remembered; 11,000 workspaces in 6 failure domains, several prompts each.
-const HOMES: usize = 16_384;
+const MAX_HOMES: usize = 16_384;
 
 #[derive(Debug)]
-struct Reading {
+struct PendingPrompt {
     tokens: u64,
     /// Tokens that were to be read before.
-    ahead: u64,
-    since: Time,
+    tokens_ahead: u64,
+    placed_at: Time,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedPrefix {
     engine: TargetId,
-    used: Time,
+    last_used: Time,
 }
 
 /// The engine chosen for a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Placed {
+pub struct Placement {
     /// Engine.
     pub engine: TargetId,
     /// Prompt tokens that it has to read before.
-    pub ahead: u64,
+    pub tokens_ahead: u64,
     /// Whether it is expected to keep the prompt's shared parts.
-    pub kept: bool,
+    pub is_cached: bool,
 }
 
 /// Schedules the prompts of one service over the engines of one failure domain.
 #[derive(Debug)]
 pub struct Scheduler {
-    began: Time,
-    reading: BTreeMap<TargetId, HashMap<Name, Reading>>,
-    kept: HashMap<u64, Kept>,
-    pace: Pace,
+    started_at: Time,
+    pending: BTreeMap<TargetId, HashMap<Name, PendingPrompt>>,
+    cached: HashMap<u64, CachedPrefix>,
+    throughput: Throughput,
 }
 
 impl Scheduler {
     /// A scheduler that knows what was placed since `began`.
-    pub fn new(began: Time) -> Self {
-        Scheduler { began, reading: BTreeMap::new(), kept: HashMap::new(), pace: Pace::default() }
+    pub fn new(started_at: Time) -> Self {
+        Scheduler {
+            started_at,
+            pending: BTreeMap::new(),
+            cached: HashMap::new(),
+            throughput: Throughput::default(),
+        }
     }
 
     /// Prompt tokens that an engine has still to read.
-    pub fn waiting(&self, engine: &TargetId) -> u64 {
-        self.reading.get(engine).map_or(0, |r| r.values().map(|p| p.tokens).sum())
+    pub fn queued_tokens(&self, engine: &TargetId) -> u64 {
+        self.pending.get(engine).map_or(0, |r| r.values().map(|p| p.tokens).sum())
     }
 
     /// Chooses among engines in the order of the prompt's home.
-    pub fn place(&mut self, ask: &PrefillAsk, order: &[TargetId], now: Time) -> Option<Placed> {
-        self.forget(now);
-        let keeps = self.keeper(ask, order, now);
-        if let Some(keeper) = keeps.as_ref().filter(|k| self.is_in_time(ask, k)) {
-            return Some(self.note(ask, keeper.clone(), true, now));
+    pub fn place(&mut self, ask: &PrefillAsk, order: &[TargetId], now: Time) -> Option<Placement> {
+        self.expire_prompts(now);
+        let holder = self.cache_holder(ask, order, now);
+        if let Some(engine) = holder.as_ref().filter(|k| self.is_in_time(ask, k)) {
+            return Some(self.assign(ask, engine.clone(), true, now));
         }
-        let few = &order[..order.len().min(WEIGHED)];
-        let is_free = |e: &TargetId| self.waiting(e) < OVERLOADED;
-        let weighed = if few.iter().any(is_free) { few } else { order };
-        let all = weighed.iter().chain(keeps.as_ref().filter(|k| !weighed.contains(k)));
+        let first = &order[..order.len().min(CANDIDATES)];
+        let is_below_limit = |e: &TargetId| self.queued_tokens(e) < OVERLOAD_TOKENS;
+        let candidates = if first.iter().any(is_below_limit) { first } else { order };
+        let all = candidates.iter().chain(holder.as_ref().filter(|k| !candidates.contains(k)));
         // The first of equals: all schedulers know the order.
-        let engine = all.min_by_key(|e| self.cost(ask, e, keeps.as_ref()))?.clone();
-        let kept = keeps.as_ref() == Some(&engine);
-        Some(self.note(ask, engine, kept, now))
+        let engine = all.min_by_key(|e| self.cost(ask, e, holder.as_ref()))?.clone();
+        let is_cached = holder.as_ref() == Some(&engine);
+        Some(self.assign(ask, engine, is_cached, now))
     }
 
     /// Whether the first event is expected in time at the engine that keeps the shared parts.
-    fn is_in_time(&self, ask: &PrefillAsk, keeper: &TargetId) -> bool {
-        let tokens = self.waiting(keeper) + ask.tokens.saturating_sub(ask.shared);
-        let slack = Duration::from_millis(ask.slack_ms).mul_f64(SLACK_USED);
-        self.pace.time_of(tokens).is_some_and(|time| time <= slack)
+    fn is_in_time(&self, ask: &PrefillAsk, engine: &TargetId) -> bool {
+        let tokens = self.queued_tokens(engine) + ask.tokens.saturating_sub(ask.shared);
+        let slack = Duration::from_millis(ask.slack_ms).mul_f64(SLACK_FRACTION);
+        self.throughput.read_time(tokens).is_some_and(|time| time <= slack)
     }
 
     /// The engine that keeps the shared parts of a prompt, as far as is known.
-    fn keeper(&self, ask: &PrefillAsk, order: &[TargetId], now: Time) -> Option<TargetId> {
-        match self.kept.get(&ask.home) {
-            Some(kept) => Some(kept.engine.clone()).filter(|e| order.contains(e)),
-            None if now.since(self.began) < NEW => order.first().cloned(),
+    fn cache_holder(&self, ask: &PrefillAsk, order: &[TargetId], now: Time) -> Option<TargetId> {
+        match self.cached.get(&ask.home) {
+            Some(prefix) => Some(prefix.engine.clone()).filter(|e| order.contains(e)),
+            None if now.since(self.started_at) < WARMUP => order.first().cloned(),
             None => None,
         }
     }
 
     /// Tokens until the prompt is read at an engine, those read again for the worse.
-    fn cost(&self, ask: &PrefillAsk, engine: &TargetId, keeps: Option<&TargetId>) -> u64 {
-        let shared = match keeps {
-            Some(keeper) if keeper == engine => 0,
-            Some(_) => (ask.shared as f64 * READ_AGAIN) as u64,
+    fn cost(&self, ask: &PrefillAsk, engine: &TargetId, holder: Option<&TargetId>) -> u64 {
+        let shared = match holder {
+            Some(holder) if holder == engine => 0,
+            Some(_) => (ask.shared as f64 * REREAD_FACTOR) as u64,
             None => ask.shared,
         };
-        self.waiting(engine) + shared
+        self.queued_tokens(engine) + shared
     }
 
-    fn note(&mut self, ask: &PrefillAsk, engine: TargetId, kept: bool, now: Time) -> Placed {
-        let shared = if kept { ask.shared } else { 0 };
-        let ahead = self.waiting(&engine);
-        let reading = Reading { tokens: ask.tokens.saturating_sub(shared), ahead, since: now };
-        let at_engine = self.reading.entry(engine.clone()).or_default();
-        at_engine.insert(ask.attempt.clone(), reading);
-        self.kept.insert(ask.home, Kept { engine: engine.clone(), used: now });
-        if self.kept.len() > HOMES {
-            self.forget_half();
+    fn assign(
+        &mut self,
+        ask: &PrefillAsk,
+        engine: TargetId,
+        is_cached: bool,
+        now: Time,
+    ) -> Placement {
+        let shared = if is_cached { ask.shared } else { 0 };
+        let tokens_ahead = self.queued_tokens(&engine);
+        let prompt = PendingPrompt {
+            tokens: ask.tokens.saturating_sub(shared),
+            tokens_ahead,
+            placed_at: now,
+        };
+        let at_engine = self.pending.entry(engine.clone()).or_default();
+        at_engine.insert(ask.attempt.clone(), prompt);
+        self.cached.insert(ask.home, CachedPrefix { engine: engine.clone(), last_used: now });
+        if self.cached.len() > MAX_HOMES {
+            self.evict_half();
         }
-        Placed { engine, ahead, kept }
+        Placement { engine, tokens_ahead, is_cached }
     }
 
     /// Forgets the homes that were not used for the longest time.
-    fn forget_half(&mut self) {
-        let mut used: Vec<Time> = self.kept.values().map(|k| k.used).collect();
+    fn evict_half(&mut self) {
+        let mut used: Vec<Time> = self.cached.values().map(|k| k.last_used).collect();
         let middle = used.len() / 2;
         let (_, middle, _) = used.select_nth_unstable(middle);
         let middle = *middle;
-        self.kept.retain(|_, k| k.used > middle);
+        self.cached.retain(|_, k| k.last_used > middle);
     }
 
     /// An engine has read a prompt.
-    pub fn read(&mut self, engine: &TargetId, attempt: &Name, now: Time) {
-        if let Some(reading) = self.take(engine, attempt) {
-            self.pace.note(reading.ahead + reading.tokens, now.since(reading.since));
+    pub fn finish_prompt(&mut self, engine: &TargetId, attempt: &Name, now: Time) {
+        if let Some(prompt) = self.remove(engine, attempt) {
+            self.throughput
+                .record(prompt.tokens_ahead + prompt.tokens, now.since(prompt.placed_at));
         }
     }
 
     /// An engine will not read a prompt any more.
-    pub fn given_up(&mut self, engine: &TargetId, attempt: &Name) {
-        self.take(engine, attempt);
+    pub fn cancel_prompt(&mut self, engine: &TargetId, attempt: &Name) {
+        self.remove(engine, attempt);
     }
 
-    fn take(&mut self, engine: &TargetId, attempt: &Name) -> Option<Reading> {
-        self.reading.get_mut(engine)?.remove(attempt)
+    fn remove(&mut self, engine: &TargetId, attempt: &Name) -> Option<PendingPrompt> {
+        self.pending.get_mut(engine)?.remove(attempt)
     }
 
-    fn forget(&mut self, now: Time) {
-        for at_engine in self.reading.values_mut() {
-            at_engine.retain(|_, r| now.since(r.since) < FORGOTTEN);
+    fn expire_prompts(&mut self, now: Time) {
+        for at_engine in self.pending.values_mut() {
+            at_engine.retain(|_, r| now.since(r.placed_at) < PROMPT_TTL);
         }
-        self.reading.retain(|_, at_engine| !at_engine.is_empty());
+        self.pending.retain(|_, at_engine| !at_engine.is_empty());
     }
 }
--- a/crates/decide/src/region/map.rs
+++ b/crates/decide/src/region/map.rs
@@ -13,17 +13,17 @@
 
 /// Round trip to another region of which nothing is measured yet: regions are drawn far apart
 /// until they prove near, since work that crosses them for nothing is paid at once.
-const UNKNOWN_FAR: Duration = Duration::from_millis(40);
+const DEFAULT_REMOTE_RTT: Duration = Duration::from_millis(40);
 /// Round trip to another failure domain of the own region of which nothing is measured yet.
-const UNKNOWN_NEAR: Duration = Duration::from_millis(2);
+const DEFAULT_LOCAL_RTT: Duration = Duration::from_millis(2);
 /// Round trip from which on regions are apart: a stage crosses it twice, which is one part in
 /// twenty of a usual call (200 ms) and more than fuller calls gain.
-const APART: Duration = Duration::from_millis(10);
+const SPLIT_RTT: Duration = Duration::from_millis(10);
 /// Round trip under which they are one again.
-const TOGETHER: Duration = Duration::from_millis(6);
+const MERGE_RTT: Duration = Duration::from_millis(6);
 /// Part by which a measured time rises towards a longer one. It falls at once: what a busy host
 /// adds is no distance.
-const RISE: f64 = 0.02;
+const RISE_WEIGHT: f64 = 0.02;
 
 /// Regions as one node sees them.
 #[derive(Debug, Clone)]
@@ -38,19 +38,19 @@
     /// Seen from a failure domain, with nothing measured.
     pub fn new(domain: Name, regions: Regions) -> Self {
         let mut map = Map { domain, regions, round_trips: BTreeMap::new(), is_split: false };
-        map.is_split = map.farthest() >= APART;
+        map.is_split = map.max_round_trip() >= SPLIT_RTT;
         map
     }
 
     /// A probe of a node in a failure domain was answered after this time.
-    pub fn measured(&mut self, domain: &Name, took: Duration) {
-        let known = self.round_trips.entry(domain.clone()).or_insert(took);
-        *known = match took.checked_sub(*known) {
-            Some(longer) => *known + longer.mul_f64(RISE),
+    pub fn record_round_trip(&mut self, domain: &Name, took: Duration) {
+        let estimate = self.round_trips.entry(domain.clone()).or_insert(took);
+        *estimate = match took.checked_sub(*estimate) {
+            Some(excess) => *estimate + excess.mul_f64(RISE_WEIGHT),
             None => took,
         };
-        let farthest = self.farthest();
-        self.is_split = farthest >= if self.is_split { TOGETHER } else { APART };
+        let farthest = self.max_round_trip();
+        self.is_split = farthest >= if self.is_split { MERGE_RTT } else { SPLIT_RTT };
     }
 
     /// Region of a failure domain. One that settings place nowhere is a region by itself.
@@ -59,7 +59,7 @@
     }
 
     /// Region of this node.
-    pub fn own(&self) -> Name {
+    pub fn local_region(&self) -> Name {
         self.region_of(&self.domain)
     }
 
@@ -70,7 +70,7 @@
 
     /// Whether a failure domain is in this node's region, or regions are as good as one.
     pub fn is_near(&self, domain: &Name) -> bool {
-        !self.is_split || self.region_of(domain) == self.own()
+        !self.is_split || self.region_of(domain) == self.local_region()
     }
 
     /// Time to a failure domain and back.
@@ -78,56 +78,62 @@
         if *domain == self.domain {
             return Duration::ZERO;
         }
-        let is_own = self.region_of(domain) == self.own();
-        let unknown = if is_own { UNKNOWN_NEAR } else { UNKNOWN_FAR };
-        self.round_trips.get(domain).copied().unwrap_or(unknown)
+        let is_local = self.region_of(domain) == self.local_region();
+        let default = if is_local { DEFAULT_LOCAL_RTT } else { DEFAULT_REMOTE_RTT };
+        self.round_trips.get(domain).copied().unwrap_or(default)
     }
 
     /// Time to the nearest failure domain of a region and back.
-    pub fn to_region(&self, region: &Name) -> Duration {
+    pub fn region_round_trip(&self, region: &Name) -> Duration {
         let of_region = self.regions.domains().filter(|d| self.region_of(d) == *region);
-        of_region.map(|d| self.round_trip(d)).min().unwrap_or(UNKNOWN_FAR)
+        of_region.map(|d| self.round_trip(d)).min().unwrap_or(DEFAULT_REMOTE_RTT)
     }
 
     /// Regions but this node's.
-    pub fn others(&self) -> BTreeSet<Name> {
+    pub fn other_regions(&self) -> BTreeSet<Name> {
         let regions = self.regions.domains().map(|d| self.region_of(d));
-        regions.filter(|r| *r != self.own()).collect()
+        regions.filter(|r| *r != self.local_region()).collect()
     }
 
     /// Round trip to the farthest region.
-    fn farthest(&self) -> Duration {
-        self.others().iter().map(|r| self.to_region(r)).max().unwrap_or_default()
+    fn max_round_trip(&self) -> Duration {
+        self.other_regions().iter().map(|r| self.region_round_trip(r)).max().unwrap_or_default()
     }
 
     /// The region whose makers are to make an order, of those that have any: the wanted one,
     /// else the own one, else the nearest. `None` if regions are as good as one.
-    pub fn place(&self, wanted: Option<Name>, able: &BTreeSet<Name>) -> Option<Name> {
+    pub fn choose_region(
+        &self,
+        preferred: Option<Name>,
+        available: &BTreeSet<Name>,
+    ) -> Option<Name> {
         if !self.is_split {
             return None;
         }
-        let own = self.own();
-        let wanted = wanted.unwrap_or_else(|| own.clone());
-        if able.is_empty() || able.contains(&wanted) {
-            return Some(wanted);
+        let local = self.local_region();
+        let preferred = preferred.unwrap_or_else(|| local.clone());
+        if available.is_empty() || available.contains(&preferred) {
+            return Some(preferred);
         }
-        let nearest = able.iter().min_by_key(|r| (**r != own, self.to_region(r)));
+        let nearest = available.iter().min_by_key(|r| (**r != local, self.region_round_trip(r)));
         nearest.cloned()
     }
 
     /// The regions whose makers are to make the stages of a chain, each where its inputs lie;
     /// given the stages that come before each, and the regions that have makers for it. `None`
     /// there is a stage that is left out.
-    pub fn places(
+    pub fn choose_regions(
         &self,
-        after: &[Vec<usize>],
-        able: &[Option<BTreeSet<Name>>],
+        predecessors: &[Vec<usize>],
+        available: &[Option<BTreeSet<Name>>],
     ) -> Vec<Option<Name>> {
-        let mut places: Vec<Option<Name>> = Vec::new();
-        for (after, able) in after.iter().zip(able) {
-            let inputs = after.iter().find_map(|j| places.get(*j).cloned().flatten());
-            places.push(able.as_ref().and_then(|able| self.place(inputs, able)));
+        let mut chosen: Vec<Option<Name>> = Vec::new();
+        for (predecessors, available) in predecessors.iter().zip(available) {
+            let inputs = predecessors.iter().find_map(|j| chosen.get(*j).cloned().flatten());
+            chosen.push(
+                available.as_ref().and_then(|available| self.choose_region(inputs, available)),
+            );
         }
-        places
+        chosen
     }
 }
--- a/crates/decide/src/region/mod.rs
+++ b/crates/decide/src/region/mod.rs
@@ -4,4 +4,4 @@
 mod spill;
 
 pub use map::Map;
-pub use spill::{Own, Spill};
+pub use spill::{LocalLoad, Spill};
--- a/crates/decide/src/region/spill.rs
+++ b/crates/decide/src/region/spill.rs
@@ -11,113 +11,122 @@
 use model::{Name, Time};
 
 /// Time for which it holds what another region's coordinator told.
-const TOLD_KEPT: Duration = Duration::from_millis(600);
+const WAITS_TTL: Duration = Duration::from_millis(600);
 /// Least time between two questions to the same region.
-const ASK_EVERY: Duration = Duration::from_millis(150);
+const QUERY_INTERVAL: Duration = Duration::from_millis(150);
 /// Wait here from which on other regions are asked for theirs: less never makes an order late.
-const ASK_FROM: u32 = 60;
+const QUERY_MIN_WAIT_MS: u32 = 60;
 /// Longest wait of a region that takes orders of others: about a call. One that is overrun
 /// itself takes none, so that an overflow does not go round.
-const GUEST_WAIT: u32 = 200;
+const MAX_REMOTE_WAIT_MS: u32 = 200;
 /// Time by which another region has to be sooner, and by which a wait here may be longer than
 /// reckoned. Half of a call: that is how wrong both are.
-const SOONER: u32 = 100;
+const MIN_GAIN_MS: u32 = 100;
 /// Bytes of inputs above which an order stays where they lie: a few hundred times what an
 /// answer takes, and as dear to move between regions as a request is worth.
-const MOVED_MOST: u64 = 128 << 10;
+const MAX_MOVED_BYTES: u64 = 128 << 10;
 
 /// What is so at the coordinator's own makers.
 #[derive(Debug, Clone, Copy)]
-pub struct Own {
+pub struct LocalLoad {
     /// Wait of the order here; [`Waits::NOBODY`] if no maker works.
     pub wait: u32,
     /// Time of a call that takes the order.
-    pub call: Duration,
+    pub call_time: Duration,
     /// Time that each piece adds to the wait of those behind it.
     pub piece_ms: f64,
 }
 
 #[derive(Debug)]
-struct Told {
+struct RegionWaits {
     waits: Waits,
-    at: Time,
+    received_at: Time,
     /// Milliseconds of work passed on to it since.
-    passed: f64,
+    spilled_ms: f64,
 }
 
 /// What the coordinator of one region's makers knows of the other regions.
 #[derive(Debug, Default)]
 pub struct Spill {
-    told: BTreeMap<Name, Told>,
-    asked: BTreeMap<Name, Time>,
+    waits: BTreeMap<Name, RegionWaits>,
+    queried: BTreeMap<Name, Time>,
 }
 
 impl Spill {
     /// A coordinator of another region told what an order would wait there.
-    pub fn hear(&mut self, region: Name, waits: Waits, now: Time) {
-        self.told.insert(region, Told { waits, at: now, passed: 0.0 });
+    pub fn update_waits(&mut self, region: Name, waits: Waits, now: Time) {
+        self.waits.insert(region, RegionWaits { waits, received_at: now, spilled_ms: 0.0 });
     }
 
     /// A coordinator of another region did not answer.
-    pub fn lost(&mut self, region: &Name) {
-        self.told.remove(region);
+    pub fn remove_region(&mut self, region: &Name) {
+        self.waits.remove(region);
     }
 
     /// Regions to be asked for their waits, of these, when an order would wait this long here.
-    pub fn take_due(&mut self, others: &[Name], wait: u32, now: Time) -> Vec<Name> {
-        if wait < ASK_FROM {
+    pub fn take_due_queries(&mut self, regions: &[Name], wait: u32, now: Time) -> Vec<Name> {
+        if wait < QUERY_MIN_WAIT_MS {
             return Vec::new();
         }
-        let asked = &mut self.asked;
-        let is_due = |r: &&Name| asked.get(*r).is_none_or(|at| now.since(*at) >= ASK_EVERY);
-        let due: Vec<Name> = others.iter().filter(is_due).cloned().collect();
-        asked.extend(due.iter().map(|r| (r.clone(), now)));
+        let queried = &mut self.queried;
+        let is_due = |r: &&Name| queried.get(*r).is_none_or(|at| now.since(*at) >= QUERY_INTERVAL);
+        let due: Vec<Name> = regions.iter().filter(is_due).cloned().collect();
+        queried.extend(due.iter().map(|r| (r.clone(), now)));
         due
     }
 
     /// Whether any other region told of its waits lately.
-    pub fn knows_any(&self, now: Time) -> bool {
-        self.told.values().any(|t| now.since(t.at) < TOLD_KEPT)
+    pub fn has_fresh_waits(&self, now: Time) -> bool {
+        self.waits.values().any(|t| now.since(t.received_at) < WAITS_TTL)
     }
 
     /// Waits here, none longer than where the orders would be passed on to; large ones are
     /// only if no maker works here.
-    pub fn bound(
+    pub fn bound_waits(
         &self,
-        own: Waits,
-        others: &[(Name, Duration)],
+        local: Waits,
+        regions: &[(Name, Duration)],
         is_large: bool,
         now: Time,
     ) -> Waits {
-        let bound = |(rank, wait): (Rank, u32)| {
-            let is_dead = wait == Waits::NOBODY;
-            let least = self.least(others, rank, is_dead, now).filter(|_| is_dead || !is_large);
-            (rank, least.map_or(wait, |(_, there)| wait.min(there)))
+        let bounded = |(rank, wait): (Rank, u32)| {
+            let none_available = wait == Waits::NOBODY;
+            let shortest = self
+                .shortest_wait(regions, rank, none_available, now)
+                .filter(|_| none_available || !is_large);
+            (rank, shortest.map_or(wait, |(_, remote)| wait.min(remote)))
         };
-        Waits(own.0.into_iter().map(bound).collect())
+        Waits(local.0.into_iter().map(bounded).collect())
     }
 
     /// Wait of an order in another region, if it takes one. One that has told nothing does
     /// only if no maker works here.
-    fn wait_at(&self, region: &Name, rank: Rank, is_dead: bool, now: Time) -> Option<u32> {
-        let Some(told) = self.told.get(region).filter(|t| now.since(t.at) < TOLD_KEPT) else {
-            return is_dead.then_some(0);
+    fn region_wait(
+        &self,
+        region: &Name,
+        rank: Rank,
+        none_available: bool,
+        now: Time,
+    ) -> Option<u32> {
+        let Some(known) = self.waits.get(region).filter(|t| now.since(t.received_at) < WAITS_TTL)
+        else {
+            return none_available.then_some(0);
         };
-        let there = f64::from(told.waits.of(rank)) + told.passed;
-        (there <= f64::from(GUEST_WAIT)).then_some(there as u32)
+        let remote = f64::from(known.waits.of(rank)) + known.spilled_ms;
+        (remote <= f64::from(MAX_REMOTE_WAIT_MS)).then_some(remote as u32)
     }
 
     /// Least wait of an order in these regions, each with the time to it and back, which counts.
-    fn least(
+    fn shortest_wait(
         &self,
-        others: &[(Name, Duration)],
+        regions: &[(Name, Duration)],
         rank: Rank,
-        is_dead: bool,
+        none_available: bool,
         now: Time,
     ) -> Option<(Name, u32)> {
-        let waits = others.iter().filter_map(|(region, crossing)| {
-            let there = self.wait_at(region, rank, is_dead, now)?;
-            Some((there + crossing.as_millis() as u32, region))
+        let waits = regions.iter().filter_map(|(region, round_trip)| {
+            let remote = self.region_wait(region, rank, none_available, now)?;
+            Some((remote + round_trip.as_millis() as u32, region))
         });
         waits.min().map(|(wait, region)| (region.clone(), wait))
     }
@@ -126,27 +135,27 @@
     /// in time while it would be late here, or any if no maker works here.
     pub fn choose(
         &mut self,
-        others: &[(Name, Duration)],
+        regions: &[(Name, Duration)],
         order: &BatchOrder,
-        own: Own,
+        local: LocalLoad,
         now: Time,
     ) -> Option<Name> {
-        let is_dead = own.wait == Waits::NOBODY;
-        let is_movable = order.result_bytes < LARGE_RESULT && order.moved_bytes <= MOVED_MOST;
-        if order.spilled || !(is_dead || is_movable) {
+        let none_available = local.wait == Waits::NOBODY;
+        let can_move = order.result_bytes < LARGE_RESULT && order.moved_bytes <= MAX_MOVED_BYTES;
+        if order.spilled || !(none_available || can_move) {
             return None;
         }
-        let (region, there) = self.least(others, order.rank, is_dead, now)?;
+        let (region, remote_wait) = self.shortest_wait(regions, order.rank, none_available, now)?;
         let slack = order.slack_ms;
-        let call_ms = own.call.as_millis() as u64;
-        let is_late_here = u64::from(own.wait) + u64::from(SOONER) + call_ms > slack;
-        let is_late_there = u64::from(there) + call_ms > slack;
-        let is_sooner = there.saturating_add(SOONER) < own.wait;
-        if !is_dead && (!is_late_here || is_late_there || !is_sooner) {
+        let call_ms = local.call_time.as_millis() as u64;
+        let is_late_local = u64::from(local.wait) + u64::from(MIN_GAIN_MS) + call_ms > slack;
+        let is_late_remote = u64::from(remote_wait) + call_ms > slack;
+        let is_faster = remote_wait.saturating_add(MIN_GAIN_MS) < local.wait;
+        if !none_available && (!is_late_local || is_late_remote || !is_faster) {
             return None;
         }
-        if let Some(told) = self.told.get_mut(&region) {
-            told.passed += own.piece_ms * f64::from(order.pieces);
+        if let Some(known) = self.waits.get_mut(&region) {
+            known.spilled_ms += local.piece_ms * f64::from(order.pieces);
         }
         Some(region)
     }
--- a/crates/decide/src/roster/mod.rs
+++ b/crates/decide/src/roster/mod.rs
@@ -128,7 +128,7 @@
 
     /// A probe of a node in a failure domain was answered after this time.
     pub fn measured(&mut self, domain: &Name, took: Duration) {
-        Arc::make_mut(&mut self.map).measured(domain, took);
+        Arc::make_mut(&mut self.map).record_round_trip(domain, took);
     }
 
     /// Takes the peers that are up, and forgets what concerns others.
--- a/crates/decide/src/stages/mod.rs
+++ b/crates/decide/src/stages/mod.rs
@@ -7,10 +7,10 @@
 
 mod schedule;
 
-pub use schedule::{latest_starts, longest, tails};
+pub use schedule::{critical_path, latest_starts, remaining_times};
 
 /// Times that stages of one request are made again after a result was gone.
-const REMAKES: u32 = 2;
+const MAX_RECOMPUTES: u32 = 2;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
@@ -25,7 +25,7 @@
 }
 
 impl State {
-    fn is_made(self) -> bool {
+    fn is_complete(self) -> bool {
         matches!(self, State::Held | State::Freed)
     }
 }
@@ -33,16 +33,16 @@
 /// Progress of the stages of one request.
 #[derive(Debug, Clone)]
 pub struct Progress {
-    after: Vec<Vec<usize>>,
+    predecessors: Vec<Vec<usize>>,
     states: Vec<State>,
-    remakes: u32,
+    recomputes_left: u32,
 }
 
 impl Progress {
     /// Stages that each come after the named ones.
-    pub fn new(after: Vec<Vec<usize>>) -> Self {
-        let states = vec![State::Waiting; after.len()];
-        Progress { after, states, remakes: REMAKES }
+    pub fn new(predecessors: Vec<Vec<usize>>) -> Self {
+        let states = vec![State::Waiting; predecessors.len()];
+        Progress { predecessors, states, recomputes_left: MAX_RECOMPUTES }
     }
 
     /// A stage that has not started does not start before it is released.
@@ -57,38 +57,38 @@
 
     /// Whether all stages are made.
     pub fn is_done(&self) -> bool {
-        self.states.iter().all(|s| s.is_made())
+        self.states.iter().all(|s| s.is_complete())
     }
 
     /// Stages that no other stage comes after.
-    pub fn last(&self) -> Vec<usize> {
-        (0..self.after.len()).filter(|i| self.dependents(*i).next().is_none()).collect()
+    pub fn final_stages(&self) -> Vec<usize> {
+        (0..self.predecessors.len()).filter(|i| self.dependents(*i).next().is_none()).collect()
     }
 
     fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
-        let after = move |(_, before): &(usize, &Vec<usize>)| before.contains(&stage);
-        self.after.iter().enumerate().filter(after).map(|(i, _)| i)
+        let depends = move |(_, before): &(usize, &Vec<usize>)| before.contains(&stage);
+        self.predecessors.iter().enumerate().filter(depends).map(|(i, _)| i)
     }
 
     /// Takes a stage that may start now; it counts as running from now on.
-    pub fn start(&mut self) -> Option<usize> {
+    pub fn start_next(&mut self) -> Option<usize> {
         let may_start = |i: &usize| {
-            let inputs_held = self.after[*i].iter().all(|j| self.states[*j] == State::Held);
-            self.states[*i] == State::Waiting && inputs_held
+            let has_inputs = self.predecessors[*i].iter().all(|j| self.states[*j] == State::Held);
+            self.states[*i] == State::Waiting && has_inputs
         };
-        let stage = (0..self.after.len()).find(may_start)?;
+        let stage = (0..self.predecessors.len()).find(may_start)?;
         self.states[stage] = State::Running;
         Some(stage)
     }
 
     /// A stage was made; returns those whose results nobody wants any more.
-    pub fn made(&mut self, stage: usize) -> Vec<usize> {
+    pub fn complete(&mut self, stage: usize) -> Vec<usize> {
         self.states[stage] = State::Held;
         let unwanted = |j: &usize| {
-            let over = self.dependents(*j).all(|d| self.states[d].is_made());
-            over && self.states[*j] == State::Held
+            let is_consumed = self.dependents(*j).all(|d| self.states[d].is_complete());
+            is_consumed && self.states[*j] == State::Held
         };
-        let freed: Vec<usize> = self.after[stage].iter().copied().filter(unwanted).collect();
+        let freed: Vec<usize> = self.predecessors[stage].iter().copied().filter(unwanted).collect();
         for j in &freed {
             self.states[*j] = State::Freed;
         }
@@ -97,25 +97,25 @@
 
     /// A stage found an input gone; returns the stages that are made again, whose
     /// results are to be freed, or `None` if they have been made again often enough.
-    pub fn input_gone(&mut self, stage: usize) -> Option<Vec<usize>> {
-        self.remakes = self.remakes.checked_sub(1)?;
+    pub fn input_lost(&mut self, stage: usize) -> Option<Vec<usize>> {
+        self.recomputes_left = self.recomputes_left.checked_sub(1)?;
         self.states[stage] = State::Waiting;
-        let mut again = Vec::new();
-        for before in self.after[stage].clone() {
-            self.redo(before, &mut again);
+        let mut recomputed = Vec::new();
+        for before in self.predecessors[stage].clone() {
+            self.recompute(before, &mut recomputed);
         }
-        Some(again)
+        Some(recomputed)
     }
 
-    fn redo(&mut self, stage: usize, again: &mut Vec<usize>) {
-        if !self.states[stage].is_made() {
+    fn recompute(&mut self, stage: usize, recomputed: &mut Vec<usize>) {
+        if !self.states[stage].is_complete() {
             return;
         }
         self.states[stage] = State::Waiting;
-        again.push(stage);
-        for before in self.after[stage].clone() {
+        recomputed.push(stage);
+        for before in self.predecessors[stage].clone() {
             if self.states[before] == State::Freed {
-                self.redo(before, again);
+                self.recompute(before, recomputed);
             }
         }
     }
--- a/crates/decide/src/stages/schedule.rs
+++ b/crates/decide/src/stages/schedule.rs
@@ -7,31 +7,35 @@
 use std::time::Duration;
 
 /// For each stage, the time of the longest path behind it, itself not counted.
-pub fn tails(after: &[Vec<usize>], takes: &[Duration]) -> Vec<Duration> {
-    let mut tails = vec![Duration::ZERO; after.len()];
-    for stage in (0..after.len()).rev() {
-        let whole = takes[stage] + tails[stage];
-        for before in &after[stage] {
-            tails[*before] = tails[*before].max(whole);
+pub fn remaining_times(predecessors: &[Vec<usize>], durations: &[Duration]) -> Vec<Duration> {
+    let mut remaining = vec![Duration::ZERO; predecessors.len()];
+    for stage in (0..predecessors.len()).rev() {
+        let total = durations[stage] + remaining[stage];
+        for before in &predecessors[stage] {
+            remaining[*before] = remaining[*before].max(total);
         }
     }
-    tails
+    remaining
 }
 
 /// The time of the longest path.
-pub fn longest(after: &[Vec<usize>], takes: &[Duration]) -> Duration {
-    paths(after, takes).into_iter().max().unwrap_or_default()
+pub fn critical_path(predecessors: &[Vec<usize>], durations: &[Duration]) -> Duration {
+    paths(predecessors, durations).into_iter().max().unwrap_or_default()
 }
 
 /// For each stage, the time of the longest path from its start.
-fn paths(after: &[Vec<usize>], takes: &[Duration]) -> Vec<Duration> {
-    takes.iter().zip(tails(after, takes)).map(|(own, tail)| *own + tail).collect()
+fn paths(predecessors: &[Vec<usize>], durations: &[Duration]) -> Vec<Duration> {
+    durations
+        .iter()
+        .zip(remaining_times(predecessors, durations))
+        .map(|(own, rest)| *own + rest)
+        .collect()
 }
 
 /// For each stage, how long after the first one it may start without making the whole
 /// longer.
-pub fn latest_starts(after: &[Vec<usize>], takes: &[Duration]) -> Vec<Duration> {
-    let paths = paths(after, takes);
+pub fn latest_starts(predecessors: &[Vec<usize>], durations: &[Duration]) -> Vec<Duration> {
+    let paths = paths(predecessors, durations);
     let longest = paths.iter().max().copied().unwrap_or_default();
     paths.into_iter().map(|path| longest - path).collect()
 }
--- a/crates/decide/tests/allowed.rs
+++ b/crates/decide/tests/allowed.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use batch::{answers, at, calls, coordinator, made, order, placed};
-use decide::batch::{Action, Call, CallEnd, Event, MakerInfo, OrderId};
+use decide::batch::{Action, Call, CallEnd, Event, OrderId, WorkerInfo};
 use decide::fleet::{Barred, ColdStarts, Fleet, Home, Observation, Regions, Terms, Wanted, shares};
 use decide::rng::Rng;
 use model::Name;
@@ -213,7 +213,7 @@
     makers: &BTreeMap<TargetId, Option<&str>>,
 ) -> Vec<&'a Call> {
     let is_outside = |call: &&Call| {
-        let region = makers.get(&call.maker).copied().flatten();
+        let region = makers.get(&call.worker).copied().flatten();
         call.pieces.iter().any(|p| !is_inside(&rules[&p.attempt], region))
     };
     calls.iter().filter(is_outside).collect()
@@ -222,7 +222,7 @@
 #[test]
 fn the_judge_of_calls_bites() {
     let mut c = coordinator(&[("m1", "a")]);
-    let started = calls(&c.on(at(0), placed(1, order("r1", 2))));
+    let started = calls(&c.handle(at(0), placed(1, order("r1", 2))));
     let rules = [(Name::from("r1"), Some(BTreeSet::from(["north"])))].into();
     let at_region = |region| BTreeMap::from([(TargetId::from("m1"), region)]);
     assert_eq!(outside(&started, &rules, &at_region(Some("north"))).len(), 0);
@@ -254,16 +254,16 @@
 }
 
 /// A coordinator's makers, two in each failure domain, of which some are there.
-fn told(present: &BTreeSet<usize>, regions: &BTreeMap<&str, &str>) -> Vec<MakerInfo> {
+fn told(present: &BTreeSet<usize>, regions: &BTreeMap<&str, &str>) -> Vec<WorkerInfo> {
     let info = |i: &usize| {
         let domain = DOMAINS[i % DOMAINS.len()];
-        MakerInfo {
+        WorkerInfo {
             id: format!("m{i}").as_str().into(),
             domain: domain.into(),
             region: regions.get(domain).map(|r| Name::from(*r)),
             share: None,
             gap: None,
-            most: None,
+            max_pieces: None,
         }
     };
     present.iter().map(info).collect()
@@ -292,7 +292,7 @@
             .collect();
         let mut present: BTreeSet<usize> = (0..8).collect();
         let mut c = coordinator(&[]);
-        c.on(at(0), Event::Makers(told(&present, &regions)));
+        c.handle(at(0), Event::Workers(told(&present, &regions)));
         let mut rules: BTreeMap<Name, Option<BTreeSet<&str>>> = BTreeMap::new();
         let mut open: BTreeMap<OrderId, Name> = BTreeMap::new();
         let mut flights: Vec<Call> = Vec::new();
@@ -315,11 +315,11 @@
                 }
                 Step::Makers(now_present) => {
                     present = now_present;
-                    Event::Makers(told(&present, &regions))
+                    Event::Workers(told(&present, &regions))
                 }
                 Step::End { call, how } if call < flights.len() => {
                     let call = flights.remove(call);
-                    Event::Ended(call.number, end(&call, how))
+                    Event::CallEnded(call.number, end(&call, how))
                 }
                 Step::Cancel(n) if open.remove(&(n as OrderId)).is_some() => {
                     Event::Cancel(n as OrderId)
@@ -331,7 +331,7 @@
                 }
                 Step::End { .. } | Step::Cancel(_) => continue,
             };
-            let actions = c.on(at(now), event);
+            let actions = c.handle(at(now), event);
             let started = calls(&actions);
             let found = outside(&started, &rules, &place);
             prop_assert!(found.is_empty(), "{:?}", found);
@@ -340,7 +340,7 @@
                 open.remove(&id);
             }
             for action in &actions {
-                if let Action::Moved(id) = action {
+                if let Action::HandOver(id) = action {
                     open.remove(id);
                 }
             }
@@ -361,7 +361,7 @@
 fn an_order_near_a_failure_domain_outside_is_made_inside() {
     let mut c = coordinator(&[]);
     let regions = BTreeMap::from([("a", "north"), ("b", "south")]);
-    c.on(at(0), Event::Makers(told(&[0, 1].into(), &regions)));
+    c.handle(at(0), Event::Workers(told(&[0, 1].into(), &regions)));
     let bytes = 3_000_000;
     let order = BatchOrder {
         allowed: allowed(&Some(["south"].into())),
@@ -369,20 +369,20 @@
         moved_bytes: bytes,
         ..order("r1", 2)
     };
-    let started = calls(&c.on(at(0), placed(1, order)));
-    assert_eq!(started.iter().map(|c| &*c.maker.name).collect::<Vec<_>>(), ["m1"]);
+    let started = calls(&c.handle(at(0), placed(1, order)));
+    assert_eq!(started.iter().map(|c| &*c.worker.name).collect::<Vec<_>>(), ["m1"]);
 }
 
 #[test]
 fn an_order_that_no_maker_inside_is_there_for_is_answered_at_once_and_its_results_freed() {
     let mut c = coordinator(&[]);
     let regions = BTreeMap::from([("a", "north"), ("b", "south")]);
-    c.on(at(0), Event::Makers(told(&[0, 1].into(), &regions)));
+    c.handle(at(0), Event::Workers(told(&[0, 1].into(), &regions)));
     let south = || allowed(&Some(["south"].into()));
     let large = BatchOrder { allowed: south(), ..order("r1", 15) };
-    let started = calls(&c.on(at(0), placed(1, large))).remove(0);
-    c.on(at(200), Event::Makers(told(&[0].into(), &regions)));
-    let actions = c.on(at(210), Event::Ended(started.number, made(&started)));
+    let started = calls(&c.handle(at(0), placed(1, large))).remove(0);
+    c.handle(at(200), Event::Workers(told(&[0].into(), &regions)));
+    let actions = c.handle(at(210), Event::CallEnded(started.number, made(&started)));
     assert_eq!(answers(&actions).len(), 0, "answered when its maker went");
     let freed = actions.iter().map(|a| match a {
         Action::Free(handles) => handles.len(),
@@ -390,8 +390,8 @@
     });
     assert_eq!(freed.sum::<usize>(), 10, "{actions:?}");
     let waits_for_nobody = BatchOrder { allowed: south(), ..order("r2", 1) };
-    let refused = answers(&c.on(at(220), placed(2, waits_for_nobody)));
+    let refused = answers(&c.handle(at(220), placed(2, waits_for_nobody)));
     assert_eq!(refused, [(2, vec![PieceResult::Failed])]);
-    let anywhere = calls(&c.on(at(230), placed(3, order("r3", 1))));
-    assert_eq!(&*anywhere[0].maker.name, "m0");
+    let anywhere = calls(&c.handle(at(230), placed(3, order("r3", 1))));
+    assert_eq!(&*anywhere[0].worker.name, "m0");
 }
--- a/crates/decide/tests/batch.rs
+++ b/crates/decide/tests/batch.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use decide::batch::{Action, Call, CallEnd, Coordinator, Event, MakerInfo, OrderId};
+use decide::batch::{Action, Call, CallEnd, Coordinator, Event, OrderId, WorkerInfo};
 use model::forward::{BatchOrder, PieceResult, Policy, Rank, StagePool, TargetId};
 use proptest::prelude::*;
 use support::{answers, at, calls, coordinator, made, makers, order, placed, pool, probes};
@@ -15,13 +15,13 @@
 #[test]
 fn what_waits_while_makers_are_busy_shares_the_next_call() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("r1", 2))));
+    let first = calls(&c.handle(at(0), placed(1, order("r1", 2))));
     assert_eq!(first.len(), 1, "a free maker does not wait for more");
     for id in 2..=4 {
-        let more = c.on(at(10), placed(id, order(&format!("r{id}"), 3)));
+        let more = c.handle(at(10), placed(id, order(&format!("r{id}"), 3)));
         assert!(calls(&more).is_empty(), "one call at a time at a maker with one slot");
     }
-    let next = c.on(at(120), Event::Ended(first[0].number, made(&first[0])));
+    let next = c.handle(at(120), Event::CallEnded(first[0].number, made(&first[0])));
     assert_eq!(answers(&next).len(), 1);
     assert_eq!(calls(&next)[0].pieces.len(), 9, "three requests ride together");
 }
@@ -29,25 +29,28 @@
 #[test]
 fn who_is_late_in_a_call_that_is_filled_as_usual_goes_last() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("busy", 1))));
+    let first = calls(&c.handle(at(0), placed(1, order("busy", 1))));
     // One piece takes 110 ms, a call as full as usual 170 ms.
     let late = BatchOrder { slack_ms: 300, ..order("late", 1) };
     let in_time = BatchOrder { slack_ms: 330, ..order("in-time", 5) };
     for (id, order) in [(2, late), (3, in_time)] {
-        c.on(at(1), placed(id, order));
+        c.handle(at(1), placed(id, order));
     }
-    let next = calls(&c.on(at(150), Event::Ended(first[0].number, made(&first[0]))));
+    let next = calls(&c.handle(at(150), Event::CallEnded(first[0].number, made(&first[0]))));
     assert_eq!(&*next[0].pieces[0].attempt, "in-time");
 }
 
 #[test]
 fn an_order_larger_than_a_call_is_split_and_answered_once_in_its_order() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let started = calls(&c.on(at(0), placed(1, order("r1", 14))));
+    let started = calls(&c.handle(at(0), placed(1, order("r1", 14))));
     let sizes: Vec<usize> = started.iter().map(|c| c.pieces.len()).collect();
     assert_eq!(sizes, [10, 4]);
-    assert!(answers(&c.on(at(200), Event::Ended(started[1].number, made(&started[1])))).is_empty());
-    let done = answers(&c.on(at(210), Event::Ended(started[0].number, made(&started[0]))));
+    assert!(
+        answers(&c.handle(at(200), Event::CallEnded(started[1].number, made(&started[1]))))
+            .is_empty()
+    );
+    let done = answers(&c.handle(at(210), Event::CallEnded(started[0].number, made(&started[0]))));
     let pieces: Vec<String> = done[0].1.iter().map(piece_of).collect();
     let wanted: Vec<String> = (0..14).map(|n| format!("r1/{n}")).collect();
     assert_eq!(pieces, wanted);
@@ -63,18 +66,18 @@
 #[test]
 fn the_urgent_go_first_and_the_hopeless_last() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("busy", 1))));
+    let first = calls(&c.handle(at(0), placed(1, order("busy", 1))));
     let urgent = BatchOrder { rank: Rank::of(None, 0), ..order("urgent", 6) };
     let patient = BatchOrder { rank: Rank::of(None, 2), slack_ms: 900, ..order("patient", 6) };
     let hopeless = BatchOrder { rank: Rank::of(None, 0), slack_ms: 20, ..order("hopeless", 6) };
     for (id, order) in [(2, hopeless), (3, patient), (4, urgent)] {
-        c.on(at(1), placed(id, order));
+        c.handle(at(1), placed(id, order));
     }
-    let next = calls(&c.on(at(110), Event::Ended(first[0].number, made(&first[0]))));
+    let next = calls(&c.handle(at(110), Event::CallEnded(first[0].number, made(&first[0]))));
     let in_order: Vec<&str> = next[0].pieces.iter().map(|p| &*p.attempt).collect();
     assert_eq!(in_order[..6], ["urgent"; 6]);
     assert_eq!(in_order[6..], ["patient"; 4], "the call is filled with part of the next order");
-    let then = calls(&c.on(at(300), Event::Ended(next[0].number, made(&next[0]))));
+    let then = calls(&c.handle(at(300), Event::CallEnded(next[0].number, made(&next[0]))));
     assert_eq!(&*then[0].pieces[0].attempt, "patient", "a begun order is ended first");
     assert_eq!(&*then[0].pieces[2].attempt, "hopeless");
 }
@@ -95,28 +98,28 @@
     ];
     for (what, order, present, maker) in cases {
         let mut c = coordinator(present);
-        let started = calls(&c.on(at(0), placed(1, order)));
-        assert_eq!(&*started[0].maker.name, maker, "{what}");
+        let started = calls(&c.handle(at(0), placed(1, order)));
+        assert_eq!(&*started[0].worker.name, maker, "{what}");
     }
     let mut c = coordinator(&[("m1", "a"), ("m2", "b")]);
     let busy = BatchOrder { near: Some("b".into()), ..large(2, 2000) };
-    c.on(at(0), placed(1, busy));
-    let patient = c.on(at(1), placed(2, large(2, 200)));
+    c.handle(at(0), placed(1, busy));
+    let patient = c.handle(at(1), placed(2, large(2, 200)));
     assert!(calls(&patient).is_empty(), "a patient one waits for its busy home");
-    let pressed = calls(&c.on(at(2), placed(3, large(1, 200))));
-    assert_eq!(&*pressed[0].maker.name, "m1", "an urgent one that is pressed for time does not");
+    let pressed = calls(&c.handle(at(2), placed(3, large(1, 200))));
+    assert_eq!(&*pressed[0].worker.name, "m1", "an urgent one that is pressed for time does not");
 }
 
 #[test]
 fn a_makers_room_is_not_overdrawn_and_comes_back_when_results_are_freed() {
     let mut c = Coordinator::new(StagePool { room_mb: 5.0, ..pool() }, Policy::default());
-    c.on(at(0), makers(&[("m1", "a")]));
+    c.handle(at(0), makers(&[("m1", "a")]));
     let heavy = |name: &str| BatchOrder { result_bytes: 1_000_000, ..order(name, 4) };
-    let first = calls(&c.on(at(0), placed(1, heavy("r1"))));
+    let first = calls(&c.handle(at(0), placed(1, heavy("r1"))));
     assert_eq!(first[0].pieces.len(), 4);
-    let ended = c.on(at(150), Event::Ended(first[0].number, made(&first[0])));
+    let ended = c.handle(at(150), Event::CallEnded(first[0].number, made(&first[0])));
     let kept = answers(&ended)[0].1.clone();
-    assert!(calls(&c.on(at(160), placed(2, heavy("r2")))).is_empty(), "4 of 4.5 MB kept");
+    assert!(calls(&c.handle(at(160), placed(2, heavy("r2")))).is_empty(), "4 of 4.5 MB kept");
     let handles = kept
         .into_iter()
         .filter_map(|r| match r {
@@ -124,21 +127,21 @@
             _ => None,
         })
         .collect();
-    assert_eq!(calls(&c.on(at(200), Event::Freed(handles)))[0].pieces.len(), 4);
+    assert_eq!(calls(&c.handle(at(200), Event::Freed(handles)))[0].pieces.len(), 4);
 }
 
 #[test]
 fn where_a_large_result_has_no_room_a_small_one_is_still_made() {
     let mut c = coordinator(&[("m1", "a")]);
     let heavy = BatchOrder { result_bytes: 3_000_000, ..order("heavy", 2) };
-    let first = calls(&c.on(at(0), placed(1, heavy))).remove(0);
+    let first = calls(&c.handle(at(0), placed(1, heavy))).remove(0);
     let full = CallEnd::Answered(vec![PieceResult::NoRoom; 2]);
-    assert!(calls(&c.on(at(2), Event::Ended(first.number, full))).is_empty());
-    let light = calls(&c.on(at(3), placed(2, order("light", 2)))).remove(0);
+    assert!(calls(&c.handle(at(2), Event::CallEnded(first.number, full))).is_empty());
+    let light = calls(&c.handle(at(3), placed(2, order("light", 2)))).remove(0);
     assert!(light.pieces.iter().all(|p| &*p.attempt == "light"));
-    let ended = c.on(at(100), Event::Ended(light.number, made(&light)));
+    let ended = c.handle(at(100), Event::CallEnded(light.number, made(&light)));
     assert!(calls(&ended).is_empty(), "there was no room a moment ago");
-    let again = calls(&c.on(at(200), Event::Tick)).pop();
+    let again = calls(&c.handle(at(200), Event::Tick)).pop();
     assert!(again.is_some_and(|call| &*call.pieces[0].attempt == "heavy"), "it is tried again");
 }
 
@@ -146,15 +149,15 @@
 fn an_order_that_ends_for_want_of_room_says_so() {
     let mut c = coordinator(&[("m1", "a")]);
     let heavy = BatchOrder { result_bytes: 30_000_000, slack_ms: 300, ..order("heavy", 2) };
-    let first = calls(&c.on(at(0), placed(1, heavy))).remove(0);
+    let first = calls(&c.handle(at(0), placed(1, heavy))).remove(0);
     let full = CallEnd::Answered(vec![PieceResult::NoRoom; 2]);
-    c.on(at(2), Event::Ended(first.number, full));
+    c.handle(at(2), Event::CallEnded(first.number, full));
     let light = BatchOrder { slack_ms: 250, ..order("light", 10) };
-    let second = calls(&c.on(at(3), placed(2, light.clone()))).remove(0);
-    c.on(at(4), placed(3, light));
+    let second = calls(&c.handle(at(3), placed(2, light.clone()))).remove(0);
+    c.handle(at(4), placed(3, light));
     let ticks = [240, 260, 300].into_iter();
     let told: BTreeMap<OrderId, Vec<PieceResult>> =
-        ticks.flat_map(|ms| answers(&c.on(at(ms), Event::Tick))).collect();
+        ticks.flat_map(|ms| answers(&c.handle(at(ms), Event::Tick))).collect();
     assert_eq!(second.pieces.len(), 10);
     assert_eq!(told[&1], vec![PieceResult::NoRoom; 2]);
     assert_eq!(told[&3], vec![PieceResult::Late; 10]);
@@ -163,38 +166,38 @@
 #[test]
 fn results_that_nobody_frees_run_out() {
     let mut c = Coordinator::new(StagePool { room_mb: 5.0, ..pool() }, Policy::default());
-    c.on(at(0), makers(&[("m1", "a")]));
+    c.handle(at(0), makers(&[("m1", "a")]));
     let patient = |name: &str| BatchOrder { slack_ms: 6000, ..order(name, 4) };
     let heavy = |name: &str| BatchOrder { result_bytes: 1_000_000, ..patient(name) };
-    let first = calls(&c.on(at(0), placed(1, heavy("r1"))));
-    c.on(at(150), Event::Ended(first[0].number, made(&first[0])));
-    assert!(calls(&c.on(at(160), placed(2, heavy("r2")))).is_empty());
-    assert_eq!(calls(&c.on(at(4200), Event::Tick)).len(), 1);
+    let first = calls(&c.handle(at(0), placed(1, heavy("r1"))));
+    c.handle(at(150), Event::CallEnded(first[0].number, made(&first[0])));
+    assert!(calls(&c.handle(at(160), placed(2, heavy("r2")))).is_empty());
+    assert_eq!(calls(&c.handle(at(4200), Event::Tick)).len(), 1);
 }
 
 #[test]
 fn a_failed_call_is_made_again_elsewhere_and_given_up_after_some() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let mut call = calls(&c.on(at(0), placed(1, order("r1", 2)))).remove(0);
-    let mut seen = vec![call.maker.clone()];
+    let mut call = calls(&c.handle(at(0), placed(1, order("r1", 2)))).remove(0);
+    let mut seen = vec![call.worker.clone()];
     let mut now = 0;
     let results = loop {
         now += 50;
-        let out = c.on(at(now), Event::Ended(call.number, CallEnd::Failed));
+        let out = c.handle(at(now), Event::CallEnded(call.number, CallEnd::Failed));
         if let Some((_, results)) = answers(&out).pop() {
             break results;
         }
         let mut next = calls(&out).pop();
         while next.is_none() {
             now += 50;
-            let mut out = c.on(at(now), Event::Tick);
+            let mut out = c.handle(at(now), Event::Tick);
             for maker in probes(&out) {
-                out.extend(c.on(at(now), Event::Probed(maker, true)));
+                out.extend(c.handle(at(now), Event::Probed(maker, true)));
             }
             next = calls(&out).pop();
         }
         call = next.expect("the loop ends with a call");
-        seen.push(call.maker.clone());
+        seen.push(call.worker.clone());
     };
     assert_eq!(results, [PieceResult::Failed, PieceResult::Failed]);
     assert_ne!(seen[0], seen[1], "the maker that failed is left out for a while");
@@ -204,103 +207,103 @@
 #[test]
 fn a_maker_that_failed_gives_a_sign_of_life_before_it_gets_work() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("r1", 2)))).remove(0);
-    c.on(at(50), Event::Ended(first.number, CallEnd::Failed));
-    let mut failed = first.maker.clone();
+    let first = calls(&c.handle(at(0), placed(1, order("r1", 2)))).remove(0);
+    c.handle(at(50), Event::CallEnded(first.number, CallEnd::Failed));
+    let mut failed = first.worker.clone();
     for ms in (100..900).step_by(50) {
-        let out = c.on(at(ms), Event::Tick);
+        let out = c.handle(at(ms), Event::Tick);
         assert!(calls(&out).is_empty(), "the other maker is at work, this one is in doubt");
         for maker in probes(&out) {
-            assert_eq!(maker, first.maker);
+            assert_eq!(maker, first.worker);
             failed = maker;
         }
     }
-    c.on(at(900), placed(2, BatchOrder { slack_ms: 6000, ..order("r2", 2) }));
-    c.on(at(910), Event::Probed(failed.clone(), false));
-    assert!(calls(&c.on(at(920), Event::Tick)).is_empty(), "it gave none");
-    let again = probes(&c.on(at(5000), Event::Tick));
+    c.handle(at(900), placed(2, BatchOrder { slack_ms: 6000, ..order("r2", 2) }));
+    c.handle(at(910), Event::Probed(failed.clone(), false));
+    assert!(calls(&c.handle(at(920), Event::Tick)).is_empty(), "it gave none");
+    let again = probes(&c.handle(at(5000), Event::Tick));
     assert_eq!(again, [failed.clone()], "and is asked again later");
-    let back = calls(&c.on(at(5001), Event::Probed(failed.clone(), true)));
-    assert_eq!(back[0].maker, failed);
+    let back = calls(&c.handle(at(5001), Event::Probed(failed.clone(), true)));
+    assert_eq!(back[0].worker, failed);
 }
 
 #[test]
 fn an_order_that_no_call_took_in_time_ends_and_its_caller_may_come_back() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("busy", 10))));
+    let first = calls(&c.handle(at(0), placed(1, order("busy", 10))));
     let starved = BatchOrder { slack_ms: 300, ..order("starved", 2) };
     let came_late = BatchOrder { slack_ms: 0, ..order("came-late", 2) };
-    c.on(at(0), placed(2, starved));
-    c.on(at(0), placed(3, came_late));
-    assert!(answers(&c.on(at(299), Event::Tick)).is_empty());
-    let ended = answers(&c.on(at(300), Event::Tick));
+    c.handle(at(0), placed(2, starved));
+    c.handle(at(0), placed(3, came_late));
+    assert!(answers(&c.handle(at(299), Event::Tick)).is_empty());
+    let ended = answers(&c.handle(at(300), Event::Tick));
     assert_eq!(ended, [(2, vec![PieceResult::Late; 2])]);
-    let next = calls(&c.on(at(310), Event::Ended(first[0].number, made(&first[0]))));
+    let next = calls(&c.handle(at(310), Event::CallEnded(first[0].number, made(&first[0]))));
     assert_eq!(next[0].pieces.len(), 2, "who came too late is made when nobody else waits");
 }
 
 #[test]
 fn an_order_whose_call_failed_is_made_again_although_its_time_is_over() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let first = calls(&c.on(at(0), placed(1, BatchOrder { slack_ms: 300, ..order("r1", 2) })));
-    let again = c.on(at(900), Event::Ended(first[0].number, CallEnd::Failed));
+    let first = calls(&c.handle(at(0), placed(1, BatchOrder { slack_ms: 300, ..order("r1", 2) })));
+    let again = c.handle(at(900), Event::CallEnded(first[0].number, CallEnd::Failed));
     assert!(answers(&again).is_empty());
     let again = calls(&again);
-    assert_ne!(again[0].maker, first[0].maker);
+    assert_ne!(again[0].worker, first[0].worker);
     assert_eq!(again[0].pieces.len(), 2);
 }
 
 #[test]
 fn where_shedding_is_off_an_order_waits_for_its_caller_to_leave() {
     let mut c = Coordinator::new(pool(), Policy { shedding: false, ..Policy::default() });
-    c.on(at(0), makers(&[("m1", "a")]));
-    c.on(at(0), placed(1, order("busy", 10)));
-    c.on(at(0), placed(2, BatchOrder { slack_ms: 300, ..order("starved", 2) }));
-    assert!(answers(&c.on(at(2000), Event::Tick)).is_empty());
-    assert_eq!(answers(&c.on(at(8000), Event::Tick)).len(), 2, "its time is over");
+    c.handle(at(0), makers(&[("m1", "a")]));
+    c.handle(at(0), placed(1, order("busy", 10)));
+    c.handle(at(0), placed(2, BatchOrder { slack_ms: 300, ..order("starved", 2) }));
+    assert!(answers(&c.handle(at(2000), Event::Tick)).is_empty());
+    assert_eq!(answers(&c.handle(at(8000), Event::Tick)).len(), 2, "its time is over");
 }
 
 #[test]
 fn an_order_that_a_call_has_taken_part_of_is_made_to_its_end() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, BatchOrder { slack_ms: 300, ..order("r1", 12) })));
-    assert!(answers(&c.on(at(350), Event::Tick)).is_empty());
-    let next = calls(&c.on(at(360), Event::Ended(first[0].number, made(&first[0]))));
-    let ended = answers(&c.on(at(480), Event::Ended(next[0].number, made(&next[0]))));
+    let first = calls(&c.handle(at(0), placed(1, BatchOrder { slack_ms: 300, ..order("r1", 12) })));
+    assert!(answers(&c.handle(at(350), Event::Tick)).is_empty());
+    let next = calls(&c.handle(at(360), Event::CallEnded(first[0].number, made(&first[0]))));
+    let ended = answers(&c.handle(at(480), Event::CallEnded(next[0].number, made(&next[0]))));
     assert!(ended[0].1.iter().all(|r| matches!(r, PieceResult::Made(_))), "{ended:?}");
 }
 
 #[test]
 fn a_late_order_is_answered_at_once_and_its_results_are_freed() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("busy", 1))));
-    c.on(at(1), placed(2, BatchOrder { left_ms: 40, ..order("late", 2) }));
-    let out = c.on(at(60), Event::Tick);
+    let first = calls(&c.handle(at(0), placed(1, order("busy", 1))));
+    c.handle(at(1), placed(2, BatchOrder { left_ms: 40, ..order("late", 2) }));
+    let out = c.handle(at(60), Event::Tick);
     assert_eq!(answers(&out), [(2, vec![PieceResult::Late, PieceResult::Late])]);
-    c.on(at(61), Event::Cancel(1));
-    let ended = c.on(at(120), Event::Ended(first[0].number, made(&first[0])));
+    c.handle(at(61), Event::Cancel(1));
+    let ended = c.handle(at(120), Event::CallEnded(first[0].number, made(&first[0])));
     assert!(matches!(&ended[..], [Action::Free(handles)] if handles.len() == 1));
 }
 
 #[test]
 fn a_stop_hands_over_what_no_call_has_taken() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("begun", 1))));
-    c.on(at(1), placed(2, order("waiting", 1)));
-    assert_eq!(c.on(at(2), Event::HandOver), [Action::Moved(2)]);
+    let first = calls(&c.handle(at(0), placed(1, order("begun", 1))));
+    c.handle(at(1), placed(2, order("waiting", 1)));
+    assert_eq!(c.handle(at(2), Event::HandOver), [Action::HandOver(2)]);
     let kept = Event::Order { id: 3, order: order("kept", 1), pinned: true };
-    c.on(at(3), kept);
-    assert!(c.on(at(4), Event::HandOver).is_empty(), "nobody else is to make a pinned one");
-    let ended = c.on(at(120), Event::Ended(first[0].number, made(&first[0])));
+    c.handle(at(3), kept);
+    assert!(c.handle(at(4), Event::HandOver).is_empty(), "nobody else is to make a pinned one");
+    let ended = c.handle(at(120), Event::CallEnded(first[0].number, made(&first[0])));
     assert_eq!(answers(&ended).len(), 1, "what was begun is ended here");
 }
 
 #[test]
 fn waits_grow_with_what_is_ahead_of_a_rank() {
     let mut c = coordinator(&[("m1", "a")]);
-    c.on(at(0), placed(1, order("busy", 1)));
+    c.handle(at(0), placed(1, order("busy", 1)));
     let empty = c.waits(at(0));
-    c.on(at(1), placed(2, BatchOrder { rank: Rank::of(None, 1), ..order("r", 8) }));
+    c.handle(at(1), placed(2, BatchOrder { rank: Rank::of(None, 1), ..order("r", 8) }));
     let full = c.waits(at(1));
     assert_eq!(
         full.of(Rank::of(None, 0)),
@@ -312,7 +315,7 @@
         "{full:?} after {empty:?}"
     );
     let mut none = Coordinator::new(pool(), Policy::default());
-    none.on(at(0), placed(1, order("r", 1)));
+    none.handle(at(0), placed(1, order("r", 1)));
     assert_eq!(none.waits(at(0)).of(Rank::of(None, 0)), u32::MAX, "nobody makes anything");
 }
 
@@ -359,8 +362,8 @@
             match action {
                 Action::Start(call) => {
                     prop_assert!(call.pieces.len() <= pool().batch);
-                    let same = self.flying.iter().filter(|f| f.maker == call.maker).count();
-                    prop_assert!(same < 1, "two calls at once at {}", call.maker);
+                    let same = self.flying.iter().filter(|f| f.worker == call.worker).count();
+                    prop_assert!(same < 1, "two calls at once at {}", call.worker);
                     self.flying.push(call);
                 }
                 Action::Answer(id, results) => {
@@ -383,7 +386,7 @@
                         );
                     }
                 }
-                Action::Moved(_) | Action::Overdue { .. } => {}
+                Action::HandOver(_) | Action::Overdue { .. } => {}
             }
         }
         Ok(())
@@ -401,7 +404,7 @@
             3 => CallEnd::Answered(Vec::new()),
             _ => made(&call),
         };
-        let event = Event::Ended(call.number, end);
+        let event = Event::CallEnded(call.number, end);
         self.ended.push(call);
         Some(event)
     }
@@ -428,7 +431,7 @@
                 Step::End { which, how } => world.end(which, how),
                 Step::Twice { which } if !world.ended.is_empty() => {
                     let call = &world.ended[which % world.ended.len()];
-                    Some(Event::Ended(call.number, made(call)))
+                    Some(Event::CallEnded(call.number, made(call)))
                 }
                 Step::Twice { .. } => None,
                 Step::Probed { ok } => world.probed.pop().map(|maker| Event::Probed(maker, ok)),
@@ -450,63 +453,63 @@
                 }
             };
             if let Some(event) = event {
-                let actions = c.on(at(world.now), event);
+                let actions = c.handle(at(world.now), event);
                 world.take(actions)?;
             }
         }
         // In the end every maker is back and every call ends well.
-        let actions = c.on(at(world.now), makers(&all));
+        let actions = c.handle(at(world.now), makers(&all));
         world.take(actions)?;
         for _ in 0..2000 {
             world.now += 20;
             let probed = world.probed.pop().map(|maker| Event::Probed(maker, true));
             let event = probed.or_else(|| world.end(0, 9)).unwrap_or(Event::Tick);
-            let actions = c.on(at(world.now), event);
+            let actions = c.handle(at(world.now), event);
             world.take(actions)?;
         }
         for id in world.orders.keys() {
             prop_assert!(world.answered.contains(id) || world.cancelled.contains(id), "order {id}");
         }
-        prop_assert_eq!(c.open(), 0);
+        prop_assert_eq!(c.open_orders(), 0);
     }
 }
 
 #[test]
 fn a_piece_goes_on_with_the_time_that_its_wait_has_left() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("busy", 1))));
+    let first = calls(&c.handle(at(0), placed(1, order("busy", 1))));
     assert_eq!(first[0].pieces[0].left_ms, Some(8000));
-    c.on(at(0), placed(2, order("waits", 1)));
-    let next = calls(&c.on(at(250), Event::Ended(first[0].number, made(&first[0]))));
+    c.handle(at(0), placed(2, order("waits", 1)));
+    let next = calls(&c.handle(at(250), Event::CallEnded(first[0].number, made(&first[0]))));
     assert_eq!(next[0].pieces[0].left_ms, Some(7750));
 }
 
 #[test]
 fn a_cold_maker_gets_one_call_at_a_time_and_none_too_soon() {
     let cold = |gap: Option<Duration>| {
-        Event::Makers(vec![MakerInfo {
+        Event::Workers(vec![WorkerInfo {
             id: "m1".into(),
             domain: "a".into(),
             region: None,
             gap,
-            most: None,
+            max_pieces: None,
             share: None,
         }])
     };
     let mut c = Coordinator::new(pool(), Policy::default());
     let gap = Duration::from_millis(800);
-    c.on(at(1), cold(Some(gap)));
-    let first = calls(&c.on(at(1), placed(1, order("r1", 10))));
+    c.handle(at(1), cold(Some(gap)));
+    let first = calls(&c.handle(at(1), placed(1, order("r1", 10))));
     assert_eq!(first.len(), 1, "the first call goes out at once");
-    c.on(at(1), placed(2, order("r2", 10)));
-    let after = c.on(at(201), Event::Ended(first[0].number, made(&first[0])));
+    c.handle(at(1), placed(2, order("r2", 10)));
+    let after = c.handle(at(201), Event::CallEnded(first[0].number, made(&first[0])));
     assert_eq!(calls(&after), [], "the next one waits although the maker is free");
-    assert_eq!(calls(&c.on(at(800), Event::Tick)), []);
-    assert_eq!(calls(&c.on(at(801), Event::Tick)).len(), 1);
+    assert_eq!(calls(&c.handle(at(800), Event::Tick)), []);
+    assert_eq!(calls(&c.handle(at(801), Event::Tick)).len(), 1);
     let mut c = Coordinator::new(pool(), Policy::default());
-    c.on(at(1), cold(Some(Duration::MAX)));
-    assert_eq!(calls(&c.on(at(1), placed(1, order("r1", 10)))), [], "it is left alone");
-    assert_eq!(calls(&c.on(at(900), cold(None))).len(), 1, "it is warm");
+    c.handle(at(1), cold(Some(Duration::MAX)));
+    assert_eq!(calls(&c.handle(at(1), placed(1, order("r1", 10)))), [], "it is left alone");
+    assert_eq!(calls(&c.handle(at(900), cold(None))).len(), 1, "it is warm");
 }
 
 #[test]
@@ -515,17 +518,17 @@
     let mut started = Vec::new();
     for (id, name) in [(1, "bad"), (2, "good"), (3, "fine")] {
         let order = BatchOrder { slack_ms: 20_000, left_ms: 30_000, ..order(name, 2) };
-        c.on(at(0), makers(&[]));
-        c.on(at(0), placed(id, order));
+        c.handle(at(0), makers(&[]));
+        c.handle(at(0), placed(id, order));
     }
-    started.extend(calls(&c.on(at(1), makers(&[("m1", "a")]))));
+    started.extend(calls(&c.handle(at(1), makers(&[("m1", "a")]))));
     assert_eq!(started[0].pieces.len(), 6, "they share a call");
-    let again = calls(&c.on(at(50), Event::Ended(started[0].number, CallEnd::Failed)));
+    let again = calls(&c.handle(at(50), Event::CallEnded(started[0].number, CallEnd::Failed)));
     assert!(again.is_empty(), "its only maker failed");
-    let again = calls(&c.on(at(51), makers(&[("m2", "a")])));
+    let again = calls(&c.handle(at(51), makers(&[("m2", "a")])));
     assert_eq!(again[0].pieces.len(), 6, "one failure is chance");
-    c.on(at(100), Event::Ended(again[0].number, CallEnd::Failed));
-    let alone = calls(&c.on(at(101), makers(&[("m3", "a"), ("m4", "a")])));
+    c.handle(at(100), Event::CallEnded(again[0].number, CallEnd::Failed));
+    let alone = calls(&c.handle(at(101), makers(&[("m3", "a"), ("m4", "a")])));
     for call in &alone {
         let attempts: BTreeSet<&str> = call.pieces.iter().map(|p| &*p.attempt).collect();
         assert_eq!((attempts.len(), call.pieces.len()), (1, 2), "{call:?}");
--- a/crates/decide/tests/batch_calls.rs
+++ b/crates/decide/tests/batch_calls.rs
@@ -19,14 +19,14 @@
     for ms in 1..6000 {
         let (over, open): (Vec<_>, Vec<_>) = flying.into_iter().partition(|(at, _)| *at <= ms);
         flying = open;
-        let ended = over.into_iter().map(|(_, call)| Event::Ended(call.number, made(&call)));
+        let ended = over.into_iter().map(|(_, call)| Event::CallEnded(call.number, made(&call)));
         let mut events: Vec<Event> = ended.collect();
         if ms % every_ms == 0 {
             let order = BatchOrder { slack_ms: 20_000, left_ms: 30_000, ..order("r", 9) };
             events.push(placed(ms, order));
         }
         for event in events {
-            let actions = c.on(at(ms), event);
+            let actions = c.handle(at(ms), event);
             took.extend(answers(&actions).iter().filter(|_| ms > 3000).map(|(id, _)| ms - id));
             for call in calls(&actions) {
                 pieces.push(call.pieces.len());
@@ -59,19 +59,19 @@
     let all: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "a")).collect();
     let mut c = coordinator(&all);
     let order = BatchOrder { slack_ms: 20_000, left_ms: 30_000, ..order("r", 9) };
-    let mut flying = calls(&c.on(at(0), placed(1, order)));
+    let mut flying = calls(&c.handle(at(0), placed(1, order)));
     assert_eq!(flying.len(), 3, "{flying:?}");
     for round in 1..=3 {
         let ended = std::mem::take(&mut flying);
         for call in ended {
-            let actions = c.on(at(round * 100), Event::Ended(call.number, CallEnd::Failed));
+            let actions = c.handle(at(round * 100), Event::CallEnded(call.number, CallEnd::Failed));
             assert_eq!(answers(&actions), [], "in round {round}");
             flying.extend(calls(&actions));
         }
-        flying.extend(calls(&c.on(at(round * 100), Event::Tick)));
+        flying.extend(calls(&c.handle(at(round * 100), Event::Tick)));
     }
-    let ended = flying
-        .into_iter()
-        .flat_map(|call| answers(&c.on(at(400), Event::Ended(call.number, CallEnd::Failed))));
+    let ended = flying.into_iter().flat_map(|call| {
+        answers(&c.handle(at(400), Event::CallEnded(call.number, CallEnd::Failed)))
+    });
     assert_eq!(ended.count(), 1, "it is given up after the fourth");
 }
--- a/crates/decide/tests/batch_overdue.rs
+++ b/crates/decide/tests/batch_overdue.rs
@@ -11,7 +11,7 @@
 /// Pieces that the actions ask for once more.
 fn again(actions: &[Action]) -> usize {
     let again = |a: &Action| match a {
-        Action::Overdue { again, .. } => *again,
+        Action::Overdue { repeated: again, .. } => *again,
         _ => 0,
     };
     actions.iter().map(again).sum()
@@ -20,16 +20,16 @@
 #[test]
 fn what_an_overdue_call_was_to_make_is_made_elsewhere_and_the_second_result_freed() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "b")]);
-    let first = calls(&c.on(at(0), placed(1, order("r1", 10)))).remove(0);
-    assert_eq!(again(&c.on(at(250), Event::Tick)), 0, "200 ms were expected");
-    let overdue = c.on(at(450), Event::Tick);
+    let first = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
+    assert_eq!(again(&c.handle(at(250), Event::Tick)), 0, "200 ms were expected");
+    let overdue = c.handle(at(450), Event::Tick);
     assert_eq!(again(&overdue), 10);
     let second = calls(&overdue).remove(0);
-    assert_ne!(first.maker, second.maker);
-    assert_eq!(again(&c.on(at(460), Event::Tick)), 0, "once");
-    let answered = c.on(at(650), Event::Ended(second.number, made(&second)));
+    assert_ne!(first.worker, second.worker);
+    assert_eq!(again(&c.handle(at(460), Event::Tick)), 0, "once");
+    let answered = c.handle(at(650), Event::CallEnded(second.number, made(&second)));
     assert_eq!(answers(&answered).len(), 1);
-    let late = c.on(at(1900), Event::Ended(first.number, made(&first)));
+    let late = c.handle(at(1900), Event::CallEnded(first.number, made(&first)));
     let freed = late.iter().map(|a| match a {
         Action::Free(handles) => handles.len(),
         _ => 0,
@@ -40,44 +40,44 @@
 #[test]
 fn an_overdue_call_that_ends_first_after_all_takes_back_what_was_not_asked_for_yet() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("r1", 10)))).remove(0);
-    assert_eq!(again(&c.on(at(450), Event::Tick)), 10, "they wait: no other maker is there");
-    let ended = c.on(at(600), Event::Ended(first.number, made(&first)));
+    let first = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
+    assert_eq!(again(&c.handle(at(450), Event::Tick)), 10, "they wait: no other maker is there");
+    let ended = c.handle(at(600), Event::CallEnded(first.number, made(&first)));
     assert_eq!(answers(&ended).len(), 1);
     assert_eq!(calls(&ended), []);
-    assert_eq!(c.open(), 0);
+    assert_eq!(c.open_orders(), 0);
 }
 
 #[test]
 fn an_order_whose_call_is_overdue_is_not_ended_for_waiting() {
     let mut c = coordinator(&[("m1", "a")]);
     let soon = BatchOrder { slack_ms: 400, ..order("r1", 10) };
-    let first = calls(&c.on(at(0), placed(1, soon))).remove(0);
-    let overdue = c.on(at(450), Event::Tick);
+    let first = calls(&c.handle(at(0), placed(1, soon))).remove(0);
+    let overdue = c.handle(at(450), Event::Tick);
     assert_eq!((again(&overdue), answers(&overdue).len()), (10, 0));
-    let ended = c.on(at(500), Event::Ended(first.number, made(&first)));
+    let ended = c.handle(at(500), Event::CallEnded(first.number, made(&first)));
     assert_eq!(answers(&ended).len(), 1, "late, but made");
 }
 
 #[test]
 fn a_maker_that_is_slow_is_left_out_for_longer_each_time() {
     let mut c = coordinator(&[("m1", "a")]);
-    let mut call = calls(&c.on(at(0), placed(1, order("r1", 10)))).remove(0);
+    let mut call = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
     let (mut now, mut rests) = (0, Vec::new());
     for n in 2..=4 {
         now += 4_000;
-        c.on(at(now), Event::Tick);
+        c.handle(at(now), Event::Tick);
         let patient = BatchOrder { slack_ms: 60_000, left_ms: 60_000, ..order("r", 10) };
-        c.on(at(now), placed(n, patient));
-        c.on(at(now), Event::Ended(call.number, made(&call)));
+        c.handle(at(now), placed(n, patient));
+        c.handle(at(now), Event::CallEnded(call.number, made(&call)));
         let ended = now;
         let due = (0..5_000).find(|_| {
             now += 10;
-            !probes(&c.on(at(now), Event::Tick)).is_empty()
+            !probes(&c.handle(at(now), Event::Tick)).is_empty()
         });
         assert!(due.is_some(), "it is asked for a sign of life");
         rests.push(now - ended);
-        call = calls(&c.on(at(now), Event::Probed("m1".into(), true))).remove(0);
+        call = calls(&c.handle(at(now), Event::Probed("m1".into(), true))).remove(0);
     }
     assert_eq!(rests, [300, 600, 1200]);
 }
@@ -86,16 +86,16 @@
 fn a_wait_for_makers_that_were_all_late_is_until_they_are_back() {
     let wait = |c: &mut Coordinator, ms| c.waits(at(ms)).of(Rank::default());
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let late = calls(&c.on(at(0), placed(1, order("r1", 20))));
-    c.on(at(450), Event::Tick);
+    let late = calls(&c.handle(at(0), placed(1, order("r1", 20))));
+    c.handle(at(450), Event::Tick);
     for call in &late {
-        c.on(at(900), Event::Ended(call.number, made(call)));
+        c.handle(at(900), Event::CallEnded(call.number, made(call)));
     }
     // 300 ms without a call, and no word that nobody works.
     assert_eq!([900, 1000, 1200].map(|ms| wait(&mut c, ms)), [300, 200, 0]);
     let mut c = coordinator(&[("m1", "a")]);
-    let failed = calls(&c.on(at(0), placed(1, order("r1", 10)))).remove(0);
-    c.on(at(10), Event::Ended(failed.number, CallEnd::Failed));
+    let failed = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
+    c.handle(at(10), Event::CallEnded(failed.number, CallEnd::Failed));
     assert_eq!(wait(&mut c, 20), u32::MAX, "one that failed may be gone");
 }
 
@@ -106,11 +106,11 @@
     let mut c = coordinator(&named);
     for n in 0..60 {
         let patient = BatchOrder { slack_ms: 60_000, left_ms: 60_000, ..order("r", 10) };
-        c.on(at(0), placed(n, patient));
+        c.handle(at(0), placed(n, patient));
     }
     let mut repeated = 0;
     for ms in (40..4000).step_by(40) {
-        repeated += again(&c.on(at(ms), Event::Tick));
+        repeated += again(&c.handle(at(ms), Event::Tick));
     }
     assert_eq!(repeated, 50, "half of what ten makers work on at once");
 }
@@ -118,23 +118,23 @@
 #[test]
 fn a_maker_that_was_late_by_little_gets_the_next_call() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.on(at(0), placed(1, order("r1", 10)))).remove(0);
-    c.on(at(450), Event::Tick);
-    c.on(at(460), placed(2, order("r2", 10)));
-    let ended = c.on(at(480), Event::Ended(first.number, made(&first)));
+    let first = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
+    c.handle(at(450), Event::Tick);
+    c.handle(at(460), placed(2, order("r2", 10)));
+    let ended = c.handle(at(480), Event::CallEnded(first.number, made(&first)));
     assert_eq!(calls(&ended).len(), 1);
 }
 
 #[test]
 fn of_two_results_for_a_piece_of_an_open_order_one_is_freed() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "b"), ("m3", "c")]);
-    let first = calls(&c.on(at(0), placed(1, order("r1", 12))));
+    let first = calls(&c.handle(at(0), placed(1, order("r1", 12))));
     assert_eq!(first.len(), 2, "twelve pieces take two calls");
     let large = &first[0];
-    let again = calls(&c.on(at(450), Event::Tick)).remove(0);
-    let kept = c.on(at(460), Event::Ended(large.number, made(large)));
+    let again = calls(&c.handle(at(450), Event::Tick)).remove(0);
+    let kept = c.handle(at(460), Event::CallEnded(large.number, made(large)));
     assert_eq!(answers(&kept).len(), 0, "two pieces are missing");
-    let second = c.on(at(640), Event::Ended(again.number, made(&again)));
+    let second = c.handle(at(640), Event::CallEnded(again.number, made(&again)));
     let freed = second.iter().map(|a| match a {
         Action::Free(handles) => handles.len(),
         _ => 0,
@@ -147,15 +147,19 @@
 fn a_call_that_is_slower_by_a_third_after_many_of_the_same_time_is_not_overdue() {
     let slow = StagePool { call_ms: 900.0, ..pool() };
     let mut c = Coordinator::new(slow, Policy::default());
-    c.on(at(0), makers(&[("m1", "a")]));
+    c.handle(at(0), makers(&[("m1", "a")]));
     let patient = || BatchOrder { slack_ms: 60_000, left_ms: 60_000, ..order("r", 10) };
     let mut now = 0;
     for n in 0..40 {
-        let call = calls(&c.on(at(now), placed(n, patient()))).remove(0);
+        let call = calls(&c.handle(at(now), placed(n, patient()))).remove(0);
         now += 1000;
-        c.on(at(now), Event::Ended(call.number, made(&call)));
+        c.handle(at(now), Event::CallEnded(call.number, made(&call)));
     }
-    c.on(at(now), placed(100, patient()));
-    assert_eq!(again(&c.on(at(now + 1350), Event::Tick)), 0, "it may take 1.6 of the usual time");
-    assert_eq!(again(&c.on(at(now + 1650), Event::Tick)), 10);
+    c.handle(at(now), placed(100, patient()));
+    assert_eq!(
+        again(&c.handle(at(now + 1350), Event::Tick)),
+        0,
+        "it may take 1.6 of the usual time"
+    );
+    assert_eq!(again(&c.handle(at(now + 1650), Event::Tick)), 10);
 }
--- a/crates/decide/tests/batch_pool.rs
+++ b/crates/decide/tests/batch_pool.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use decide::batch::{Coordinator, Event, MakerFeed, MakerInfo};
+use decide::batch::{Coordinator, Event, WorkerFeed, WorkerInfo};
 use decide::fleet::{ColdLimit, Fleet, Regions, Terms};
 use decide::region::Map;
 use model::Time;
@@ -33,11 +33,11 @@
     for i in 0..makers {
         fleet.upsert(target(&format!("m{i}"), ["a", "b", "c"][i % 3]), at(0));
     }
-    let mut feed = MakerFeed::default();
+    let mut feed = WorkerFeed::default();
     let mut c = Coordinator::new(pool(), Policy::default());
     let mut tell = |c: &mut Coordinator, fleet: &Fleet, now: Time| {
         let map = Map::new("a".into(), Regions::default());
-        feed.news(fleet, &engines(), &map, None, now).map(|news| c.on(now, news))
+        feed.next_event(fleet, &engines(), &map, None, now).map(|news| c.handle(now, news))
     };
     tell(&mut c, &fleet, at(0));
     let before = c.visited();
@@ -49,9 +49,9 @@
             fleet.vanish(&format!("m{}", i / 10).as_str().into(), None, at(0));
         }
         tell(&mut c, &fleet, now);
-        for call in calls(&c.on(now, placed(i, order("r", 2)))) {
+        for call in calls(&c.handle(now, placed(i, order("r", 2)))) {
             tell(&mut c, &fleet, now);
-            c.on(now, Event::Ended(call.number, made(&call)));
+            c.handle(now, Event::CallEnded(call.number, made(&call)));
         }
     }
     (c.visited() - before) as f64 / ORDERS as f64
@@ -71,10 +71,13 @@
     let mut fleet = Fleet::default();
     fleet.follow_evacuations();
     fleet.upsert(target("t0", "a"), at(0));
-    let mut feed = MakerFeed::default();
-    assert_eq!(feed.news(&fleet, &engines(), &map, None, at(0)), Some(Event::Makers(Vec::new())));
+    let mut feed = WorkerFeed::default();
+    assert_eq!(
+        feed.next_event(&fleet, &engines(), &map, None, at(0)),
+        Some(Event::Workers(Vec::new()))
+    );
     fleet.evacuate(Evacuations { at: 1, domains: Vec::new() }, at(10));
-    let told = all_of(feed.news(&fleet, &engines(), &map, None, at(10)));
+    let told = all_of(feed.next_event(&fleet, &engines(), &map, None, at(10)));
     assert_eq!(told.len(), 1, "{told:?}");
 }
 
@@ -149,8 +152,8 @@
     }
 }
 
-fn all_of(event: Option<Event>) -> BTreeMap<TargetId, MakerInfo> {
-    let Some(Event::Makers(makers)) = event else {
+fn all_of(event: Option<Event>) -> BTreeMap<TargetId, WorkerInfo> {
+    let Some(Event::Workers(makers)) = event else {
         panic!("a first look tells all: {event:?}");
     };
     makers.into_iter().map(|m| (m.id.clone(), m)).collect()
@@ -170,7 +173,7 @@
             fleet.follow_evacuations();
             fleet.versions_mut().follow();
         }
-        let mut feed = MakerFeed::default();
+        let mut feed = WorkerFeed::default();
         let mut known = BTreeMap::new();
         let mut now = 0;
         for (revision, change) in (1..).zip(changes) {
@@ -178,8 +181,8 @@
                 now += ms;
             }
             take(&mut fleet, change, revision, now);
-            match feed.news(&fleet, &engines(), &map, Some(COLD), at(now)) {
-                Some(Event::Changed { there, gone }) => {
+            match feed.next_event(&fleet, &engines(), &map, Some(COLD), at(now)) {
+                Some(Event::WorkersChanged { updated: there, removed: gone }) => {
                     for id in gone {
                         prop_assert!(known.remove(&id).is_some(), "{id} was never told of");
                     }
@@ -188,7 +191,7 @@
                 None => {}
                 whole => known = all_of(whole),
             }
-            let fresh = MakerFeed::default().news(&fleet, &engines(), &map, Some(COLD), at(now));
+            let fresh = WorkerFeed::default().next_event(&fleet, &engines(), &map, Some(COLD), at(now));
             prop_assert_eq!(&known, &all_of(fresh));
             for id in known.keys() {
                 prop_assert!(fleet.is_usable(id, Terms::ANY, at(now)));
--- a/crates/decide/tests/batch_trial.rs
+++ b/crates/decide/tests/batch_trial.rs
@@ -4,23 +4,23 @@
 #[allow(dead_code, reason = "each test file uses its part")]
 mod support;
 
-use decide::batch::{Coordinator, Event, MakerInfo};
+use decide::batch::{Coordinator, Event, WorkerInfo};
 use model::forward::Policy;
 use proptest::prelude::*;
 use support::{answers, at, calls, made, order, placed, pool};
 
 fn makers(serving: usize, trial: usize, share: f64) -> Event {
-    let info = |id: String, share| MakerInfo {
+    let info = |id: String, share| WorkerInfo {
         id: id.as_str().into(),
         domain: "a".into(),
         region: None,
         gap: None,
-        most: None,
+        max_pieces: None,
         share,
     };
     let serving = (0..serving).map(|n| info(format!("old-{n}"), None));
     let trial = (0..trial).map(|n| info(format!("new-{n}"), Some(share)));
-    Event::Makers(serving.chain(trial).collect())
+    Event::Workers(serving.chain(trial).collect())
 }
 
 /// Makes orders one after the other; pieces that went to the version on trial after each, and
@@ -28,7 +28,7 @@
 fn run(c: &mut Coordinator, sizes: &[u32]) -> Vec<(usize, usize)> {
     let (mut trial, mut all, mut counts) = (0, 0, Vec::new());
     for (n, size) in sizes.iter().enumerate() {
-        let mut actions = c.on(at(1), placed(n as u64, order(&format!("r{n}"), *size)));
+        let mut actions = c.handle(at(1), placed(n as u64, order(&format!("r{n}"), *size)));
         let mut answered = answers(&actions).len();
         loop {
             let started = calls(&actions);
@@ -38,11 +38,11 @@
             actions.clear();
             for call in started {
                 all += call.pieces.len();
-                if call.maker.name.starts_with("new") {
+                if call.worker.name.starts_with("new") {
                     trial += call.pieces.len();
                 }
                 counts.push((trial, all));
-                actions.extend(c.on(at(1), Event::Ended(call.number, made(&call))));
+                actions.extend(c.handle(at(1), Event::CallEnded(call.number, made(&call))));
             }
             answered += answers(&actions).len();
         }
@@ -61,7 +61,7 @@
         share in prop_oneof![Just(0.0), Just(0.02), Just(0.1), Just(0.5)],
     ) {
         let mut c = Coordinator::new(pool(), Policy::default());
-        c.on(at(0), makers(3, trial, share));
+        c.handle(at(0), makers(3, trial, share));
         let counts = run(&mut c, &sizes);
         for (trial, all) in &counts {
             prop_assert!(*trial as f64 <= *all as f64 * share, "{trial} of {all}");
@@ -75,16 +75,16 @@
 #[test]
 fn a_version_that_is_no_longer_on_trial_gets_calls_as_others_do() {
     let mut c = Coordinator::new(pool(), Policy::default());
-    c.on(at(0), makers(1, 1, 0.0));
+    c.handle(at(0), makers(1, 1, 0.0));
     assert!(run(&mut c, &[10; 5]).iter().all(|(trial, _)| *trial == 0));
-    let new = MakerInfo {
+    let new = WorkerInfo {
         id: "new-0".into(),
         domain: "a".into(),
         region: None,
         gap: None,
-        most: None,
+        max_pieces: None,
         share: None,
     };
-    c.on(at(2), Event::Makers(vec![new]));
+    c.handle(at(2), Event::Workers(vec![new]));
     assert_eq!(run(&mut c, &[10; 5]).last(), Some(&(50, 50)));
 }
--- a/crates/decide/tests/forecast.rs
+++ b/crates/decide/tests/forecast.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use decide::forecast::{Door, Expected, Forecast, at_the_door, least_times};
+use decide::forecast::{Admission, Expected, Forecast, decide_admission, min_stage_times};
 use model::forward::{
     Allowed, PoolId, QueueId, Rank, Repeat, Route, Service, Stage, StagePool, Waits,
 };
@@ -59,10 +59,10 @@
     let services = services();
     let find = |name: &Name| services.iter().find(|s| s.name == *name);
     let rank = Rank::of(None, rank);
-    let least = least_times(&route(), pieces, find);
+    let least = min_stage_times(&route(), pieces, find);
     let stages = route().stages.into_iter();
     let queues: Vec<QueueId> = stages.map(|s| queue(&s.service, None, &Allowed::ANY, 0)).collect();
-    forecast.expected(&route(), &least, &queues, rank, Time::from_millis(at)).whole()
+    forecast.expected(&route(), &least, &queues, rank, Time::from_millis(at)).total()
 }
 
 fn queue(service: &str, region: Option<&str>, allowed: &Allowed, bytes: u64) -> QueueId {
@@ -84,7 +84,7 @@
 fn a_wait_counts_by_rank_and_fades() {
     let mut forecast = Forecast::default();
     let before = expected(&forecast, &[0, 0, 1], 1, 0);
-    forecast.hear(
+    forecast.record(
         queue("second", None, &Allowed::ANY, 0),
         Waits(vec![(Rank::of(None, 0), 100), (Rank::of(None, 1), 200), (Rank::of(None, 2), 400)]),
         Time::ZERO,
@@ -121,7 +121,7 @@
     ];
     let mut forecast = Forecast::default();
     for (queue, wait) in heard {
-        forecast.hear(queue, one(wait), Time::ZERO);
+        forecast.record(queue, one(wait), Time::ZERO);
     }
     for (queue, wait, why) in cases {
         let times = forecast.stage_times(&[ms(100)], &[queue], Rank::default(), Time::ZERO);
@@ -139,10 +139,10 @@
         forecast.stage_times(&[ms(1)], std::slice::from_ref(&own), Rank::default(), now)[0]
     };
     let mut forecast = Forecast::default();
-    forecast.hear(wider.clone(), one(900), Time::ZERO);
-    forecast.hear(own.clone(), one(0), Time::from_millis(100));
+    forecast.record(wider.clone(), one(900), Time::ZERO);
+    forecast.record(own.clone(), one(0), Time::from_millis(100));
     assert_eq!(wait(&forecast), ms(1), "the queue has been worked off since");
-    forecast.hear(wider, one(900), Time::from_millis(100));
+    forecast.record(wider, one(900), Time::from_millis(100));
     assert_eq!(wait(&forecast), ms(901), "both are as new: the wider one is a bound");
 }
 
@@ -159,7 +159,7 @@
     let services = services();
     let find = |name: &Name| services.iter().find(|s| s.name == *name);
     let (route, rank, now) = (route(), Rank::of(None, 1), Time::from_millis(300));
-    let least = |pieces: &[u32]| least_times(&route, pieces, find);
+    let least = |pieces: &[u32]| min_stage_times(&route, pieces, find);
     let stages = route.stages.iter();
     let queues: Vec<QueueId> = stages.map(|s| queue(&s.service, None, &Allowed::ANY, 0)).collect();
     let longest = |forecast: &Forecast, pieces: &[u32]| {
@@ -168,7 +168,7 @@
     };
     assert_eq!(longest(&forecast, &[1, 1, 1]), None);
     for (name, wait, at) in [("first", 100, 0), ("second", 500, 150)] {
-        forecast.hear(queue(name, None, &Allowed::ANY, 0), one(wait), Time::from_millis(at));
+        forecast.record(queue(name, None, &Allowed::ANY, 0), one(wait), Time::from_millis(at));
     }
     assert_eq!(longest(&forecast, &[1, 1, 1]), Some(("second".into(), ms(450), ms(150))));
     let short = longest(&forecast, &[1, 0, 0]);
@@ -176,7 +176,7 @@
 }
 
 fn times(least: u64, waits: u64) -> Expected {
-    Expected { least: ms(least), waits: ms(waits) }
+    Expected { without_wait: ms(least), waits: ms(waits) }
 }
 
 #[test]
@@ -191,16 +191,16 @@
         (1200, 200, false, "never in time, and others wait"),
     ];
     for (least, waits, enters, why) in cases {
-        let door = at_the_door(times(least, waits), ms(1000), ms(8000));
-        assert_eq!(door == Door::Enter, enters, "{why}: {door:?}");
+        let door = decide_admission(times(least, waits), ms(1000), ms(8000));
+        assert_eq!(door == Admission::Admit, enters, "{why}: {door:?}");
     }
 }
 
 #[test]
 fn who_would_be_late_by_far_comes_back_later() {
-    let back = |waits| match at_the_door(times(400, waits), ms(1000), ms(8000)) {
-        Door::Refuse(after) => after,
-        Door::Enter => panic!("a wait of {waits} ms for an objective of 1 s is refused"),
+    let back = |waits| match decide_admission(times(400, waits), ms(1000), ms(8000)) {
+        Admission::Refuse(after) => after,
+        Admission::Admit => panic!("a wait of {waits} ms for an objective of 1 s is refused"),
     };
     let (soon, late) = (back(800), back(4600));
     assert!(soon < late, "{soon:?} and {late:?}: the later, the more there is to work off");
@@ -214,8 +214,8 @@
         objective in 0u64..20_000,
         patience in 0u64..60_000,
     ) {
-        let door = at_the_door(times(least, waits), ms(objective), ms(patience));
-        if let Door::Refuse(after) = door {
+        let door = decide_admission(times(least, waits), ms(objective), ms(patience));
+        if let Admission::Refuse(after) = door {
             prop_assert!(after >= ms(300));
             prop_assert!(after <= ms(patience / 3).max(ms(300)));
         }
@@ -229,13 +229,13 @@
     let service: Name = "first".into();
     let of_service = queue(&service, None, &Allowed::ANY, 0);
     let tell = |wait| Waits(vec![(Rank::default(), wait)]);
-    forecast.hear(of_service.clone(), tell(u32::MAX), Time::ZERO);
+    forecast.record(of_service.clone(), tell(u32::MAX), Time::ZERO);
     assert!(expected(&forecast, &[1, 1, 1], 1, 400) > ms(60_000));
-    forecast.maker_came(&"second".into());
+    forecast.worker_added(&"second".into());
     assert!(expected(&forecast, &[1, 1, 1], 1, 400) > ms(60_000), "it is another service's");
-    forecast.maker_came(&service);
+    forecast.worker_added(&service);
     assert_eq!(expected(&forecast, &[1, 1, 1], 1, 400), least);
-    forecast.hear(of_service, tell(900), Time::ZERO);
-    forecast.maker_came(&service);
+    forecast.record(of_service, tell(900), Time::ZERO);
+    forecast.worker_added(&service);
     assert!(expected(&forecast, &[1, 1, 1], 1, 0) > least, "a wait is as long as it was told");
 }
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use decide::admit::{Gate, Verdict, Waiter};
+use decide::admit::{AdmissionQueue, PendingRequest, Verdict};
 use decide::deadline::{self, StepTimes};
 use decide::limit::{Bucket, Concurrency, RateHome, Slice};
-use decide::load::{Board, poll_rank};
+use decide::load::{LoadTable, poll_rank};
 use decide::retry::{Budget, backoff};
 use decide::rng::Rng;
 use model::load::Report;
@@ -18,8 +18,8 @@
 const QUICK: Duration = Duration::from_millis(100);
 const DUE: Duration = Duration::from_millis(1000);
 
-fn waiter(name: &str, priority: Priority, deadline: u64) -> Waiter {
-    Waiter {
+fn waiter(name: &str, priority: Priority, deadline: u64) -> PendingRequest {
+    PendingRequest {
         request: name.into(),
         priority,
         deadline: Time::from_millis(deadline),
@@ -29,15 +29,15 @@
 
 #[test]
 fn urgent_goes_before_normal_before_patient_and_then_the_earliest_deadline() {
-    let mut g = Gate::new(1, 10);
-    g.arrive(Time::ZERO, waiter("first", Priority::Normal, 5000));
-    g.arrive(Time::ZERO, waiter("patient", Priority::Patient, 1000));
-    g.arrive(Time::ZERO, waiter("late", Priority::Urgent, 9000));
-    g.arrive(Time::ZERO, waiter("early", Priority::Urgent, 2000));
+    let mut g = AdmissionQueue::new(1, 10);
+    g.submit(Time::ZERO, waiter("first", Priority::Normal, 5000));
+    g.submit(Time::ZERO, waiter("patient", Priority::Patient, 1000));
+    g.submit(Time::ZERO, waiter("late", Priority::Urgent, 9000));
+    g.submit(Time::ZERO, waiter("early", Priority::Urgent, 2000));
     let mut order = Vec::new();
     let mut last: Name = "first".into();
     for _ in 0..3 {
-        let out = g.finished(Time::ZERO, &last, QUICK, DUE);
+        let out = g.complete(Time::ZERO, &last, QUICK, DUE);
         let [Verdict::Run(next)] = &out[..] else { panic!("{out:?}") };
         last = next.clone();
         order.push(last.to_string());
@@ -47,20 +47,20 @@
 
 #[test]
 fn a_full_queue_sheds_the_last_in_order() {
-    let mut g = Gate::new(1, 1);
-    g.arrive(Time::ZERO, waiter("runs", Priority::Normal, 5000));
-    g.arrive(Time::ZERO, waiter("patient", Priority::Patient, 5000));
-    let out = g.arrive(Time::ZERO, waiter("urgent", Priority::Urgent, 5000));
+    let mut g = AdmissionQueue::new(1, 1);
+    g.submit(Time::ZERO, waiter("runs", Priority::Normal, 5000));
+    g.submit(Time::ZERO, waiter("patient", Priority::Patient, 5000));
+    let out = g.submit(Time::ZERO, waiter("urgent", Priority::Urgent, 5000));
     assert_eq!(out, vec![Verdict::Refuse("patient".into(), Reason::Overload)]);
 }
 
 #[test]
 fn what_cannot_finish_is_refused_at_once() {
-    let mut g = Gate::new(1, 10);
-    g.arrive(Time::ZERO, waiter("runs", Priority::Normal, 5000));
-    let out = g.arrive(Time::ZERO, waiter("hopeless", Priority::Urgent, 50));
+    let mut g = AdmissionQueue::new(1, 10);
+    g.submit(Time::ZERO, waiter("runs", Priority::Normal, 5000));
+    let out = g.submit(Time::ZERO, waiter("hopeless", Priority::Urgent, 50));
     assert_eq!(out, vec![Verdict::Refuse("hopeless".into(), Reason::Hopeless)]);
-    g.arrive(Time::ZERO, waiter("waits", Priority::Urgent, 300));
+    g.submit(Time::ZERO, waiter("waits", Priority::Urgent, 300));
     assert!(g.tick(Time::from_millis(150)).is_empty());
     let out = g.tick(Time::from_millis(201));
     assert_eq!(out, vec![Verdict::Refuse("waits".into(), Reason::Hopeless)]);
@@ -69,52 +69,52 @@
 #[test]
 fn an_idle_node_takes_even_what_looks_hopeless() {
     // Times seen under load must not shut a node that has nothing to do.
-    let mut g = Gate::new(4, 10);
-    let out = g.arrive(Time::ZERO, waiter("only", Priority::Normal, 50));
+    let mut g = AdmissionQueue::new(4, 10);
+    let out = g.submit(Time::ZERO, waiter("only", Priority::Normal, 50));
     assert_eq!(out, vec![Verdict::Run("only".into())]);
 }
 
 #[test]
 fn congestion_narrows_the_gate_and_its_end_widens_it_again() {
-    let mut g = Gate::new(64, 10);
+    let mut g = AdmissionQueue::new(64, 10);
     let mut now = Time::ZERO;
     for i in 0..1000 {
         now = now + Duration::from_millis(5);
         let name: Name = format!("r{i}").into();
-        g.arrive(now, waiter(&name, Priority::Normal, u64::MAX / 2000));
-        g.finished(now, &name, DUE, DUE);
+        g.submit(now, waiter(&name, Priority::Normal, u64::MAX / 2000));
+        g.complete(now, &name, DUE, DUE);
     }
-    let narrow = g.width();
+    let narrow = g.limit();
     assert!(narrow <= 8, "{narrow}");
     let mut names = std::collections::VecDeque::new();
     for i in 0..4000 {
         let name: Name = format!("s{i}").into();
-        g.arrive(now, waiter(&name, Priority::Normal, u64::MAX / 2000));
+        g.submit(now, waiter(&name, Priority::Normal, u64::MAX / 2000));
         names.push_back(name);
-        if names.len() > g.width() {
+        if names.len() > g.limit() {
             let old = names.pop_front().expect("one runs");
-            g.finished(now, &old, QUICK, DUE);
+            g.complete(now, &old, QUICK, DUE);
         }
     }
-    assert!(g.width() > narrow * 3, "{}", g.width());
+    assert!(g.limit() > narrow * 3, "{}", g.limit());
 }
 
 #[test]
 fn a_newcomer_behind_too_many_is_refused_at_the_door_not_at_its_deadline() {
-    let mut g = Gate::new(1, 100);
+    let mut g = AdmissionQueue::new(1, 100);
     let mut now = Time::ZERO;
     // A turn comes free every 100 ms.
     for i in 0..30 {
         let name: Name = format!("r{i}").into();
-        g.arrive(now, waiter(&name, Priority::Normal, 1_000_000));
+        g.submit(now, waiter(&name, Priority::Normal, 1_000_000));
         now = now + Duration::from_millis(100);
-        g.finished(now, &name, QUICK, DUE);
+        g.complete(now, &name, QUICK, DUE);
     }
     let at = |ms: u64| now.0 / 1000 + ms;
-    g.arrive(now, waiter("runs", Priority::Normal, at(10_000)));
+    g.submit(now, waiter("runs", Priority::Normal, at(10_000)));
     let mut taken = 0;
     for i in 0..50 {
-        let out = g.arrive(now, waiter(&format!("w{i}"), Priority::Normal, at(1000)));
+        let out = g.submit(now, waiter(&format!("w{i}"), Priority::Normal, at(1000)));
         taken += usize::from(out.is_empty());
     }
     assert!((7..=10).contains(&taken), "ten turns fit before the deadline: {taken} wait");
@@ -122,12 +122,12 @@
 
 #[test]
 fn patient_work_leaves_room_for_urgent() {
-    let mut g = Gate::new(10, 100);
+    let mut g = AdmissionQueue::new(10, 100);
     for i in 0..20 {
-        g.arrive(Time::ZERO, waiter(&format!("p{i}"), Priority::Patient, 50_000));
+        g.submit(Time::ZERO, waiter(&format!("p{i}"), Priority::Patient, 50_000));
     }
     assert_eq!(g.running(), 7, "seven tenths");
-    let out = g.arrive(Time::ZERO, waiter("stock", Priority::Urgent, 800));
+    let out = g.submit(Time::ZERO, waiter("stock", Priority::Urgent, 800));
     assert_eq!(out, vec![Verdict::Run("stock".into())]);
 }
 
@@ -168,14 +168,17 @@
     }
     let quick = StepTimes::default();
     let times = [&quick, &slow, &slow];
-    let later = deadline::later(&times[1..]);
+    let later = deadline::median_total(&times[1..]);
     assert!((395..=410).contains(&later.as_millis()), "{later:?}");
     let budget = deadline::budget(Time::ZERO, Time::from_millis(1000), later);
     assert!((590..=605).contains(&budget.as_millis()), "{budget:?}");
     // The need is what most take, and never more than half of what is left.
-    let need = deadline::need(&times, Duration::from_secs(10));
+    let need = deadline::required_time(&times, Duration::from_secs(10));
     assert!((395..=410).contains(&need.as_millis()), "{need:?}");
-    assert_eq!(deadline::need(&times, Duration::from_millis(300)), Duration::from_millis(150));
+    assert_eq!(
+        deadline::required_time(&times, Duration::from_millis(300)),
+        Duration::from_millis(150)
+    );
 }
 
 #[test]
@@ -280,15 +283,15 @@
         leaving,
         ..Report::default()
     };
-    let mut a = Board::default();
-    let mut b = Board::default();
+    let mut a = LoadTable::default();
+    let mut b = LoadTable::default();
     a.set_targets([&name].into_iter());
     b.set_targets([&name].into_iter());
-    let first = a.polled(report(100, 10, false)).expect("new");
-    assert!(a.polled(report(101, 11, false)).is_none(), "a small change stays at home");
-    let leaving = a.polled(report(101, 12, true)).expect("leaving is news");
-    assert!(b.heard(leaving).is_some());
-    assert!(b.heard(first).is_none(), "older gossip is dropped");
-    assert!(b.heard(leaving).is_none(), "and what is known is not passed on");
+    let first = a.record_poll(report(100, 10, false)).expect("new");
+    assert!(a.record_poll(report(101, 11, false)).is_none(), "a small change stays at home");
+    let leaving = a.record_poll(report(101, 12, true)).expect("leaving is news");
+    assert!(b.merge_rumor(leaving).is_some());
+    assert!(b.merge_rumor(first).is_none(), "older gossip is dropped");
+    assert!(b.merge_rumor(leaving).is_none(), "and what is known is not passed on");
     assert!(b.get("t1").is_some_and(|n| n.report.leaving));
 }
--- a/crates/decide/tests/place.rs
+++ b/crates/decide/tests/place.rs
@@ -60,7 +60,7 @@
             set: &self.set,
             number: 1,
             domain: &self.domain,
-            news: &self.news,
+            reports: &self.news,
             leaving: &self.leaving,
         };
         self.placer.plan(self.now, self.epoch, view)
--- a/crates/decide/tests/prefill.rs
+++ b/crates/decide/tests/prefill.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use decide::prefill::{Placed, Scheduler};
+use decide::prefill::{Placement, Scheduler};
 use decide::rng::Rng;
 use model::forward::{Allowed, PrefillAsk, Side, TargetId};
 use model::{Name, Time, hash};
@@ -46,7 +46,7 @@
     order
 }
 
-fn place(b: &mut Scheduler, i: usize, home: u64, now_ms: u64) -> Placed {
+fn place(b: &mut Scheduler, i: usize, home: u64, now_ms: u64) -> Placement {
     b.place(&ask(i, home), &order(8, home), at(now_ms)).expect("there are engines")
 }
 
@@ -56,7 +56,7 @@
     for home in 0..50 {
         let now = OLD_MS + home * 5_000;
         let placed = place(&mut scheduler, home as usize, home, now);
-        assert_eq!((&placed.engine, placed.ahead), (&order(8, home)[0], 0));
+        assert_eq!((&placed.engine, placed.tokens_ahead), (&order(8, home)[0], 0));
     }
 }
 
@@ -75,31 +75,35 @@
     }
     let placed = place(&mut scheduler, 7, 1, OLD_MS + 1);
     assert_eq!(placed.engine, homes[2], "the first that has nothing to read");
-    assert!(!placed.kept);
+    assert!(!placed.is_cached);
 }
 
 #[test]
 fn a_prompt_stays_where_its_shared_parts_are_until_the_wait_outweighs_them() {
     let mut scheduler = Scheduler::new(at(0));
     let first = place(&mut scheduler, 0, 1, OLD_MS);
-    scheduler.read(&first.engine, &attempt(0), at(OLD_MS + 300));
+    scheduler.finish_prompt(&first.engine, &attempt(0), at(OLD_MS + 300));
     let second = place(&mut scheduler, 1, 1, OLD_MS + 500);
-    assert_eq!((&second.engine, second.kept), (&first.engine, true));
-    assert_eq!(scheduler.waiting(&first.engine), TOKENS - SHARED, "only its own part is read");
+    assert_eq!((&second.engine, second.is_cached), (&first.engine, true));
+    assert_eq!(
+        scheduler.queued_tokens(&first.engine),
+        TOKENS - SHARED,
+        "only its own part is read"
+    );
     let only = [first.engine.clone()];
     for i in 10..12 {
         scheduler.place(&ask(i, 100 + i as u64), &only, at(OLD_MS + 600)).expect("an engine");
     }
     let third = place(&mut scheduler, 2, 1, OLD_MS + 700);
     assert_ne!(third.engine, first.engine, "two whole prompts wait there");
-    assert_eq!((third.ahead, third.kept), (0, false));
+    assert_eq!((third.tokens_ahead, third.is_cached), (0, false));
 }
 
 #[test]
 fn a_prompt_that_is_in_time_where_its_shared_parts_are_stays_there() {
     let mut scheduler = Scheduler::new(at(0));
     let first = place(&mut scheduler, 0, 1, OLD_MS);
-    scheduler.read(&first.engine, &attempt(0), at(OLD_MS + 340));
+    scheduler.finish_prompt(&first.engine, &attempt(0), at(OLD_MS + 340));
     // 50 tokens a millisecond were seen. Two whole prompts wait there now: 760 ms with its own part.
     let only = [first.engine.clone()];
     for i in 10..12 {
@@ -108,8 +112,8 @@
     for (i, (slack_ms, stays)) in [(1_300, true), (1_000, false)].into_iter().enumerate() {
         let ask = PrefillAsk { slack_ms, ..ask(i, 1) };
         let placed = scheduler.place(&ask, &order(8, 1), at(OLD_MS + 410)).expect("an engine");
-        assert_eq!(placed.kept, stays, "{slack_ms} ms left");
-        scheduler.given_up(&placed.engine, &attempt(i));
+        assert_eq!(placed.is_cached, stays, "{slack_ms} ms left");
+        scheduler.cancel_prompt(&placed.engine, &attempt(i));
     }
 }
 
@@ -117,14 +121,14 @@
 fn what_was_read_or_never_told_of_no_longer_counts() {
     let mut scheduler = Scheduler::new(at(0));
     let placed = place(&mut scheduler, 0, 1, OLD_MS);
-    assert_eq!(scheduler.waiting(&placed.engine), TOKENS);
-    scheduler.read(&placed.engine, &attempt(9), at(OLD_MS + 50));
-    assert_eq!(scheduler.waiting(&placed.engine), TOKENS, "another attempt's end");
-    scheduler.read(&placed.engine, &attempt(0), at(OLD_MS + 60));
-    assert_eq!(scheduler.waiting(&placed.engine), 0);
+    assert_eq!(scheduler.queued_tokens(&placed.engine), TOKENS);
+    scheduler.finish_prompt(&placed.engine, &attempt(9), at(OLD_MS + 50));
+    assert_eq!(scheduler.queued_tokens(&placed.engine), TOKENS, "another attempt's end");
+    scheduler.finish_prompt(&placed.engine, &attempt(0), at(OLD_MS + 60));
+    assert_eq!(scheduler.queued_tokens(&placed.engine), 0);
     let lost = place(&mut scheduler, 1, 1, OLD_MS + 100);
     place(&mut scheduler, 2, 55, OLD_MS + 100 + 4_000);
-    assert!(scheduler.waiting(&lost.engine) < TOKENS, "its end will not come any more");
+    assert!(scheduler.queued_tokens(&lost.engine) < TOKENS, "its end will not come any more");
 }
 
 #[test]
@@ -133,7 +137,7 @@
     let homes = order(8, 1);
     scheduler.place(&ask(0, 99), &homes[..1], at(60_001)).expect("an engine");
     let placed = place(&mut scheduler, 1, 1, 60_002);
-    assert_eq!((&placed.engine, placed.kept), (&homes[0], true), "another prompt waits there");
+    assert_eq!((&placed.engine, placed.is_cached), (&homes[0], true), "another prompt waits there");
 }
 
 #[test]
@@ -143,7 +147,7 @@
     for i in 0..100 {
         place(&mut scheduler, i, i as u64, OLD_MS + 1);
     }
-    let waiting: Vec<u64> = (0..8).map(|i| scheduler.waiting(&engine(i))).collect();
+    let waiting: Vec<u64> = (0..8).map(|i| scheduler.queued_tokens(&engine(i))).collect();
     let (least, most) = (waiting.iter().min(), waiting.iter().max());
     assert!(most.unwrap() - least.unwrap() <= 2 * TOKENS, "{waiting:?}");
 }
@@ -194,7 +198,7 @@
             if end as f64 > now {
                 break;
             }
-            scheduler.read(&engine(at_engine), &attempt(j), at(end));
+            scheduler.finish_prompt(&engine(at_engine), &attempt(j), at(end));
             ends.pop_first();
         }
         let home = rng.below(HOMES) as u64;
--- a/crates/decide/tests/region_spill.rs
+++ b/crates/decide/tests/region_spill.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use decide::batch::{Action, CallEnd, Coordinator, Event, OrderId};
-use decide::region::{Own, Spill};
+use decide::region::{LocalLoad, Spill};
 use model::Name;
 use model::forward::{BatchOrder, PieceResult, Rank, Waits};
 use support::{at, coordinator, made, makers, order, probes};
@@ -20,17 +20,17 @@
 
 #[test]
 fn an_order_is_passed_on_only_where_it_is_in_time_and_would_be_late_here() {
-    let busy = Own { wait: 800, call: ms(150), piece_ms: 5.0 };
+    let busy = LocalLoad { wait: 800, call_time: ms(150), piece_ms: 5.0 };
     let small = || BatchOrder { slack_ms: 700, ..order("r", 5) };
     let large = BatchOrder { result_bytes: 2 << 20, ..small() };
     let heavy = BatchOrder { moved_bytes: 4 << 20, ..small() };
     let guest = BatchOrder { spilled: true, ..small() };
     let patient = BatchOrder { slack_ms: 2000, ..small() };
     let tight = BatchOrder { slack_ms: 160, ..small() };
-    let dead = Own { wait: u32::MAX, ..busy };
+    let dead = LocalLoad { wait: u32::MAX, ..busy };
     let cases = [
         (small(), busy, 50, true, "late here, in time there"),
-        (small(), Own { wait: 400, ..busy }, 50, false, "in time here"),
+        (small(), LocalLoad { wait: 400, ..busy }, 50, false, "in time here"),
         (small(), busy, 300, false, "overrun there as well"),
         (patient, busy, 0, false, "it has the time to wait"),
         (tight, busy, 0, false, "late there as well"),
@@ -44,7 +44,7 @@
     for (order, own, there, goes, why) in cases {
         let mut spill = Spill::default();
         let waits = Waits(vec![(Rank::default(), there)]);
-        spill.hear("b".into(), waits, at(0));
+        spill.update_waits("b".into(), waits, at(0));
         let others = [("b".into(), ms(40))];
         let chosen = spill.choose(&others, &order, own, at(100));
         assert_eq!(chosen.is_some(), goes, "{why}: {chosen:?}");
@@ -134,7 +134,7 @@
             match message {
                 Message::Order { from, due, order } => self.take(to, from, due, order),
                 Message::Waits { region, waits } => {
-                    self.places[to].spill.hear(region, waits, at(now));
+                    self.places[to].spill.update_waits(region, waits, at(now));
                 }
             }
         }
@@ -146,7 +146,7 @@
         if let Some(to) = chosen.filter(|to| self.is_cut(i, *to)) {
             // The question for a sign of life brings none.
             let region = self.places[to].name.clone();
-            self.places[i].spill.lost(&region);
+            self.places[i].spill.remove_region(&region);
             let order = BatchOrder { spilled: true, ..order.later(ms(2 * CROSSING)) };
             return self.take(i, from, due, order);
         }
@@ -167,13 +167,13 @@
             return None;
         }
         let now = at(self.now);
-        let own = self.places[i].c.own(order, now);
+        let own = self.places[i].c.local_load(order, now);
         let others: Vec<(Name, Duration)> = (0..self.places.len())
             .filter(|j| *j != i)
             .map(|j| (self.places[j].name.clone(), ms(2 * CROSSING)))
             .collect();
         let names: Vec<Name> = others.iter().map(|(r, _)| r.clone()).collect();
-        for region in self.places[i].spill.take_due(&names, own.wait, now) {
+        for region in self.places[i].spill.take_due_queries(&names, own.wait, now) {
             let to = self.place(&region);
             let waits = self.places[to].c.waits(now);
             if self.is_cut(i, to) {
@@ -201,7 +201,7 @@
         let (ended, open): (Vec<_>, Vec<_>) = calls.into_iter().partition(|c| c.0 <= now);
         self.places[i].calls = open;
         for (_, number, end) in ended {
-            self.feed(i, Event::Ended(number, end));
+            self.feed(i, Event::CallEnded(number, end));
         }
     }
 
@@ -209,13 +209,13 @@
         let now = at(self.now);
         let place = &mut self.places[i];
         let is_dead = place.c.waits(now).of(Rank::default()) == u32::MAX;
-        let moves = is_dead && place.spill.knows_any(now);
+        let moves = is_dead && place.spill.has_fresh_waits(now);
         self.feed(i, if moves { Event::HandOver } else { Event::Tick });
     }
 
     fn feed(&mut self, i: usize, event: Event) {
         let now = self.now;
-        let actions = self.places[i].c.on(at(now), event);
+        let actions = self.places[i].c.handle(at(now), event);
         for maker in probes(&actions) {
             let is_up = self.places[i].is_up;
             self.feed(i, Event::Probed(maker, is_up));
@@ -241,7 +241,7 @@
                 let in_time = whole && now + back <= due;
                 self.places[from].ends.push((due - 900, in_time));
             }
-            Action::Moved(id) => {
+            Action::HandOver(id) => {
                 let (from, due, order) = place.open.remove(&id).expect("an order");
                 let order = BatchOrder { slack_ms: due.saturating_sub(now), ..order };
                 self.take(i, from, due, order);
@@ -329,13 +329,17 @@
     for (own, there, told, why) in cases {
         let mut spill = Spill::default();
         if let Some(there) = there {
-            spill.hear("b".into(), waits(there), at(0));
+            spill.update_waits("b".into(), waits(there), at(0));
         }
-        assert_eq!(spill.bound(waits(own), &others, false, at(10)).of(rank), told, "{why}");
+        assert_eq!(spill.bound_waits(waits(own), &others, false, at(10)).of(rank), told, "{why}");
         let large = if own == u32::MAX { told } else { own };
-        let bound = spill.bound(waits(own), &others, true, at(10));
+        let bound = spill.bound_waits(waits(own), &others, true, at(10));
         assert_eq!(bound.of(rank), large, "large ones are passed on from dead makers alone: {why}");
-        assert_eq!(spill.bound(waits(own), &[], false, at(10)).of(rank), own, "none is allowed");
+        assert_eq!(
+            spill.bound_waits(waits(own), &[], false, at(10)).of(rank),
+            own,
+            "none is allowed"
+        );
     }
 }
 
--- a/crates/decide/tests/regions.rs
+++ b/crates/decide/tests/regions.rs
@@ -30,7 +30,7 @@
 fn map(measured: Times<'_>) -> Map {
     let mut map = Map::new("a1".into(), regions());
     for (domain, took) in measured {
-        map.measured(&(*domain).into(), ms(*took));
+        map.record_round_trip(&(*domain).into(), ms(*took));
     }
     map
 }
@@ -56,19 +56,19 @@
     let mut near = map(&[("b1", 2), ("b2", 2), ("c1", 2), ("c2", 2)]);
     for _ in 0..3 {
         for domain in ["b1", "b2", "c1", "c2"] {
-            near.measured(&domain.into(), ms(90));
+            near.record_round_trip(&domain.into(), ms(90));
         }
     }
     assert!(!near.is_split(), "{:?}", near.round_trip(&"b1".into()));
     let mut between = map(&[("b1", 8), ("b2", 8), ("c1", 8), ("c2", 8)]);
     assert!(between.is_split(), "apart until they prove near");
     for domain in ["b1", "b2", "c1", "c2"] {
-        between.measured(&domain.into(), ms(2));
+        between.record_round_trip(&domain.into(), ms(2));
     }
     assert!(!between.is_split());
     for _ in 0..1000 {
-        between.measured(&"b1".into(), ms(8));
-        between.measured(&"b2".into(), ms(8));
+        between.record_round_trip(&"b1".into(), ms(8));
+        between.record_round_trip(&"b2".into(), ms(8));
     }
     assert!(!between.is_split(), "8 ms are too few to part them again");
 }
@@ -86,7 +86,7 @@
     ];
     for (wanted, able, expected) in cases {
         let able: BTreeSet<Name> = able.iter().map(|r| (*r).into()).collect();
-        let placed = seen.place(wanted.map(Into::into), &able);
+        let placed = seen.choose_region(wanted.map(Into::into), &able);
         assert_eq!(placed.as_deref(), expected, "wanted {wanted:?} of {able:?}");
     }
 }
@@ -108,11 +108,11 @@
     let after = [vec![], vec![0], vec![]];
     for (able, expected, why) in cases {
         let able = able.map(|a| a.map(|a| a.iter().map(|r| (*r).into()).collect()));
-        let places = seen.places(&after, &able);
+        let places = seen.choose_regions(&after, &able);
         assert_eq!(places.iter().map(Option::as_deref).collect::<Vec<_>>(), expected, "{why}");
     }
     let near = map(&[("a2", 1), ("b1", 2), ("b2", 2), ("c1", 1), ("c2", 2)]);
-    assert_eq!(near.places(&after, &[const { None }; 3]), [None, None, None]);
+    assert_eq!(near.choose_regions(&after, &[const { None }; 3]), [None, None, None]);
 }
 
 /// The roster of a node among `each` nodes in each failure domain.
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use decide::batch::{Call, CallEnd, Coordinator, Event, MakerInfo};
+use decide::batch::{Call, CallEnd, Coordinator, Event, WorkerInfo};
 use decide::fleet::{ColdLimit, Fleet, Observation, Terms, still_true};
 use decide::prefill::Scheduler;
 use decide::rng::Rng;
@@ -246,25 +246,25 @@
 
 /// Makers of one name and these starts.
 fn makers(starts: &[u64], domain: &str) -> Event {
-    let info = |start: &u64| MakerInfo {
+    let info = |start: &u64| WorkerInfo {
         id: id(*start),
         domain: domain.into(),
         region: None,
         gap: None,
-        most: None,
+        max_pieces: None,
         share: None,
     };
-    Event::Makers(starts.iter().map(info).collect())
+    Event::Workers(starts.iter().map(info).collect())
 }
 
 /// A coordinator with a call at the start 17 of its only maker, which then starts as 18.
 fn restarted() -> (Coordinator, Call) {
     let mut c = Coordinator::new(batch::pool(), Policy::default());
-    c.on(at(0), makers(&[17], "a"));
+    c.handle(at(0), makers(&[17], "a"));
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r1", 1) };
-    let first = batch::calls(&c.on(at(0), batch::placed(1, large)));
-    assert_eq!(first[0].maker, id(17));
-    c.on(at(10), makers(&[18], "a"));
+    let first = batch::calls(&c.handle(at(0), batch::placed(1, large)));
+    assert_eq!(first[0].worker, id(17));
+    c.handle(at(10), makers(&[18], "a"));
     (c, first[0].clone())
 }
 
@@ -272,16 +272,16 @@
 fn a_maker_that_starts_again_has_its_slots_and_its_room() {
     let (mut c, old) = restarted();
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
-    let next = batch::calls(&c.on(at(20), batch::placed(2, large.clone())));
+    let next = batch::calls(&c.handle(at(20), batch::placed(2, large.clone())));
     assert_eq!(next.len(), 1, "the slot of the start before is not its own");
-    assert_eq!(next[0].maker, id(18));
+    assert_eq!(next[0].worker, id(18));
     // What the start before made takes no room at the next one.
-    c.on(at(30), Event::Ended(old.number, batch::made(&old)));
+    c.handle(at(30), Event::CallEnded(old.number, batch::made(&old)));
     let end = batch::made(&next[0]);
-    c.on(at(40), Event::Ended(next[0].number, end));
+    c.handle(at(40), Event::CallEnded(next[0].number, end));
     let small = BatchOrder { result_bytes: 1_000_000, ..batch::order("r3", 1) };
-    let third = batch::calls(&c.on(at(50), batch::placed(3, small)));
-    assert_eq!(third[0].maker, id(18));
+    let third = batch::calls(&c.handle(at(50), batch::placed(3, small)));
+    assert_eq!(third[0].worker, id(18));
 }
 
 #[test]
@@ -290,15 +290,15 @@
     for end in [None, Some(CallEnd::Failed), Some(CallEnd::Full)] {
         let (mut c, old) = restarted();
         let end = end.unwrap_or_else(|| no_room(&old));
-        let mut actions = c.on(at(20), Event::Ended(old.number, end.clone()));
-        actions.extend(c.on(at(21), Event::Probed(id(17), false)));
+        let mut actions = c.handle(at(20), Event::CallEnded(old.number, end.clone()));
+        actions.extend(c.handle(at(21), Event::Probed(id(17), false)));
         let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
-        actions.extend(c.on(at(22), batch::placed(2, large)));
-        actions.extend(c.on(at(22), Event::Tick));
+        actions.extend(c.handle(at(22), batch::placed(2, large)));
+        actions.extend(c.handle(at(22), Event::Tick));
         // Left out or short of room, it would have no call yet.
         let started = batch::calls(&actions);
         assert_eq!(started.len(), 1, "{end:?}: one slot, one call at once");
-        assert_eq!(started[0].maker, id(18), "{end:?}");
+        assert_eq!(started[0].worker, id(18), "{end:?}");
     }
 }
 
@@ -322,11 +322,11 @@
     let mut scheduler = Scheduler::new(at(0));
     scheduler.place(&ask("p1"), &[id(17)], at(20_000)).expect("an engine");
     let placed = scheduler.place(&ask("p2"), &[id(18)], at(20_100)).expect("an engine");
-    assert_eq!((placed.engine, placed.ahead, placed.kept), (id(18), 0, false));
-    assert_eq!(scheduler.waiting(&id(18)), 17_000);
-    scheduler.read(&id(17), &"p2".into(), at(20_200));
-    scheduler.given_up(&id(17), &"p2".into());
-    assert_eq!(scheduler.waiting(&id(18)), 17_000, "the start before tells nothing of it");
-    scheduler.read(&id(18), &"p2".into(), at(20_200));
-    assert_eq!(scheduler.waiting(&id(18)), 0);
+    assert_eq!((placed.engine, placed.tokens_ahead, placed.is_cached), (id(18), 0, false));
+    assert_eq!(scheduler.queued_tokens(&id(18)), 17_000);
+    scheduler.finish_prompt(&id(17), &"p2".into(), at(20_200));
+    scheduler.cancel_prompt(&id(17), &"p2".into());
+    assert_eq!(scheduler.queued_tokens(&id(18)), 17_000, "the start before tells nothing of it");
+    scheduler.finish_prompt(&id(18), &"p2".into(), at(20_200));
+    assert_eq!(scheduler.queued_tokens(&id(18)), 0);
 }
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use decide::load::Board;
+use decide::load::LoadTable;
 use decide::rng::Rng;
 use decide::route::{Ask, PolicyKind, PoolTable, TargetInfo, make_policy};
 use model::load::{Report, TargetNews};
@@ -96,14 +96,14 @@
 #[test]
 fn what_other_nodes_told_of_a_target_does_not_say_which_models_it_holds() {
     let (name, wanted) = (Name::from("t0"), Ask { model: Some("m@v1"), ..ask(0) });
-    let mut board = Board::default();
+    let mut board = LoadTable::default();
     board.set_targets([name.clone()].iter());
     let polled = Report { target: name.clone(), seq: 1, ..Report::default() };
-    let rumor = board.polled(polled).expect("news");
+    let rumor = board.record_poll(polled).expect("news");
     let holds_none = board.get("t0").expect("polled").clone();
-    let mut elsewhere = Board::default();
+    let mut elsewhere = LoadTable::default();
     elsewhere.set_targets([name.clone()].iter());
-    elsewhere.heard(rumor).expect("news there");
+    elsewhere.merge_rumor(rumor).expect("news there");
     for (news, fits) in [(&holds_none, false), (elsewhere.get("t0").expect("heard"), true)] {
         let mut t = table(1, |_| 0);
         t.hear(NOW, news);
