--- a/crates/decide/tests/stages.rs
+++ b/crates/decide/tests/stages.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use decide::stages::{Progress, latest_starts, longest};
+use decide::stages::{Progress, critical_path, latest_starts};
 use proptest::prelude::*;
 
 fn started(p: &mut Progress) -> Vec<usize> {
-    std::iter::from_fn(|| p.start()).collect()
+    std::iter::from_fn(|| p.start_next()).collect()
 }
 
 /// Three in a row, and one beside them.
@@ -18,60 +18,60 @@
 fn stages_start_once_those_before_are_made_and_free_what_is_used_up() {
     let mut p = chain();
     assert_eq!(started(&mut p), [0, 3]);
-    assert!(p.made(0).is_empty(), "stage 1 still wants it");
+    assert!(p.complete(0).is_empty(), "stage 1 still wants it");
     assert_eq!(started(&mut p), [1]);
-    assert_eq!(p.made(1), [0]);
+    assert_eq!(p.complete(1), [0]);
     assert_eq!(started(&mut p), [2]);
-    assert_eq!(p.made(2), [1]);
+    assert_eq!(p.complete(2), [1]);
     assert!(!p.is_done());
-    assert!(p.made(3).is_empty(), "the request itself wants the last ones");
+    assert!(p.complete(3).is_empty(), "the request itself wants the last ones");
     assert!(p.is_done());
-    assert_eq!(p.last(), [2, 3]);
+    assert_eq!(p.final_stages(), [2, 3]);
 }
 
 #[test]
 fn a_result_that_two_stages_want_is_freed_after_both() {
     let mut p = Progress::new(vec![vec![], vec![0], vec![0]]);
     started(&mut p);
-    p.made(0);
+    p.complete(0);
     assert_eq!(started(&mut p), [1, 2]);
-    assert!(p.made(1).is_empty());
-    assert_eq!(p.made(2), [0]);
+    assert!(p.complete(1).is_empty());
+    assert_eq!(p.complete(2), [0]);
 }
 
 #[test]
 fn what_is_gone_is_made_again_with_all_that_it_needs() {
     let mut p = chain();
     started(&mut p);
-    p.made(0);
+    p.complete(0);
     started(&mut p);
-    p.made(1);
+    p.complete(1);
     assert_eq!(started(&mut p), [2]);
-    assert_eq!(p.input_gone(2), Some(vec![1, 0]), "what stage 1 is made from was freed");
+    assert_eq!(p.input_lost(2), Some(vec![1, 0]), "what stage 1 is made from was freed");
     assert_eq!(started(&mut p), [0]);
-    p.made(0);
+    p.complete(0);
     assert_eq!(started(&mut p), [1]);
-    p.made(1);
+    p.complete(1);
     assert_eq!(started(&mut p), [2]);
-    assert!(p.input_gone(2).is_some());
+    assert!(p.input_lost(2).is_some());
     started(&mut p);
-    p.made(0);
+    p.complete(0);
     started(&mut p);
-    p.made(1);
+    p.complete(1);
     started(&mut p);
-    assert_eq!(p.input_gone(2), None, "not for ever");
+    assert_eq!(p.input_lost(2), None, "not for ever");
 }
 
 #[test]
 fn a_stage_whose_inputs_are_being_made_again_waits_for_them() {
     let mut p = Progress::new(vec![vec![], vec![0], vec![0]]);
     started(&mut p);
-    p.made(0);
+    p.complete(0);
     assert_eq!(started(&mut p), [1, 2]);
-    assert_eq!(p.input_gone(1), Some(vec![0]));
-    assert_eq!(p.input_gone(2), Some(vec![]), "it is made again already");
+    assert_eq!(p.input_lost(1), Some(vec![0]));
+    assert_eq!(p.input_lost(2), Some(vec![]), "it is made again already");
     assert_eq!(started(&mut p), [0]);
-    p.made(0);
+    p.complete(0);
     assert_eq!(started(&mut p), [1, 2]);
 }
 
@@ -100,17 +100,17 @@
             }
             let stage = running.swap_remove(usize::from(which) % running.len());
             if gone && !after[stage].is_empty() {
-                let Some(again) = p.input_gone(stage) else {
+                let Some(again) = p.input_lost(stage) else {
                     return Ok(());
                 };
                 again.iter().for_each(|j| held[*j] = false);
             } else {
                 held[stage] = true;
-                p.made(stage).iter().for_each(|j| held[*j] = false);
+                p.complete(stage).iter().for_each(|j| held[*j] = false);
             }
         }
         prop_assert!(p.is_done());
-        prop_assert!(p.last().iter().all(|i| held[*i]));
+        prop_assert!(p.final_stages().iter().all(|i| held[*i]));
     }
 }
 
@@ -152,7 +152,7 @@
             .map(|(i, (_, on))| (0..i).filter(|j| on[*j]).collect()).collect();
         let takes: Vec<Duration> = stages.iter().map(|(t, _)| ms(*t)).collect();
         let starts = latest_starts(&after, &takes);
-        let whole = longest(&after, &takes);
+        let whole = critical_path(&after, &takes);
         for (i, before) in after.iter().enumerate() {
             prop_assert!(starts[i] + takes[i] <= whole);
             for j in before {
--- a/crates/decide/tests/support/batch.rs
+++ b/crates/decide/tests/support/batch.rs
@@ -1,6 +1,6 @@
 //! Orders, makers and calls for the tests of the batch coordinator.
 
-use decide::batch::{Action, Call, CallEnd, Coordinator, Event, MakerInfo, OrderId};
+use decide::batch::{Action, Call, CallEnd, Coordinator, Event, OrderId, WorkerInfo};
 use model::Time;
 use model::forward::{
     Allowed, BatchOrder, Handle, PieceOrder, PieceResult, Policy, Rank, StageInput, StagePool,
@@ -24,15 +24,15 @@
 
 /// Makers and their failure domains, none of them cold.
 pub fn makers(of: &[(&str, &str)]) -> Event {
-    let info = |(id, domain): &(&str, &str)| MakerInfo {
+    let info = |(id, domain): &(&str, &str)| WorkerInfo {
         id: (*id).into(),
         domain: (*domain).into(),
         region: None,
         gap: None,
-        most: None,
+        max_pieces: None,
         share: None,
     };
-    Event::Makers(of.iter().map(info).collect())
+    Event::Workers(of.iter().map(info).collect())
 }
 
 /// An order of small pieces that may be made anywhere.
@@ -61,7 +61,7 @@
 /// A coordinator of these makers.
 pub fn coordinator(of: &[(&str, &str)]) -> Coordinator {
     let mut c = Coordinator::new(pool(), Policy::default());
-    c.on(at(0), makers(of));
+    c.handle(at(0), makers(of));
     c
 }
 
@@ -78,7 +78,7 @@
 pub fn made(call: &Call) -> CallEnd {
     let result = |p: &PieceOrder| {
         let text = format!("{}/{}/{}", p.attempt, p.piece, call.number);
-        PieceResult::Made(Handle { maker: call.maker.clone(), text })
+        PieceResult::Made(Handle { maker: call.worker.clone(), text })
     };
     CallEnd::Answered(call.pieces.iter().map(result).collect())
 }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -232,7 +232,7 @@
         let times = self.times.lock().expect("no panic while held");
         let seen: Vec<&StepTimes> =
             (0..steps).filter_map(|i| times.get(&(pipeline.clone(), i))).collect();
-        deadline::need(&seen, left)
+        deadline::required_time(&seen, left)
     }
 
     /// Budget of a step: what is left, less what later steps need.
@@ -240,7 +240,7 @@
         let times = self.times.lock().expect("no panic while held");
         let behind: Vec<&StepTimes> =
             (step + 1..STEPS_MAX).filter_map(|i| times.get(&(pipeline.clone(), i))).collect();
-        let later = deadline::later(&behind);
+        let later = deadline::median_total(&behind);
         deadline::budget(now, due, later)
     }
 }
--- a/crates/entry/src/front/gate.rs
+++ b/crates/entry/src/front/gate.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use decide::admit::{Gate, Verdict, Waiter};
+use decide::admit::{AdmissionQueue, PendingRequest, Verdict};
 use model::outcome::Reason;
 use model::{Name, Time};
 use tokio::sync::oneshot;
@@ -26,7 +26,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    gate: Gate,
+    gate: AdmissionQueue,
     waiting: HashMap<Name, oneshot::Sender<Result<(), Reason>>>,
 }
 
@@ -38,7 +38,7 @@
 
 impl GateKeeper {
     /// Wraps a gate.
-    pub fn new(gate: Gate) -> Self {
+    pub fn new(gate: AdmissionQueue) -> Self {
         GateKeeper { inner: Mutex::new(Inner { gate, waiting: HashMap::new() }) }
     }
 
@@ -52,12 +52,13 @@
             need = Duration::ZERO;
         }
         let deadline = if core.settings.admission { job.deadline } else { job.until };
-        let w = Waiter { request: job.request.clone(), priority: job.priority, deadline, need };
+        let w =
+            PendingRequest { request: job.request.clone(), priority: job.priority, deadline, need };
         let (tx, rx) = oneshot::channel();
         {
             let mut inner = self.inner.lock().expect("no panic while held");
             inner.waiting.insert(job.request.clone(), tx);
-            let verdicts = inner.gate.arrive(now, w);
+            let verdicts = inner.gate.submit(now, w);
             inner.tell(verdicts);
         }
         let mut place = Place { keeper: self, core, request: &job.request, kept: true };
@@ -65,7 +66,7 @@
         place.kept = false;
         let wait = || {
             let inner = self.inner.lock().expect("no panic while held");
-            inner.gate.come_back(need.max(LOOK))
+            inner.gate.retry_after(need.max(LOOK))
         };
         verdict.map_err(|reason| Refused { reason, wait: wait() })
     }
@@ -81,14 +82,14 @@
 
     /// A request ended after running for `ran` under a deadline of `most`.
     pub fn finished(&self, now: Time, request: &Name, ran: Duration, most: Duration) {
-        self.change(|gate| gate.finished(now, request, ran, most));
+        self.change(|gate| gate.complete(now, request, ran, most));
     }
 
     fn leave(&self, now: Time, request: &Name) {
-        self.change(|gate| gate.leave(now, request));
+        self.change(|gate| gate.remove_request(now, request));
     }
 
-    fn change(&self, f: impl FnOnce(&mut Gate) -> Vec<Verdict>) {
+    fn change(&self, f: impl FnOnce(&mut AdmissionQueue) -> Vec<Verdict>) {
         let mut inner = self.inner.lock().expect("no panic while held");
         let verdicts = f(&mut inner.gate);
         inner.tell(verdicts);
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Context;
 use arc_swap::ArcSwap;
-use decide::admit::Gate;
+use decide::admit::AdmissionQueue;
 use decide::config::Change;
 use model::Name;
 use model::member::Node;
@@ -157,8 +157,8 @@
             Arc::new(Budgeted::new(Box::new(http), settings.store_rate))
         });
         let fleet = Fleet::new(settings.domain.clone(), &settings.near, settings.policy, start);
-        let gate = Gate::new(settings.width, settings.depth);
-        let gate = if settings.admission { gate } else { gate.with_fixed_width() };
+        let gate = AdmissionQueue::new(settings.width, settings.depth);
+        let gate = if settings.admission { gate } else { gate.with_fixed_limit() };
         let core = Arc::new(Core {
             clock,
             fleet,
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -198,12 +198,12 @@
     /// A coordinator told what the next orders in a queue would wait.
     pub fn heard_waits(&self, queue: QueueId, waits: Waits) {
         let now = self.now();
-        self.forecast.borrow_mut().hear(queue, waits, now);
+        self.forecast.borrow_mut().record(queue, waits, now);
     }
 
     /// A target of a service came, or tells something new of itself.
     pub fn maker_came(&self, service: &Name) {
-        self.forecast.borrow_mut().maker_came(service);
+        self.forecast.borrow_mut().worker_added(service);
     }
 
     /// Uses the forecast for a moment.
--- a/crates/forward/src/paths.rs
+++ b/crates/forward/src/paths.rs
@@ -22,10 +22,10 @@
     ) -> (Vec<Duration>, Vec<QueueId>) {
         let map = self.peers.roster(|r| r.map());
         let places = self.places(&map, route, pieces, allowed);
-        let own = map.own();
+        let own = map.local_region();
         let crossing = |region: &Option<Name>| {
             let elsewhere = region.as_ref().filter(|r| **r != own);
-            elsewhere.map_or(Duration::ZERO, |r| map.to_region(r))
+            elsewhere.map_or(Duration::ZERO, |r| map.region_round_trip(r))
         };
         let with_way = |(least, region): (&Duration, &Option<Name>)| match *least {
             Duration::ZERO => Duration::ZERO,
@@ -55,7 +55,7 @@
             is_made.then(|| self.able_regions(map, &stage.service, allowed))
         };
         let able: Vec<_> = route.stages.iter().enumerate().map(able).collect();
-        map.places(&route.order(), &able)
+        map.choose_regions(&route.order(), &able)
     }
 
     /// Regions with makers of a service that may be used.
@@ -75,6 +75,6 @@
         if !map.is_split() {
             return None;
         }
-        map.place(wanted, &self.able_regions(&map, service, allowed))
+        map.choose_region(wanted, &self.able_regions(&map, service, allowed))
     }
 }
--- a/crates/forward/src/prefill/mod.rs
+++ b/crates/forward/src/prefill/mod.rs
@@ -66,7 +66,7 @@
         let began = if node.settings().first_start { Time::ZERO } else { now };
         let scheduler = own.entry(group).or_insert_with(|| Scheduler::new(began));
         let placed = scheduler.place(ask, &order, now);
-        let ahead = placed.as_ref().map_or(0, |p| p.ahead);
+        let ahead = placed.as_ref().map_or(0, |p| p.tokens_ahead);
         PrefillAnswer { engine: placed.map(|p| p.engine), ahead }
     }
 
@@ -75,8 +75,8 @@
         let group = (end.service, end.domain);
         if let Some(scheduler) = self.own.borrow_mut().get_mut(&group) {
             match end.was_read {
-                true => scheduler.read(&end.engine, &end.attempt, now),
-                false => scheduler.given_up(&end.engine, &end.attempt),
+                true => scheduler.finish_prompt(&end.engine, &end.attempt, now),
+                false => scheduler.cancel_prompt(&end.engine, &end.attempt),
             }
         }
     }
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use decide::forecast::{self, Door};
+use decide::forecast::{self, Admission};
 use decide::retry::COME_BACK;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -200,15 +200,15 @@
     if route.stages.is_empty() || !node.settings().policy.admission {
         return Ok(());
     }
-    let least = forecast::least_times(route, &head.pieces, |name| table.service(name));
+    let least = forecast::min_stage_times(route, &head.pieces, |name| table.service(name));
     let (least, queues) = node.paths(route, &head.pieces, &found.allowed, &least);
     let now = node.now();
     let expected = node.forecast(|f| f.expected(route, &least, &queues, found.rank, now));
     let objective = Duration::from_millis(route.objective_ms);
     let patience = Duration::from_millis(head.wait_ms.unwrap_or(route.timeout_ms));
-    match forecast::at_the_door(expected, objective, patience) {
-        Door::Enter => Ok(()),
-        Door::Refuse(after) => {
+    match forecast::decide_admission(expected, objective, patience) {
+        Admission::Admit => Ok(()),
+        Admission::Refuse(after) => {
             let longest = node.forecast(|f| f.longest_wait(&least, &queues, found.rank, now));
             let (longest_service, longest, longest_age) = longest
                 .map_or(("", Duration::ZERO, Duration::ZERO), |l| (&**l.service, l.wait, l.age));
@@ -216,7 +216,7 @@
             Event::Door {
                 id: &head.id,
                 route: &route.name,
-                least_ms: expected.least.as_millis() as u64,
+                least_ms: expected.without_wait.as_millis() as u64,
                 waits_ms: expected.waits.as_millis() as u64,
                 longest_service,
                 longest_ms: longest.as_millis() as u64,
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -185,7 +185,7 @@
             return None;
         }
         let lies_at = self.progress(|p| p.lies_at.clone());
-        lies_at.or_else(|| Some(map.own()))
+        lies_at.or_else(|| Some(map.local_region()))
     }
 
     /// Whether a target is in the region where the inputs lie, if there are any. Inputs that
--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -48,13 +48,13 @@
 
 /// Makes a call of a coordinator; what came of it.
 pub(super) async fn make(runner: &Runner, node: &Rc<Node>, call: Call) -> CallEnd {
-    let Some(target) = node.fleet(|f| f.get(&call.maker).map(|b| b.target.clone())) else {
+    let Some(target) = node.fleet(|f| f.get(&call.worker).map(|b| b.target.clone())) else {
         return CallEnd::Failed;
     };
     let address = target.address;
-    let _at_maker = AtMaker::new(node, &call.maker);
+    let _at_maker = AtMaker::new(node, &call.worker);
     let post = node.dialect.stage_call(&call.pieces);
-    let request = request(node, &call.maker, address, post);
+    let request = request(node, &call.worker, address, post);
     let id = || call_id(runner, &call);
     let Some(permit) = limits::permit(node, &target, counted(&call), id).await else {
         let why = limits::AT_LIMIT;
@@ -65,7 +65,7 @@
     let targets_age_ms = node.targets_age_ms();
     let (pieces, timeout) = (call.pieces.len(), runner.patience(node, call.pieces.len()));
     let sent = rollout::sent(node, &target, &runner.pool.service, pieces, begun + timeout);
-    let crossing = Crossing::to_target(node, Kind::Call, &call.maker);
+    let crossing = Crossing::to_target(node, Kind::Call, &call.worker);
     let work = async {
         let socket = match upstream::connect(address).await {
             Ok(_) if permit.is_over(node.now()) => {
@@ -102,7 +102,7 @@
     if let (Some(sent), Observation::Answered(took)) = (&sent, observed) {
         note_answer(sent, results, took, runner.expected(node, pieces));
     }
-    node.observe(&call.maker, observed, &why);
+    node.observe(&call.worker, observed, &why);
     end
 }
 
@@ -130,7 +130,7 @@
     Event::Call {
         service: &runner.pool.service,
         number: call.number,
-        maker: &call.maker.name,
+        maker: &call.worker.name,
         pieces: call.pieces.len(),
         made: count(|r| matches!(r, PieceResult::Made(_))),
         no_room: count(|r| *r == PieceResult::NoRoom),
--- a/crates/forward/src/stages/job.rs
+++ b/crates/forward/src/stages/job.rs
@@ -45,12 +45,12 @@
     /// Time of each stage without any wait.
     pub(super) fn least_times(&self, node: &Node) -> Vec<Duration> {
         let table = node.table();
-        forecast::least_times(self.route, &self.head.pieces, |name| table.service(name))
+        forecast::min_stage_times(self.route, &self.head.pieces, |name| table.service(name))
     }
 
     /// Least time from the end of each stage to the first event, given that of the stages.
     pub(super) fn least_after(&self, least: &[Duration]) -> Vec<Duration> {
-        let tails = stages::tails(&self.route.order(), least);
+        let tails = stages::remaining_times(&self.route.order(), least);
         tails.into_iter().map(|tail| tail + KEPT_FOR_ENGINE).collect()
     }
 
--- a/crates/forward/src/stages/order.rs
+++ b/crates/forward/src/stages/order.rs
@@ -120,7 +120,7 @@
 
 /// Whether a pool is that of another region.
 fn is_elsewhere(node: &Node, pool: &PoolId) -> bool {
-    let own = node.peers.roster(|r| r.map().own());
+    let own = node.peers.roster(|r| r.map().local_region());
     pool.region.as_ref().is_some_and(|r| *r != own)
 }
 
@@ -137,7 +137,7 @@
     if !is_elsewhere(node, &pool) || coordinator_in(node, &pool).is_some() {
         return false;
     }
-    let own = Some(node.peers.roster(|r| r.map().own()));
+    let own = Some(node.peers.roster(|r| r.map().local_region()));
     if node.region_for(&order.service, &order.allowed, own.clone()) != own {
         return false;
     }
--- a/crates/forward/src/stages/plan.rs
+++ b/crates/forward/src/stages/plan.rs
@@ -75,12 +75,12 @@
     let mut postponed = job.postponed(node, &least, begun);
     postponed.iter().for_each(|(_, i)| progress.postpone(*i));
     loop {
-        while let Some(i) = progress.start() {
+        while let Some(i) = progress.start_next() {
             let passed = node.now().since(begun).as_millis() as u64;
             let spent = Spent { passed_ms: passed, after_ms: least_after[i].as_millis() as u64 };
             match order_of(&job, i, &made.kept, spent, node)? {
                 Some(order) => running.push(make_stage(node, i, order)),
-                None => made.release_all(&progress.made(i)),
+                None => made.release_all(&progress.complete(i)),
             }
         }
         let ended = next_ended(node, &mut running, postponed.front().map(|(due, _)| *due)).await;
@@ -96,10 +96,10 @@
             Ok(()) if !made.is_inside(i, job.allowed) => return Err(StageError::Outside),
             Ok(()) => {
                 made.count_fetched(i, stages);
-                made.release_all(&progress.made(i));
+                made.release_all(&progress.complete(i));
             }
             Err(StageError::InputGone) if node.settings().policy.recompute => {
-                let again = progress.input_gone(i).ok_or(StageError::InputGone)?;
+                let again = progress.input_lost(i).ok_or(StageError::InputGone)?;
                 Event::Remade { id: &job.head.id, stage: i, again: again.len() }.emit();
                 made.release(i);
                 made.release_all(&again);
@@ -110,7 +110,7 @@
             }
         }
     }
-    made.set_inputs(&progress.last(), stages);
+    made.set_inputs(&progress.final_stages(), stages);
     Ok(made)
 }
 
--- a/crates/forward/src/stages/runner.rs
+++ b/crates/forward/src/stages/runner.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decide::batch::{Action, Call, Coordinator, Event, MakerFeed, OrderId};
+use decide::batch::{Action, Call, Coordinator, Event, OrderId, WorkerFeed};
 use decide::region::Spill;
 use model::Time;
 use model::forward::{
@@ -99,7 +99,7 @@
 
     /// Orders that are open, of this node's requests and of its peers'.
     pub fn open(&self) -> usize {
-        self.runners.borrow().values().map(|r| r.machine.borrow().open()).sum()
+        self.runners.borrow().values().map(|r| r.machine.borrow().open_orders()).sum()
     }
 
     fn runner(&self, node: &Node, id: &PoolId) -> Option<Rc<Runner>> {
@@ -117,7 +117,7 @@
 pub(super) struct Runner {
     pub(super) pool: PoolId,
     pub(super) machine: RefCell<Coordinator>,
-    makers: RefCell<MakerFeed>,
+    makers: RefCell<WorkerFeed>,
     /// What is known of the makers of other regions.
     pub(super) spill: RefCell<Spill>,
     waiting: RefCell<HashMap<OrderId, oneshot::Sender<Vec<PieceResult>>>>,
@@ -178,11 +178,11 @@
         let map = node.peers.roster(|r| r.map());
         let cold = node.cold_limit(&self.pool.service);
         let mut makers = self.makers.borrow_mut();
-        let news = node.fleet(|f| makers.news(f, &self.pool, &map, cold, now));
+        let news = node.fleet(|f| makers.next_event(f, &self.pool, &map, cold, now));
         drop(makers);
         let mut machine = self.machine.borrow_mut();
-        let mut actions = news.map(|news| machine.on(now, news)).unwrap_or_default();
-        actions.extend(machine.on(now, event));
+        let mut actions = news.map(|news| machine.handle(now, news)).unwrap_or_default();
+        actions.extend(machine.handle(now, event));
         drop(machine);
         for action in actions {
             self.act(node, action);
@@ -202,15 +202,17 @@
             Action::Start(call) => {
                 tokio::task::spawn_local(run_call(self.clone(), node.clone(), call));
             }
-            Action::Overdue { number, maker, again, age, limit } => LogEvent::Overdue {
-                service: &self.pool.service,
-                number,
-                maker: &maker.name,
-                again,
-                age_ms: age.as_millis() as u64,
-                limit_ms: limit.as_millis() as u64,
+            Action::Overdue { number, worker: maker, repeated: again, age, limit } => {
+                LogEvent::Overdue {
+                    service: &self.pool.service,
+                    number,
+                    maker: &maker.name,
+                    again,
+                    age_ms: age.as_millis() as u64,
+                    limit_ms: limit.as_millis() as u64,
+                }
+                .emit()
             }
-            .emit(),
             Action::Probe(maker) => {
                 tokio::task::spawn_local(probe(self.clone(), node.clone(), maker));
             }
@@ -221,7 +223,7 @@
                     node.pools.free(node, &self.pool, made(unheard));
                 }
             }
-            Action::Moved(id) => {
+            Action::HandOver(id) => {
                 self.waiting.borrow_mut().remove(&id);
             }
             Action::Free(handles) => node.pools.free(node, &self.pool, handles),
@@ -234,7 +236,7 @@
         }
         let (runner, node) = (self.clone(), node.clone());
         tokio::task::spawn_local(async move {
-            while runner.machine.borrow().open() > 0 {
+            while runner.machine.borrow().open_orders() > 0 {
                 tokio::time::sleep(TICK).await;
                 let now = node.now();
                 let first = node.peers.roster(|r| r.coordinates(&runner.pool, now));
@@ -267,5 +269,5 @@
 async fn run_call(runner: Rc<Runner>, node: Rc<Node>, call: Call) {
     let number = call.number;
     let end = call::make(&runner, &node, call).await;
-    runner.feed(&node, Event::Ended(number, end));
+    runner.feed(&node, Event::CallEnded(number, end));
 }
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -30,14 +30,14 @@
         let passed = BatchOrder { region: Some(region.clone()), spilled: true, ..order.clone() };
         match order::at_region(node, passed).await {
             Ok(answer) => {
-                self.spill.borrow_mut().hear(region.clone(), answer.waits, node.now());
+                self.spill.borrow_mut().update_waits(region.clone(), answer.waits, node.now());
                 let from = self.pool.region.as_deref().unwrap_or_default();
                 node.metrics.spilled(from, &region);
                 let waits = self.waits(node, &order.queue());
                 (order, Some(BatchAnswer { waits, ..answer }))
             }
             Err(why) => {
-                self.spill.borrow_mut().lost(&region);
+                self.spill.borrow_mut().remove_region(&region);
                 LogEvent::NotSpilled {
                     id: &order.attempt,
                     service: &self.pool.service,
@@ -57,10 +57,10 @@
         let own_region = self.pool.region.as_ref()?;
         self.look(node);
         let now = node.now();
-        let own = self.machine.borrow_mut().own(order, now);
+        let own = self.machine.borrow_mut().local_load(order, now);
         let others = others(node, &self.pool.service, own_region, &order.allowed);
         let names: Vec<Name> = others.iter().map(|(r, _)| r.clone()).collect();
-        for region in self.spill.borrow_mut().take_due(&names, own.wait, now) {
+        for region in self.spill.borrow_mut().take_due_queries(&names, own.wait, now) {
             tokio::task::spawn_local(ask(self.clone(), node.clone(), region));
         }
         self.spill.borrow_mut().choose(&others, order, own, now)
@@ -70,7 +70,7 @@
     pub(super) fn is_abandoned(&self, node: &Node) -> bool {
         let now = node.now();
         let is_dead = self.machine.borrow_mut().waits(now).of(Rank::default()) == Waits::NOBODY;
-        is_dead && self.spill.borrow().knows_any(now)
+        is_dead && self.spill.borrow().has_fresh_waits(now)
     }
 
     /// What the next orders in a queue would wait now, here or where they would be passed on to.
@@ -81,7 +81,7 @@
             return waits;
         };
         let others = others(node, &self.pool.service, own, &queue.allowed);
-        self.spill.borrow().bound(waits, &others, queue.is_large, now)
+        self.spill.borrow().bound_waits(waits, &others, queue.is_large, now)
     }
 }
 
@@ -92,7 +92,7 @@
         return Vec::new();
     }
     let able = node.able_regions(&map, service, allowed).into_iter();
-    able.filter(|r| r != but).map(|r| (r.clone(), map.to_region(&r))).collect()
+    able.filter(|r| r != but).map(|r| (r.clone(), map.region_round_trip(&r))).collect()
 }
 
 /// Asks another region's coordinator for its waits.
@@ -102,7 +102,7 @@
         return;
     };
     match peers::ask::<_, Waits>(&node, peer.entry, WAITS, &pool, WAITS_TIMEOUT).await {
-        Ok(waits) => runner.spill.borrow_mut().hear(region, waits, node.now()),
+        Ok(waits) => runner.spill.borrow_mut().update_waits(region, waits, node.now()),
         Err(e) => log::debug!("waits of {region}: {e}"),
     }
 }
