--- a/crates/decide/src/batch/feed.rs
+++ b/crates/decide/src/batch/feed.rs
@@ -139,7 +139,8 @@
             domain: b.target.domain.clone(),
             region: self.fleet.regions().of(&b.target.domain).cloned(),
             gap: self.cold_gap(b).max(self.limit_gap(b)),
-            max_pieces: (self.has_unlimited && self.has_limit(b)).then_some(MAX_LIMITED_PIECES as usize),
+            max_pieces: (self.has_unlimited && self.has_limit(b))
+                .then_some(MAX_LIMITED_PIECES as usize),
             share: *share,
         })
     }
--- a/crates/decide/src/route/policy.rs
+++ b/crates/decide/src/route/policy.rs
@@ -241,7 +241,8 @@
         homes: usize,
     ) -> usize {
         let wait = |i: usize| table.slots()[i].wait(query.now);
-        let has_room = |i: usize| table.slots()[i].in_flight < table.slots()[i].limit.max_in_flight();
+        let has_room =
+            |i: usize| table.slots()[i].in_flight < table.slots()[i].limit.max_in_flight();
         let home = self.best_home(query, table, top, homes);
         if top.len <= homes {
             return home;
