--- a/crates/decide/src/batch/coordinator.rs
+++ b/crates/decide/src/batch/coordinator.rs
@@ -6,12 +6,12 @@
 use model::Time;
 use model::forward::{BatchOrder, PieceResult, Policy, Rank, StagePool, TargetId, Waits};
 
-use super::makers::Workers;
+use super::latency::LatencyEstimate;
 use super::orders::{Order, typical_call_time};
-use super::pace::LatencyEstimate;
 use super::quota::TrialQuota;
 use super::repeats::RepeatBudget;
 use super::types::{Action, CallEnd, Event, OrderId};
+use super::workers::Workers;
 use crate::region::LocalLoad;
 
 /// Calls that may fail under one order before it is given up.
--- a/crates/decide/src/batch/fill.rs
+++ b/crates/decide/src/batch/fill.rs
@@ -3,10 +3,10 @@
 use model::Time;
 
 use super::coordinator::{Coordinator, InFlightCall};
-use super::maker::Location;
-use super::makers::{Group, ReadyWorker};
 use super::orders::Urgency;
 use super::types::{Action, Call, OrderId};
+use super::worker::Location;
+use super::workers::{Group, ReadyWorker};
 
 /// Part of the workers that is kept idle for what comes next while calls are kept short.
 const IDLE_RESERVE: f64 = 0.5;
--- a/crates/decide/src/batch/mod.rs
+++ b/crates/decide/src/batch/mod.rs
@@ -9,13 +9,13 @@
 mod coordinator;
 mod feed;
 mod fill;
-mod maker;
-mod makers;
+mod latency;
 mod orders;
-mod pace;
 mod quota;
 mod repeats;
 mod types;
+mod worker;
+mod workers;
 
 pub use coordinator::Coordinator;
 pub use feed::WorkerFeed;
--- a/crates/decide/src/batch/orders.rs
+++ b/crates/decide/src/batch/orders.rs
@@ -5,7 +5,7 @@
 use model::forward::{BatchOrder, LARGE_RESULT, PieceResult, Rank, StagePool};
 use model::{Name, Time};
 
-use super::maker::Location;
+use super::worker::Location;
 
 /// Slack below which an urgent order may be made elsewhere after all.
 const SPILL_SLACK: Duration = Duration::from_millis(150);
--- a/crates/decide/src/batch/maker.rs
+++ b/crates/decide/src/batch/worker.rs
@@ -100,10 +100,10 @@
 
 impl Worker {
     pub(super) fn new(info: WorkerInfo) -> Self {
-        let WorkerInfo { id: _, domain, region, gap, max_pieces: most, share } = info;
+        let WorkerInfo { id: _, domain, region, gap, max_pieces, share } = info;
         Worker {
             location: Location { domain, region },
-            max_pieces: most,
+            max_pieces,
             share,
             present: true,
             calls: 0,
@@ -133,11 +133,11 @@
 
     /// Takes what discovery tells.
     pub(super) fn set(&mut self, info: WorkerInfo) {
-        let WorkerInfo { id: _, domain, region, gap, max_pieces: most, share } = info;
+        let WorkerInfo { id: _, domain, region, gap, max_pieces, share } = info;
         self.location = Location { domain, region };
         self.present = true;
         self.gap = gap;
-        self.max_pieces = most;
+        self.max_pieces = max_pieces;
         self.share = share;
     }
 
--- a/crates/decide/src/batch/makers.rs
+++ b/crates/decide/src/batch/workers.rs
@@ -10,8 +10,8 @@
 use model::forward::{Allowed, Handle, StagePool, TargetId};
 use model::{Name, Time};
 
-use super::maker::{Capacity, Location, Status, Worker};
 use super::types::{CallEnd, WorkerInfo};
+use super::worker::{Capacity, Location, Status, Worker};
 use crate::tally::Tally;
 
 /// Workers that are as good as each other but for their room: of one place, on trial or not.
--- a/crates/decide/src/prefill/mod.rs
+++ b/crates/decide/src/prefill/mod.rs
@@ -12,7 +12,7 @@
 //! first event is in time at the engine that keeps its shared parts goes there, also when it
 //! would be read sooner elsewhere, since that would be reading twice.
 
-mod pace;
+mod throughput;
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use model::forward::{PrefillAsk, TargetId};
 use model::{Name, Time};
 
-use pace::Throughput;
+use throughput::Throughput;
 
 /// Engines of a home's order that are weighed against each other. Few, so that another
 /// scheduler finds a home again; with a quarter of the engines reading, one in 250 prompts
