--- a/crates/decide/tests/allowed.rs
+++ b/crates/decide/tests/allowed.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use batch::{answers, at, calls, coordinator, made, order, placed};
+use batch::{answers, at, calls, coordinator, made, order, order_event};
 use decide::batch::{Action, Call, CallEnd, Event, OrderId, WorkerInfo};
 use decide::fleet::{Barred, ColdStarts, Fleet, Home, Observation, Regions, Terms, Wanted, shares};
 use decide::rng::Rng;
@@ -222,7 +222,7 @@
 #[test]
 fn the_judge_of_calls_bites() {
     let mut c = coordinator(&[("m1", "a")]);
-    let started = calls(&c.handle(at(0), placed(1, order("r1", 2))));
+    let started = calls(&c.handle(at(0), order_event(1, order("r1", 2))));
     let rules = [(Name::from("r1"), Some(BTreeSet::from(["north"])))].into();
     let at_region = |region| BTreeMap::from([(TargetId::from("m1"), region)]);
     assert_eq!(outside(&started, &rules, &at_region(Some("north"))).len(), 0);
@@ -311,7 +311,7 @@
                     rules.insert(attempt.as_str().into(), rule);
                     open.insert(next, attempt.as_str().into());
                     next += 1;
-                    placed(next - 1, order)
+                    order_event(next - 1, order)
                 }
                 Step::Makers(now_present) => {
                     present = now_present;
@@ -369,7 +369,7 @@
         moved_bytes: bytes,
         ..order("r1", 2)
     };
-    let started = calls(&c.handle(at(0), placed(1, order)));
+    let started = calls(&c.handle(at(0), order_event(1, order)));
     assert_eq!(started.iter().map(|c| &*c.worker.name).collect::<Vec<_>>(), ["m1"]);
 }
 
@@ -380,7 +380,7 @@
     c.handle(at(0), Event::Workers(told(&[0, 1].into(), &regions)));
     let south = || allowed(&Some(["south"].into()));
     let large = BatchOrder { allowed: south(), ..order("r1", 15) };
-    let started = calls(&c.handle(at(0), placed(1, large))).remove(0);
+    let started = calls(&c.handle(at(0), order_event(1, large))).remove(0);
     c.handle(at(200), Event::Workers(told(&[0].into(), &regions)));
     let actions = c.handle(at(210), Event::CallEnded(started.number, made(&started)));
     assert_eq!(answers(&actions).len(), 0, "answered when its maker went");
@@ -390,8 +390,8 @@
     });
     assert_eq!(freed.sum::<usize>(), 10, "{actions:?}");
     let waits_for_nobody = BatchOrder { allowed: south(), ..order("r2", 1) };
-    let refused = answers(&c.handle(at(220), placed(2, waits_for_nobody)));
+    let refused = answers(&c.handle(at(220), order_event(2, waits_for_nobody)));
     assert_eq!(refused, [(2, vec![PieceResult::Failed])]);
-    let anywhere = calls(&c.handle(at(230), placed(3, order("r3", 1))));
+    let anywhere = calls(&c.handle(at(230), order_event(3, order("r3", 1))));
     assert_eq!(&*anywhere[0].worker.name, "m0");
 }
--- a/crates/decide/tests/batch.rs
+++ b/crates/decide/tests/batch.rs
@@ -10,16 +10,16 @@
 use decide::batch::{Action, Call, CallEnd, Coordinator, Event, OrderId, WorkerInfo};
 use model::forward::{BatchOrder, PieceResult, Policy, Rank, StagePool, TargetId};
 use proptest::prelude::*;
-use support::{answers, at, calls, coordinator, made, makers, order, placed, pool, probes};
+use support::{answers, at, calls, coordinator, made, order, order_event, pool, probes, workers};
 
 #[test]
-fn what_waits_while_makers_are_busy_shares_the_next_call() {
+fn orders_queued_while_workers_are_busy_share_the_next_call() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("r1", 2))));
-    assert_eq!(first.len(), 1, "a free maker does not wait for more");
+    let first = calls(&c.handle(at(0), order_event(1, order("r1", 2))));
+    assert_eq!(first.len(), 1, "a free worker does not wait for more");
     for id in 2..=4 {
-        let more = c.handle(at(10), placed(id, order(&format!("r{id}"), 3)));
-        assert!(calls(&more).is_empty(), "one call at a time at a maker with one slot");
+        let more = c.handle(at(10), order_event(id, order(&format!("r{id}"), 3)));
+        assert!(calls(&more).is_empty(), "one call at a time at a worker with one slot");
     }
     let next = c.handle(at(120), Event::CallEnded(first[0].number, made(&first[0])));
     assert_eq!(answers(&next).len(), 1);
@@ -27,23 +27,23 @@
 }
 
 #[test]
-fn who_is_late_in_a_call_that_is_filled_as_usual_goes_last() {
+fn an_order_late_in_a_typically_filled_call_goes_last() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("busy", 1))));
+    let first = calls(&c.handle(at(0), order_event(1, order("busy", 1))));
     // One piece takes 110 ms, a call as full as usual 170 ms.
     let late = BatchOrder { slack_ms: 300, ..order("late", 1) };
     let in_time = BatchOrder { slack_ms: 330, ..order("in-time", 5) };
     for (id, order) in [(2, late), (3, in_time)] {
-        c.handle(at(1), placed(id, order));
+        c.handle(at(1), order_event(id, order));
     }
     let next = calls(&c.handle(at(150), Event::CallEnded(first[0].number, made(&first[0]))));
     assert_eq!(&*next[0].pieces[0].attempt, "in-time");
 }
 
 #[test]
-fn an_order_larger_than_a_call_is_split_and_answered_once_in_its_order() {
+fn an_order_larger_than_a_call_is_split_and_answered_once_in_piece_order() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let started = calls(&c.handle(at(0), placed(1, order("r1", 14))));
+    let started = calls(&c.handle(at(0), order_event(1, order("r1", 14))));
     let sizes: Vec<usize> = started.iter().map(|c| c.pieces.len()).collect();
     assert_eq!(sizes, [10, 4]);
     assert!(
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn the_urgent_go_first_and_the_hopeless_last() {
+fn urgent_orders_go_first_and_hopeless_ones_last() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("busy", 1))));
+    let first = calls(&c.handle(at(0), order_event(1, order("busy", 1))));
     let urgent = BatchOrder { rank: Rank::of(None, 0), ..order("urgent", 6) };
     let patient = BatchOrder { rank: Rank::of(None, 2), slack_ms: 900, ..order("patient", 6) };
     let hopeless = BatchOrder { rank: Rank::of(None, 0), slack_ms: 20, ..order("hopeless", 6) };
     for (id, order) in [(2, hopeless), (3, patient), (4, urgent)] {
-        c.handle(at(1), placed(id, order));
+        c.handle(at(1), order_event(id, order));
     }
     let next = calls(&c.handle(at(110), Event::CallEnded(first[0].number, made(&first[0]))));
     let in_order: Vec<&str> = next[0].pieces.iter().map(|p| &*p.attempt).collect();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_is_large_stays_in_its_failure_domain() {
+fn large_inputs_stay_in_their_failure_domain() {
     let large = |rank: u8, slack_ms| BatchOrder {
         near: Some("b".into()),
         moved_bytes: 9 << 20,
@@ -93,33 +93,33 @@
         ..order("large", 2)
     };
     let cases = [
-        ("waits for a maker at home", large(2, 2000), &[("m1", "a"), ("m2", "b")][..], "m2"),
-        ("goes elsewhere if home has no maker", large(2, 2000), &[("m1", "a")][..], "m1"),
+        ("waits for a worker at home", large(2, 2000), &[("m1", "a"), ("m2", "b")][..], "m2"),
+        ("goes elsewhere if home has no worker", large(2, 2000), &[("m1", "a")][..], "m1"),
     ];
-    for (what, order, present, maker) in cases {
+    for (what, order, present, worker) in cases {
         let mut c = coordinator(present);
-        let started = calls(&c.handle(at(0), placed(1, order)));
-        assert_eq!(&*started[0].worker.name, maker, "{what}");
+        let started = calls(&c.handle(at(0), order_event(1, order)));
+        assert_eq!(&*started[0].worker.name, worker, "{what}");
     }
     let mut c = coordinator(&[("m1", "a"), ("m2", "b")]);
     let busy = BatchOrder { near: Some("b".into()), ..large(2, 2000) };
-    c.handle(at(0), placed(1, busy));
-    let patient = c.handle(at(1), placed(2, large(2, 200)));
+    c.handle(at(0), order_event(1, busy));
+    let patient = c.handle(at(1), order_event(2, large(2, 200)));
     assert!(calls(&patient).is_empty(), "a patient one waits for its busy home");
-    let pressed = calls(&c.handle(at(2), placed(3, large(1, 200))));
+    let pressed = calls(&c.handle(at(2), order_event(3, large(1, 200))));
     assert_eq!(&*pressed[0].worker.name, "m1", "an urgent one that is pressed for time does not");
 }
 
 #[test]
-fn a_makers_room_is_not_overdrawn_and_comes_back_when_results_are_freed() {
+fn worker_memory_is_not_overcommitted_and_is_reclaimed_when_results_are_freed() {
     let mut c = Coordinator::new(StagePool { room_mb: 5.0, ..pool() }, Policy::default());
-    c.handle(at(0), makers(&[("m1", "a")]));
+    c.handle(at(0), workers(&[("m1", "a")]));
     let heavy = |name: &str| BatchOrder { result_bytes: 1_000_000, ..order(name, 4) };
-    let first = calls(&c.handle(at(0), placed(1, heavy("r1"))));
+    let first = calls(&c.handle(at(0), order_event(1, heavy("r1"))));
     assert_eq!(first[0].pieces.len(), 4);
     let ended = c.handle(at(150), Event::CallEnded(first[0].number, made(&first[0])));
     let kept = answers(&ended)[0].1.clone();
-    assert!(calls(&c.handle(at(160), placed(2, heavy("r2")))).is_empty(), "4 of 4.5 MB kept");
+    assert!(calls(&c.handle(at(160), order_event(2, heavy("r2")))).is_empty(), "4 of 4.5 MB kept");
     let handles = kept
         .into_iter()
         .filter_map(|r| match r {
@@ -131,13 +131,13 @@
 }
 
 #[test]
-fn where_a_large_result_has_no_room_a_small_one_is_still_made() {
+fn a_worker_without_room_for_a_large_result_still_makes_small_ones() {
     let mut c = coordinator(&[("m1", "a")]);
     let heavy = BatchOrder { result_bytes: 3_000_000, ..order("heavy", 2) };
-    let first = calls(&c.handle(at(0), placed(1, heavy))).remove(0);
+    let first = calls(&c.handle(at(0), order_event(1, heavy))).remove(0);
     let full = CallEnd::Answered(vec![PieceResult::NoRoom; 2]);
     assert!(calls(&c.handle(at(2), Event::CallEnded(first.number, full))).is_empty());
-    let light = calls(&c.handle(at(3), placed(2, order("light", 2)))).remove(0);
+    let light = calls(&c.handle(at(3), order_event(2, order("light", 2)))).remove(0);
     assert!(light.pieces.iter().all(|p| &*p.attempt == "light"));
     let ended = c.handle(at(100), Event::CallEnded(light.number, made(&light)));
     assert!(calls(&ended).is_empty(), "there was no room a moment ago");
@@ -146,39 +146,39 @@
 }
 
 #[test]
-fn an_order_that_ends_for_want_of_room_says_so() {
+fn an_order_that_fails_for_lack_of_room_reports_no_room() {
     let mut c = coordinator(&[("m1", "a")]);
     let heavy = BatchOrder { result_bytes: 30_000_000, slack_ms: 300, ..order("heavy", 2) };
-    let first = calls(&c.handle(at(0), placed(1, heavy))).remove(0);
+    let first = calls(&c.handle(at(0), order_event(1, heavy))).remove(0);
     let full = CallEnd::Answered(vec![PieceResult::NoRoom; 2]);
     c.handle(at(2), Event::CallEnded(first.number, full));
     let light = BatchOrder { slack_ms: 250, ..order("light", 10) };
-    let second = calls(&c.handle(at(3), placed(2, light.clone()))).remove(0);
-    c.handle(at(4), placed(3, light));
+    let second = calls(&c.handle(at(3), order_event(2, light.clone()))).remove(0);
+    c.handle(at(4), order_event(3, light));
     let ticks = [240, 260, 300].into_iter();
-    let told: BTreeMap<OrderId, Vec<PieceResult>> =
+    let answered: BTreeMap<OrderId, Vec<PieceResult>> =
         ticks.flat_map(|ms| answers(&c.handle(at(ms), Event::Tick))).collect();
     assert_eq!(second.pieces.len(), 10);
-    assert_eq!(told[&1], vec![PieceResult::NoRoom; 2]);
-    assert_eq!(told[&3], vec![PieceResult::Late; 10]);
+    assert_eq!(answered[&1], vec![PieceResult::NoRoom; 2]);
+    assert_eq!(answered[&3], vec![PieceResult::Late; 10]);
 }
 
 #[test]
-fn results_that_nobody_frees_run_out() {
+fn results_that_are_never_freed_expire() {
     let mut c = Coordinator::new(StagePool { room_mb: 5.0, ..pool() }, Policy::default());
-    c.handle(at(0), makers(&[("m1", "a")]));
+    c.handle(at(0), workers(&[("m1", "a")]));
     let patient = |name: &str| BatchOrder { slack_ms: 6000, ..order(name, 4) };
     let heavy = |name: &str| BatchOrder { result_bytes: 1_000_000, ..patient(name) };
-    let first = calls(&c.handle(at(0), placed(1, heavy("r1"))));
+    let first = calls(&c.handle(at(0), order_event(1, heavy("r1"))));
     c.handle(at(150), Event::CallEnded(first[0].number, made(&first[0])));
-    assert!(calls(&c.handle(at(160), placed(2, heavy("r2")))).is_empty());
+    assert!(calls(&c.handle(at(160), order_event(2, heavy("r2")))).is_empty());
     assert_eq!(calls(&c.handle(at(4200), Event::Tick)).len(), 1);
 }
 
 #[test]
-fn a_failed_call_is_made_again_elsewhere_and_given_up_after_some() {
+fn a_failed_call_is_retried_elsewhere_up_to_a_limit() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let mut call = calls(&c.handle(at(0), placed(1, order("r1", 2)))).remove(0);
+    let mut call = calls(&c.handle(at(0), order_event(1, order("r1", 2)))).remove(0);
     let mut seen = vec![call.worker.clone()];
     let mut now = 0;
     let results = loop {
@@ -191,8 +191,8 @@
         while next.is_none() {
             now += 50;
             let mut out = c.handle(at(now), Event::Tick);
-            for maker in probes(&out) {
-                out.extend(c.handle(at(now), Event::Probed(maker, true)));
+            for worker in probes(&out) {
+                out.extend(c.handle(at(now), Event::Probed(worker, true)));
             }
             next = calls(&out).pop();
         }
@@ -200,25 +200,25 @@
         seen.push(call.worker.clone());
     };
     assert_eq!(results, [PieceResult::Failed, PieceResult::Failed]);
-    assert_ne!(seen[0], seen[1], "the maker that failed is left out for a while");
+    assert_ne!(seen[0], seen[1], "the worker that failed is left out for a while");
     assert_eq!(seen.len(), 4);
 }
 
 #[test]
-fn a_maker_that_failed_gives_a_sign_of_life_before_it_gets_work() {
+fn a_failed_worker_must_answer_a_probe_before_it_gets_calls() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("r1", 2)))).remove(0);
+    let first = calls(&c.handle(at(0), order_event(1, order("r1", 2)))).remove(0);
     c.handle(at(50), Event::CallEnded(first.number, CallEnd::Failed));
     let mut failed = first.worker.clone();
     for ms in (100..900).step_by(50) {
         let out = c.handle(at(ms), Event::Tick);
-        assert!(calls(&out).is_empty(), "the other maker is at work, this one is in doubt");
-        for maker in probes(&out) {
-            assert_eq!(maker, first.worker);
-            failed = maker;
+        assert!(calls(&out).is_empty(), "the other worker is at work, this one is in doubt");
+        for worker in probes(&out) {
+            assert_eq!(worker, first.worker);
+            failed = worker;
         }
     }
-    c.handle(at(900), placed(2, BatchOrder { slack_ms: 6000, ..order("r2", 2) }));
+    c.handle(at(900), order_event(2, BatchOrder { slack_ms: 6000, ..order("r2", 2) }));
     c.handle(at(910), Event::Probed(failed.clone(), false));
     assert!(calls(&c.handle(at(920), Event::Tick)).is_empty(), "it gave none");
     let again = probes(&c.handle(at(5000), Event::Tick));
@@ -228,13 +228,13 @@
 }
 
 #[test]
-fn an_order_that_no_call_took_in_time_ends_and_its_caller_may_come_back() {
+fn an_order_not_started_in_time_is_answered_as_late() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("busy", 10))));
+    let first = calls(&c.handle(at(0), order_event(1, order("busy", 10))));
     let starved = BatchOrder { slack_ms: 300, ..order("starved", 2) };
     let came_late = BatchOrder { slack_ms: 0, ..order("came-late", 2) };
-    c.handle(at(0), placed(2, starved));
-    c.handle(at(0), placed(3, came_late));
+    c.handle(at(0), order_event(2, starved));
+    c.handle(at(0), order_event(3, came_late));
     assert!(answers(&c.handle(at(299), Event::Tick)).is_empty());
     let ended = answers(&c.handle(at(300), Event::Tick));
     assert_eq!(ended, [(2, vec![PieceResult::Late; 2])]);
@@ -243,9 +243,10 @@
 }
 
 #[test]
-fn an_order_whose_call_failed_is_made_again_although_its_time_is_over() {
+fn an_order_whose_call_failed_is_retried_past_its_slack() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, BatchOrder { slack_ms: 300, ..order("r1", 2) })));
+    let first =
+        calls(&c.handle(at(0), order_event(1, BatchOrder { slack_ms: 300, ..order("r1", 2) })));
     let again = c.handle(at(900), Event::CallEnded(first[0].number, CallEnd::Failed));
     assert!(answers(&again).is_empty());
     let again = calls(&again);
@@ -254,19 +255,20 @@
 }
 
 #[test]
-fn where_shedding_is_off_an_order_waits_for_its_caller_to_leave() {
+fn without_shedding_an_order_waits_until_its_deadline() {
     let mut c = Coordinator::new(pool(), Policy { shedding: false, ..Policy::default() });
-    c.handle(at(0), makers(&[("m1", "a")]));
-    c.handle(at(0), placed(1, order("busy", 10)));
-    c.handle(at(0), placed(2, BatchOrder { slack_ms: 300, ..order("starved", 2) }));
+    c.handle(at(0), workers(&[("m1", "a")]));
+    c.handle(at(0), order_event(1, order("busy", 10)));
+    c.handle(at(0), order_event(2, BatchOrder { slack_ms: 300, ..order("starved", 2) }));
     assert!(answers(&c.handle(at(2000), Event::Tick)).is_empty());
     assert_eq!(answers(&c.handle(at(8000), Event::Tick)).len(), 2, "its time is over");
 }
 
 #[test]
-fn an_order_that_a_call_has_taken_part_of_is_made_to_its_end() {
+fn a_partly_started_order_is_completed_past_its_slack() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, BatchOrder { slack_ms: 300, ..order("r1", 12) })));
+    let first =
+        calls(&c.handle(at(0), order_event(1, BatchOrder { slack_ms: 300, ..order("r1", 12) })));
     assert!(answers(&c.handle(at(350), Event::Tick)).is_empty());
     let next = calls(&c.handle(at(360), Event::CallEnded(first[0].number, made(&first[0]))));
     let ended = answers(&c.handle(at(480), Event::CallEnded(next[0].number, made(&next[0]))));
@@ -274,10 +276,10 @@
 }
 
 #[test]
-fn a_late_order_is_answered_at_once_and_its_results_are_freed() {
+fn an_expired_order_is_answered_at_once_and_its_results_are_freed() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("busy", 1))));
-    c.handle(at(1), placed(2, BatchOrder { left_ms: 40, ..order("late", 2) }));
+    let first = calls(&c.handle(at(0), order_event(1, order("busy", 1))));
+    c.handle(at(1), order_event(2, BatchOrder { left_ms: 40, ..order("late", 2) }));
     let out = c.handle(at(60), Event::Tick);
     assert_eq!(answers(&out), [(2, vec![PieceResult::Late, PieceResult::Late])]);
     c.handle(at(61), Event::Cancel(1));
@@ -286,10 +288,10 @@
 }
 
 #[test]
-fn a_stop_hands_over_what_no_call_has_taken() {
+fn hand_over_moves_only_unstarted_unpinned_orders() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("begun", 1))));
-    c.handle(at(1), placed(2, order("waiting", 1)));
+    let first = calls(&c.handle(at(0), order_event(1, order("begun", 1))));
+    c.handle(at(1), order_event(2, order("waiting", 1)));
     assert_eq!(c.handle(at(2), Event::HandOver), [Action::HandOver(2)]);
     let kept = Event::Order { id: 3, order: order("kept", 1), pinned: true };
     c.handle(at(3), kept);
@@ -299,11 +301,11 @@
 }
 
 #[test]
-fn waits_grow_with_what_is_ahead_of_a_rank() {
+fn waits_grow_with_pieces_queued_at_the_same_or_a_higher_rank() {
     let mut c = coordinator(&[("m1", "a")]);
-    c.handle(at(0), placed(1, order("busy", 1)));
+    c.handle(at(0), order_event(1, order("busy", 1)));
     let empty = c.waits(at(0));
-    c.handle(at(1), placed(2, BatchOrder { rank: Rank::of(None, 1), ..order("r", 8) }));
+    c.handle(at(1), order_event(2, BatchOrder { rank: Rank::of(None, 1), ..order("r", 8) }));
     let full = c.waits(at(1));
     assert_eq!(
         full.of(Rank::of(None, 0)),
@@ -315,7 +317,7 @@
         "{full:?} after {empty:?}"
     );
     let mut none = Coordinator::new(pool(), Policy::default());
-    none.handle(at(0), placed(1, order("r", 1)));
+    none.handle(at(0), order_event(1, order("r", 1)));
     assert_eq!(none.waits(at(0)).of(Rank::of(None, 0)), u32::MAX, "nobody makes anything");
 }
 
@@ -324,22 +326,22 @@
 enum Step {
     Order { pieces: u32, rank: u8, near: u8 },
     End { which: usize, how: u8 },
-    Twice { which: usize },
+    Duplicate { which: usize },
     Probed { ok: bool },
     Cancel { which: u64 },
-    Makers { mask: u8 },
-    Pass { ms: u64 },
+    Workers { mask: u8 },
+    Advance { ms: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0u32..25, 0u8..3, 0u8..3).prop_map(|(pieces, rank, near)| Step::Order { pieces, rank, near }),
         6 => (0usize..8, 0u8..10).prop_map(|(which, how)| Step::End { which, how }),
-        1 => (0usize..8).prop_map(|which| Step::Twice { which }),
+        1 => (0usize..8).prop_map(|which| Step::Duplicate { which }),
         1 => any::<bool>().prop_map(|ok| Step::Probed { ok }),
         1 => (0u64..40).prop_map(|which| Step::Cancel { which }),
-        1 => (0u8..16).prop_map(|mask| Step::Makers { mask }),
-        3 => (1u64..400).prop_map(|ms| Step::Pass { ms }),
+        1 => (0u8..16).prop_map(|mask| Step::Workers { mask }),
+        3 => (1u64..400).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
@@ -349,7 +351,7 @@
     orders: BTreeMap<OrderId, u32>,
     answered: BTreeSet<OrderId>,
     cancelled: BTreeSet<OrderId>,
-    flying: Vec<Call>,
+    in_flight: Vec<Call>,
     probed: Vec<TargetId>,
     ended: Vec<Call>,
     /// Results that were handed out or freed, by their handles.
@@ -357,14 +359,14 @@
 }
 
 impl World {
-    fn take(&mut self, actions: Vec<Action>) -> Result<(), TestCaseError> {
+    fn apply(&mut self, actions: Vec<Action>) -> Result<(), TestCaseError> {
         for action in actions {
             match action {
                 Action::Start(call) => {
                     prop_assert!(call.pieces.len() <= pool().batch);
-                    let same = self.flying.iter().filter(|f| f.worker == call.worker).count();
+                    let same = self.in_flight.iter().filter(|f| f.worker == call.worker).count();
                     prop_assert!(same < 1, "two calls at once at {}", call.worker);
-                    self.flying.push(call);
+                    self.in_flight.push(call);
                 }
                 Action::Answer(id, results) => {
                     prop_assert!(self.answered.insert(id), "order {id} answered twice");
@@ -377,7 +379,7 @@
                         }
                     }
                 }
-                Action::Probe(maker) => self.probed.push(maker),
+                Action::Probe(worker) => self.probed.push(worker),
                 Action::Free(handles) => {
                     for handle in handles {
                         prop_assert!(
@@ -393,10 +395,10 @@
     }
 
     fn end(&mut self, which: usize, how: u8) -> Option<Event> {
-        if self.flying.is_empty() {
+        if self.in_flight.is_empty() {
             return None;
         }
-        let call = self.flying.remove(which % self.flying.len());
+        let call = self.in_flight.remove(which % self.in_flight.len());
         let end = match how {
             0 => CallEnd::Failed,
             1 => CallEnd::Full,
@@ -412,7 +414,7 @@
 
 proptest! {
     /// Whatever calls do, each order is answered once, whole and with its own pieces,
-    /// and no maker gets more calls at once than it has slots.
+    /// and no worker gets more calls at once than it has slots.
     #[test]
     fn each_order_is_answered_once_with_its_own_pieces(steps in prop::collection::vec(step(), 1..120)) {
         let all = [("m1", "a"), ("m2", "a"), ("m3", "b"), ("m4", "c")];
@@ -426,15 +428,15 @@
                     world.orders.insert(id, pieces);
                     let near = Some(domains[usize::from(near)].into());
                     let order = order(&format!("r{id}"), pieces);
-                    Some(placed(id, BatchOrder { rank: Rank::of(None, rank), near, moved_bytes: 2 << 20, ..order }))
+                    Some(order_event(id, BatchOrder { rank: Rank::of(None, rank), near, moved_bytes: 2 << 20, ..order }))
                 }
                 Step::End { which, how } => world.end(which, how),
-                Step::Twice { which } if !world.ended.is_empty() => {
+                Step::Duplicate { which } if !world.ended.is_empty() => {
                     let call = &world.ended[which % world.ended.len()];
                     Some(Event::CallEnded(call.number, made(call)))
                 }
-                Step::Twice { .. } => None,
-                Step::Probed { ok } => world.probed.pop().map(|maker| Event::Probed(maker, ok)),
+                Step::Duplicate { .. } => None,
+                Step::Probed { ok } => world.probed.pop().map(|worker| Event::Probed(worker, ok)),
                 Step::Cancel { which } => {
                     let open = world.orders.contains_key(&which) && !world.answered.contains(&which);
                     open.then(|| {
@@ -442,30 +444,30 @@
                         Event::Cancel(which)
                     })
                 }
-                Step::Makers { mask } => {
+                Step::Workers { mask } => {
                     let present: Vec<_> =
                         all.iter().enumerate().filter(|(i, _)| mask & (1 << i) != 0).map(|(_, m)| *m).collect();
-                    Some(makers(&present))
+                    Some(workers(&present))
                 }
-                Step::Pass { ms } => {
+                Step::Advance { ms } => {
                     world.now += ms;
                     Some(Event::Tick)
                 }
             };
             if let Some(event) = event {
                 let actions = c.handle(at(world.now), event);
-                world.take(actions)?;
+                world.apply(actions)?;
             }
         }
-        // In the end every maker is back and every call ends well.
-        let actions = c.handle(at(world.now), makers(&all));
-        world.take(actions)?;
+        // In the end every worker is back and every call ends well.
+        let actions = c.handle(at(world.now), workers(&all));
+        world.apply(actions)?;
         for _ in 0..2000 {
             world.now += 20;
-            let probed = world.probed.pop().map(|maker| Event::Probed(maker, true));
+            let probed = world.probed.pop().map(|worker| Event::Probed(worker, true));
             let event = probed.or_else(|| world.end(0, 9)).unwrap_or(Event::Tick);
             let actions = c.handle(at(world.now), event);
-            world.take(actions)?;
+            world.apply(actions)?;
         }
         for id in world.orders.keys() {
             prop_assert!(world.answered.contains(id) || world.cancelled.contains(id), "order {id}");
@@ -475,17 +477,17 @@
 }
 
 #[test]
-fn a_piece_goes_on_with_the_time_that_its_wait_has_left() {
+fn a_piece_carries_the_time_left_after_its_wait() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("busy", 1))));
+    let first = calls(&c.handle(at(0), order_event(1, order("busy", 1))));
     assert_eq!(first[0].pieces[0].left_ms, Some(8000));
-    c.handle(at(0), placed(2, order("waits", 1)));
+    c.handle(at(0), order_event(2, order("waits", 1)));
     let next = calls(&c.handle(at(250), Event::CallEnded(first[0].number, made(&first[0]))));
     assert_eq!(next[0].pieces[0].left_ms, Some(7750));
 }
 
 #[test]
-fn a_cold_maker_gets_one_call_at_a_time_and_none_too_soon() {
+fn a_cold_worker_gets_calls_no_closer_than_its_gap() {
     let cold = |gap: Option<Duration>| {
         Event::Workers(vec![WorkerInfo {
             id: "m1".into(),
@@ -499,36 +501,36 @@
     let mut c = Coordinator::new(pool(), Policy::default());
     let gap = Duration::from_millis(800);
     c.handle(at(1), cold(Some(gap)));
-    let first = calls(&c.handle(at(1), placed(1, order("r1", 10))));
+    let first = calls(&c.handle(at(1), order_event(1, order("r1", 10))));
     assert_eq!(first.len(), 1, "the first call goes out at once");
-    c.handle(at(1), placed(2, order("r2", 10)));
+    c.handle(at(1), order_event(2, order("r2", 10)));
     let after = c.handle(at(201), Event::CallEnded(first[0].number, made(&first[0])));
-    assert_eq!(calls(&after), [], "the next one waits although the maker is free");
+    assert_eq!(calls(&after), [], "the next one waits although the worker is free");
     assert_eq!(calls(&c.handle(at(800), Event::Tick)), []);
     assert_eq!(calls(&c.handle(at(801), Event::Tick)).len(), 1);
     let mut c = Coordinator::new(pool(), Policy::default());
     c.handle(at(1), cold(Some(Duration::MAX)));
-    assert_eq!(calls(&c.handle(at(1), placed(1, order("r1", 10)))), [], "it is left alone");
+    assert_eq!(calls(&c.handle(at(1), order_event(1, order("r1", 10)))), [], "it is left alone");
     assert_eq!(calls(&c.handle(at(900), cold(None))).len(), 1, "it is warm");
 }
 
 #[test]
-fn an_order_under_which_two_calls_failed_rides_alone() {
+fn an_order_with_two_failed_calls_shares_no_call() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")]);
     let mut started = Vec::new();
     for (id, name) in [(1, "bad"), (2, "good"), (3, "fine")] {
         let order = BatchOrder { slack_ms: 20_000, left_ms: 30_000, ..order(name, 2) };
-        c.handle(at(0), makers(&[]));
-        c.handle(at(0), placed(id, order));
+        c.handle(at(0), workers(&[]));
+        c.handle(at(0), order_event(id, order));
     }
-    started.extend(calls(&c.handle(at(1), makers(&[("m1", "a")]))));
+    started.extend(calls(&c.handle(at(1), workers(&[("m1", "a")]))));
     assert_eq!(started[0].pieces.len(), 6, "they share a call");
     let again = calls(&c.handle(at(50), Event::CallEnded(started[0].number, CallEnd::Failed)));
-    assert!(again.is_empty(), "its only maker failed");
-    let again = calls(&c.handle(at(51), makers(&[("m2", "a")])));
+    assert!(again.is_empty(), "its only worker failed");
+    let again = calls(&c.handle(at(51), workers(&[("m2", "a")])));
     assert_eq!(again[0].pieces.len(), 6, "one failure is chance");
     c.handle(at(100), Event::CallEnded(again[0].number, CallEnd::Failed));
-    let alone = calls(&c.handle(at(101), makers(&[("m3", "a"), ("m4", "a")])));
+    let alone = calls(&c.handle(at(101), workers(&[("m3", "a"), ("m4", "a")])));
     for call in &alone {
         let attempts: BTreeSet<&str> = call.pieces.iter().map(|p| &*p.attempt).collect();
         assert_eq!((attempts.len(), call.pieces.len()), (1, 2), "{call:?}");
--- a/crates/decide/tests/batch_calls.rs
+++ b/crates/decide/tests/batch_calls.rs
@@ -6,31 +6,31 @@
 
 use decide::batch::{Call, CallEnd, Event};
 use model::forward::BatchOrder;
-use support::{answers, at, calls, coordinator, made, order, placed, pool};
+use support::{answers, at, calls, coordinator, made, order, order_event, pool};
 
-/// Twenty makers at which orders of nine pieces come each so many milliseconds and calls take as
+/// Twenty workers at which orders of nine pieces come each so many milliseconds and calls take as
 /// long as their pieces say; the mean time of an order in the second half, and pieces a call.
-fn played(every_ms: u64) -> (f64, f64) {
+fn simulate(every_ms: u64) -> (f64, f64) {
     let names: Vec<String> = (0..20).map(|i| format!("m{i}")).collect();
     let all: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "a")).collect();
     let mut c = coordinator(&all);
-    let (mut flying, mut took, mut pieces): (Vec<(u64, Call)>, Vec<u64>, Vec<usize>) =
+    let (mut in_flight, mut latencies, mut pieces): (Vec<(u64, Call)>, Vec<u64>, Vec<usize>) =
         (Vec::new(), Vec::new(), Vec::new());
     for ms in 1..6000 {
-        let (over, open): (Vec<_>, Vec<_>) = flying.into_iter().partition(|(at, _)| *at <= ms);
-        flying = open;
-        let ended = over.into_iter().map(|(_, call)| Event::CallEnded(call.number, made(&call)));
+        let (ended, open): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(|(at, _)| *at <= ms);
+        in_flight = open;
+        let ended = ended.into_iter().map(|(_, call)| Event::CallEnded(call.number, made(&call)));
         let mut events: Vec<Event> = ended.collect();
         if ms % every_ms == 0 {
             let order = BatchOrder { slack_ms: 20_000, left_ms: 30_000, ..order("r", 9) };
-            events.push(placed(ms, order));
+            events.push(order_event(ms, order));
         }
         for event in events {
             let actions = c.handle(at(ms), event);
-            took.extend(answers(&actions).iter().filter(|_| ms > 3000).map(|(id, _)| ms - id));
+            latencies.extend(answers(&actions).iter().filter(|_| ms > 3000).map(|(id, _)| ms - id));
             for call in calls(&actions) {
                 pieces.push(call.pieces.len());
-                flying.push((
+                in_flight.push((
                     ms + pool().call_time(call.pieces.len() as u32).as_millis() as u64,
                     call,
                 ));
@@ -39,38 +39,38 @@
     }
     let mean = |all: Vec<f64>| all.iter().sum::<f64>() / all.len() as f64;
     (
-        mean(took.into_iter().map(|t| t as f64).collect()),
+        mean(latencies.into_iter().map(|t| t as f64).collect()),
         mean(pieces.into_iter().map(|n| n as f64).collect()),
     )
 }
 
 #[test]
-fn calls_are_short_while_makers_idle_and_full_while_they_work() {
-    let (idle_ms, idle_pieces) = played(100);
+fn calls_are_short_while_workers_are_idle_and_full_under_load() {
+    let (idle_ms, idle_pieces) = simulate(100);
     assert!(idle_ms <= 135.0 && idle_pieces <= 4.0, "{idle_ms} ms, {idle_pieces} pieces a call");
-    // 0.95 of what twenty makers bear in full calls.
-    let (busy_ms, busy_pieces) = played(10);
+    // 0.95 of what twenty workers bear in full calls.
+    let (busy_ms, busy_pieces) = simulate(10);
     assert!(busy_ms <= 300.0 && busy_pieces >= 8.5, "{busy_ms} ms, {busy_pieces} pieces a call");
 }
 
 #[test]
-fn calls_of_an_order_that_fail_together_count_once() {
+fn concurrent_call_failures_of_an_order_count_once() {
     let names: Vec<String> = (0..60).map(|i| format!("m{i}")).collect();
     let all: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "a")).collect();
     let mut c = coordinator(&all);
     let order = BatchOrder { slack_ms: 20_000, left_ms: 30_000, ..order("r", 9) };
-    let mut flying = calls(&c.handle(at(0), placed(1, order)));
-    assert_eq!(flying.len(), 3, "{flying:?}");
+    let mut in_flight = calls(&c.handle(at(0), order_event(1, order)));
+    assert_eq!(in_flight.len(), 3, "{in_flight:?}");
     for round in 1..=3 {
-        let ended = std::mem::take(&mut flying);
+        let ended = std::mem::take(&mut in_flight);
         for call in ended {
             let actions = c.handle(at(round * 100), Event::CallEnded(call.number, CallEnd::Failed));
             assert_eq!(answers(&actions), [], "in round {round}");
-            flying.extend(calls(&actions));
+            in_flight.extend(calls(&actions));
         }
-        flying.extend(calls(&c.handle(at(round * 100), Event::Tick)));
+        in_flight.extend(calls(&c.handle(at(round * 100), Event::Tick)));
     }
-    let ended = flying.into_iter().flat_map(|call| {
+    let ended = in_flight.into_iter().flat_map(|call| {
         answers(&c.handle(at(400), Event::CallEnded(call.number, CallEnd::Failed)))
     });
     assert_eq!(ended.count(), 1, "it is given up after the fourth");
--- a/crates/decide/tests/batch_overdue.rs
+++ b/crates/decide/tests/batch_overdue.rs
@@ -6,27 +6,27 @@
 
 use decide::batch::{Action, CallEnd, Coordinator, Event};
 use model::forward::{BatchOrder, Policy, Rank, StagePool};
-use support::{answers, at, calls, coordinator, made, makers, order, placed, pool, probes};
+use support::{answers, at, calls, coordinator, made, order, order_event, pool, probes, workers};
 
 /// Pieces that the actions ask for once more.
-fn again(actions: &[Action]) -> usize {
-    let again = |a: &Action| match a {
-        Action::Overdue { repeated: again, .. } => *again,
+fn repeated_pieces(actions: &[Action]) -> usize {
+    let repeated = |a: &Action| match a {
+        Action::Overdue { repeated, .. } => *repeated,
         _ => 0,
     };
-    actions.iter().map(again).sum()
+    actions.iter().map(repeated).sum()
 }
 
 #[test]
-fn what_an_overdue_call_was_to_make_is_made_elsewhere_and_the_second_result_freed() {
+fn pieces_of_an_overdue_call_are_repeated_elsewhere_and_the_second_result_freed() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "b")]);
-    let first = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
-    assert_eq!(again(&c.handle(at(250), Event::Tick)), 0, "200 ms were expected");
+    let first = calls(&c.handle(at(0), order_event(1, order("r1", 10)))).remove(0);
+    assert_eq!(repeated_pieces(&c.handle(at(250), Event::Tick)), 0, "200 ms were expected");
     let overdue = c.handle(at(450), Event::Tick);
-    assert_eq!(again(&overdue), 10);
+    assert_eq!(repeated_pieces(&overdue), 10);
     let second = calls(&overdue).remove(0);
     assert_ne!(first.worker, second.worker);
-    assert_eq!(again(&c.handle(at(460), Event::Tick)), 0, "once");
+    assert_eq!(repeated_pieces(&c.handle(at(460), Event::Tick)), 0, "once");
     let answered = c.handle(at(650), Event::CallEnded(second.number, made(&second)));
     assert_eq!(answers(&answered).len(), 1);
     let late = c.handle(at(1900), Event::CallEnded(first.number, made(&first)));
@@ -38,10 +38,14 @@
 }
 
 #[test]
-fn an_overdue_call_that_ends_first_after_all_takes_back_what_was_not_asked_for_yet() {
+fn an_overdue_call_that_ends_cancels_repeats_not_yet_sent() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
-    assert_eq!(again(&c.handle(at(450), Event::Tick)), 10, "they wait: no other maker is there");
+    let first = calls(&c.handle(at(0), order_event(1, order("r1", 10)))).remove(0);
+    assert_eq!(
+        repeated_pieces(&c.handle(at(450), Event::Tick)),
+        10,
+        "they wait: no other worker is there"
+    );
     let ended = c.handle(at(600), Event::CallEnded(first.number, made(&first)));
     assert_eq!(answers(&ended).len(), 1);
     assert_eq!(calls(&ended), []);
@@ -49,26 +53,26 @@
 }
 
 #[test]
-fn an_order_whose_call_is_overdue_is_not_ended_for_waiting() {
+fn an_order_with_an_overdue_call_is_not_shed_as_late() {
     let mut c = coordinator(&[("m1", "a")]);
     let soon = BatchOrder { slack_ms: 400, ..order("r1", 10) };
-    let first = calls(&c.handle(at(0), placed(1, soon))).remove(0);
+    let first = calls(&c.handle(at(0), order_event(1, soon))).remove(0);
     let overdue = c.handle(at(450), Event::Tick);
-    assert_eq!((again(&overdue), answers(&overdue).len()), (10, 0));
+    assert_eq!((repeated_pieces(&overdue), answers(&overdue).len()), (10, 0));
     let ended = c.handle(at(500), Event::CallEnded(first.number, made(&first)));
     assert_eq!(answers(&ended).len(), 1, "late, but made");
 }
 
 #[test]
-fn a_maker_that_is_slow_is_left_out_for_longer_each_time() {
+fn a_slow_worker_is_ejected_for_longer_each_time() {
     let mut c = coordinator(&[("m1", "a")]);
-    let mut call = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
-    let (mut now, mut rests) = (0, Vec::new());
+    let mut call = calls(&c.handle(at(0), order_event(1, order("r1", 10)))).remove(0);
+    let (mut now, mut ejections) = (0, Vec::new());
     for n in 2..=4 {
         now += 4_000;
         c.handle(at(now), Event::Tick);
         let patient = BatchOrder { slack_ms: 60_000, left_ms: 60_000, ..order("r", 10) };
-        c.handle(at(now), placed(n, patient));
+        c.handle(at(now), order_event(n, patient));
         c.handle(at(now), Event::CallEnded(call.number, made(&call)));
         let ended = now;
         let due = (0..5_000).find(|_| {
@@ -76,17 +80,17 @@
             !probes(&c.handle(at(now), Event::Tick)).is_empty()
         });
         assert!(due.is_some(), "it is asked for a sign of life");
-        rests.push(now - ended);
+        ejections.push(now - ended);
         call = calls(&c.handle(at(now), Event::Probed("m1".into(), true))).remove(0);
     }
-    assert_eq!(rests, [300, 600, 1200]);
+    assert_eq!(ejections, [300, 600, 1200]);
 }
 
 #[test]
-fn a_wait_for_makers_that_were_all_late_is_until_they_are_back() {
+fn the_wait_with_all_workers_ejected_lasts_until_the_first_retry() {
     let wait = |c: &mut Coordinator, ms| c.waits(at(ms)).of(Rank::default());
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
-    let late = calls(&c.handle(at(0), placed(1, order("r1", 20))));
+    let late = calls(&c.handle(at(0), order_event(1, order("r1", 20))));
     c.handle(at(450), Event::Tick);
     for call in &late {
         c.handle(at(900), Event::CallEnded(call.number, made(call)));
@@ -94,7 +98,7 @@
     // 300 ms without a call, and no word that nobody works.
     assert_eq!([900, 1000, 1200].map(|ms| wait(&mut c, ms)), [300, 200, 0]);
     let mut c = coordinator(&[("m1", "a")]);
-    let failed = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
+    let failed = calls(&c.handle(at(0), order_event(1, order("r1", 10)))).remove(0);
     c.handle(at(10), Event::CallEnded(failed.number, CallEnd::Failed));
     assert_eq!(wait(&mut c, 20), u32::MAX, "one that failed may be gone");
 }
@@ -106,29 +110,29 @@
     let mut c = coordinator(&named);
     for n in 0..60 {
         let patient = BatchOrder { slack_ms: 60_000, left_ms: 60_000, ..order("r", 10) };
-        c.handle(at(0), placed(n, patient));
+        c.handle(at(0), order_event(n, patient));
     }
     let mut repeated = 0;
     for ms in (40..4000).step_by(40) {
-        repeated += again(&c.handle(at(ms), Event::Tick));
+        repeated += repeated_pieces(&c.handle(at(ms), Event::Tick));
     }
-    assert_eq!(repeated, 50, "half of what ten makers work on at once");
+    assert_eq!(repeated, 50, "half of what ten workers work on at once");
 }
 
 #[test]
-fn a_maker_that_was_late_by_little_gets_the_next_call() {
+fn a_slightly_late_worker_gets_the_next_call() {
     let mut c = coordinator(&[("m1", "a")]);
-    let first = calls(&c.handle(at(0), placed(1, order("r1", 10)))).remove(0);
+    let first = calls(&c.handle(at(0), order_event(1, order("r1", 10)))).remove(0);
     c.handle(at(450), Event::Tick);
-    c.handle(at(460), placed(2, order("r2", 10)));
+    c.handle(at(460), order_event(2, order("r2", 10)));
     let ended = c.handle(at(480), Event::CallEnded(first.number, made(&first)));
     assert_eq!(calls(&ended).len(), 1);
 }
 
 #[test]
-fn of_two_results_for_a_piece_of_an_open_order_one_is_freed() {
+fn a_duplicate_result_for_an_open_order_is_freed() {
     let mut c = coordinator(&[("m1", "a"), ("m2", "b"), ("m3", "c")]);
-    let first = calls(&c.handle(at(0), placed(1, order("r1", 12))));
+    let first = calls(&c.handle(at(0), order_event(1, order("r1", 12))));
     assert_eq!(first.len(), 2, "twelve pieces take two calls");
     let large = &first[0];
     let again = calls(&c.handle(at(450), Event::Tick)).remove(0);
@@ -144,22 +148,22 @@
 }
 
 #[test]
-fn a_call_that_is_slower_by_a_third_after_many_of_the_same_time_is_not_overdue() {
+fn a_call_slower_by_a_third_after_many_equal_ones_is_not_overdue() {
     let slow = StagePool { call_ms: 900.0, ..pool() };
     let mut c = Coordinator::new(slow, Policy::default());
-    c.handle(at(0), makers(&[("m1", "a")]));
+    c.handle(at(0), workers(&[("m1", "a")]));
     let patient = || BatchOrder { slack_ms: 60_000, left_ms: 60_000, ..order("r", 10) };
     let mut now = 0;
     for n in 0..40 {
-        let call = calls(&c.handle(at(now), placed(n, patient()))).remove(0);
+        let call = calls(&c.handle(at(now), order_event(n, patient()))).remove(0);
         now += 1000;
         c.handle(at(now), Event::CallEnded(call.number, made(&call)));
     }
-    c.handle(at(now), placed(100, patient()));
+    c.handle(at(now), order_event(100, patient()));
     assert_eq!(
-        again(&c.handle(at(now + 1350), Event::Tick)),
+        repeated_pieces(&c.handle(at(now + 1350), Event::Tick)),
         0,
         "it may take 1.6 of the usual time"
     );
-    assert_eq!(again(&c.handle(at(now + 1650), Event::Tick)), 10);
+    assert_eq!(repeated_pieces(&c.handle(at(now + 1650), Event::Tick)), 10);
 }
--- a/crates/decide/tests/batch_pool.rs
+++ b/crates/decide/tests/batch_pool.rs
@@ -1,4 +1,4 @@
-//! What a coordinator is told of its makers, and what its work grows with.
+//! What a coordinator is told of its workers, and what its work grows with.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -16,7 +16,7 @@
 use model::Time;
 use model::forward::{Evacuations, NamedLimit, Policy, PoolId, Rollouts, Target, TargetId};
 use proptest::prelude::*;
-use support::{at, calls, made, order, placed, pool};
+use support::{at, calls, made, order, order_event, pool};
 use targets::target;
 
 const COLD: ColdLimit =
@@ -26,20 +26,20 @@
     PoolId { service: "engine".into(), region: None }
 }
 
-/// Makers looked at for each order of two pieces, in a pool of this many.
-fn visited(makers: usize) -> f64 {
+/// Workers looked at for each order of two pieces, in a pool of this many.
+fn visited(workers: usize) -> f64 {
     const ORDERS: u64 = 500;
     let mut fleet = Fleet::default();
-    for i in 0..makers {
+    for i in 0..workers {
         fleet.upsert(target(&format!("m{i}"), ["a", "b", "c"][i % 3]), at(0));
     }
     let mut feed = WorkerFeed::default();
     let mut c = Coordinator::new(pool(), Policy::default());
-    let mut tell = |c: &mut Coordinator, fleet: &Fleet, now: Time| {
+    let mut announce = |c: &mut Coordinator, fleet: &Fleet, now: Time| {
         let map = Map::new("a".into(), Regions::default());
-        feed.next_event(fleet, &engines(), &map, None, now).map(|news| c.handle(now, news))
+        feed.next_event(fleet, &engines(), &map, None, now).map(|event| c.handle(now, event))
     };
-    tell(&mut c, &fleet, at(0));
+    announce(&mut c, &fleet, at(0));
     let before = c.visited();
     for i in 0..ORDERS {
         let now = at(10 + i * 4);
@@ -48,9 +48,9 @@
             fleet.upsert(target(&format!("n{i}"), "a"), now);
             fleet.vanish(&format!("m{}", i / 10).as_str().into(), None, at(0));
         }
-        tell(&mut c, &fleet, now);
-        for call in calls(&c.handle(now, placed(i, order("r", 2)))) {
-            tell(&mut c, &fleet, now);
+        announce(&mut c, &fleet, now);
+        for call in calls(&c.handle(now, order_event(i, order("r", 2)))) {
+            announce(&mut c, &fleet, now);
             c.handle(now, Event::CallEnded(call.number, made(&call)));
         }
     }
@@ -58,15 +58,15 @@
 }
 
 #[test]
-fn work_for_an_order_does_not_grow_with_the_pool() {
+fn cost_per_order_does_not_grow_with_the_pool() {
     let (small, large) = (visited(300), visited(3000));
-    assert!(large <= small * 1.2, "{small} makers at 300, {large} at 3,000");
+    assert!(large <= small * 1.2, "{small} workers at 300, {large} at 3,000");
     assert!(large < 20.0, "{large}");
 }
 
 /// Nodes that follow evacuations use nothing before the first list, which is empty as a rule.
 #[test]
-fn a_first_list_without_evacuations_brings_the_makers() {
+fn an_empty_first_evacuation_list_announces_the_workers() {
     let map = Map::new("a".into(), Regions::default());
     let mut fleet = Fleet::default();
     fleet.follow_evacuations();
@@ -77,8 +77,8 @@
         Some(Event::Workers(Vec::new()))
     );
     fleet.evacuate(Evacuations { at: 1, domains: Vec::new() }, at(10));
-    let told = all_of(feed.next_event(&fleet, &engines(), &map, None, at(10)));
-    assert_eq!(told.len(), 1, "{told:?}");
+    let announced = all_of(feed.next_event(&fleet, &engines(), &map, None, at(10)));
+    assert_eq!(announced.len(), 1, "{announced:?}");
 }
 
 /// What may change about five targets.
@@ -86,12 +86,12 @@
 enum Change {
     Entry { which: usize, draining: bool, cold: bool, service: bool, version: bool, start: u64 },
     Unreadable(usize),
-    Gone { which: usize, doubted: bool },
+    Removed { which: usize, doubted: bool },
     Evacuated(Vec<bool>),
     Orders,
     Limit { which: usize, per_s: Option<f64> },
     Expire,
-    Pass(u64),
+    Advance(u64),
 }
 
 fn change() -> impl Strategy<Value = Change> {
@@ -101,16 +101,16 @@
             Change::Entry { which, draining, cold, service, version, start }
         }),
         1 => (0usize..5).prop_map(Change::Unreadable),
-        2 => (0usize..5, any::<bool>()).prop_map(|(which, doubted)| Change::Gone { which, doubted }),
+        2 => (0usize..5, any::<bool>()).prop_map(|(which, doubted)| Change::Removed { which, doubted }),
         1 => prop::collection::vec(any::<bool>(), 3).prop_map(Change::Evacuated),
         1 => Just(Change::Orders),
         2 => (0usize..5, prop::option::of(1.0..20.0)).prop_map(|(which, per_s)| Change::Limit { which, per_s }),
         1 => Just(Change::Expire),
-        4 => (1u64..1500).prop_map(Change::Pass),
+        4 => (1u64..1500).prop_map(Change::Advance),
     ]
 }
 
-fn take(fleet: &mut Fleet, change: Change, revision: u64, now: u64) {
+fn apply(fleet: &mut Fleet, change: Change, revision: u64, now: u64) {
     let name = |which: usize| format!("t{which}");
     let id = |fleet: &Fleet, which: usize| {
         fleet.named(&name(which)).map_or(TargetId::from("t9"), |b| b.target.id.clone())
@@ -130,7 +130,7 @@
             fleet.upsert(entry, at(now));
         }
         Change::Unreadable(which) => _ = fleet.unreadable(&name(which).as_str().into()),
-        Change::Gone { which, doubted } => {
+        Change::Removed { which, doubted } => {
             fleet.vanish(&name(which).as_str().into(), doubted.then(|| at(now + 800)), at(now));
         }
         Change::Evacuated(which) => {
@@ -148,22 +148,22 @@
             fleet.hear_limit(&id, said, at(now), at(now));
         }
         Change::Expire => fleet.expire(at(now)),
-        Change::Pass(_) => {}
+        Change::Advance(_) => {}
     }
 }
 
 fn all_of(event: Option<Event>) -> BTreeMap<TargetId, WorkerInfo> {
-    let Some(Event::Workers(makers)) = event else {
+    let Some(Event::Workers(workers)) = event else {
         panic!("a first look tells all: {event:?}");
     };
-    makers.into_iter().map(|m| (m.id.clone(), m)).collect()
+    workers.into_iter().map(|m| (m.id.clone(), m)).collect()
 }
 
 proptest! {
     /// Whatever changes, and when, a feed that tells changes alone knows what one that has just
-    /// begun tells as a whole, and no maker that is unusable.
+    /// begun tells as a whole, and no worker that is unusable.
     #[test]
-    fn changes_of_makers_come_to_the_same_as_whole_lists(
+    fn worker_deltas_match_full_snapshots(
         changes in prop::collection::vec(change(), 1..60),
         follows in any::<bool>(),
     ) {
@@ -177,16 +177,16 @@
         let mut known = BTreeMap::new();
         let mut now = 0;
         for (revision, change) in (1..).zip(changes) {
-            if let Change::Pass(ms) = change {
+            if let Change::Advance(ms) = change {
                 now += ms;
             }
-            take(&mut fleet, change, revision, now);
+            apply(&mut fleet, change, revision, now);
             match feed.next_event(&fleet, &engines(), &map, Some(COLD), at(now)) {
-                Some(Event::WorkersChanged { updated: there, removed: gone }) => {
-                    for id in gone {
+                Some(Event::WorkersChanged { updated, removed }) => {
+                    for id in removed {
                         prop_assert!(known.remove(&id).is_some(), "{id} was never told of");
                     }
-                    known.extend(there.into_iter().map(|m| (m.id.clone(), m)));
+                    known.extend(updated.into_iter().map(|m| (m.id.clone(), m)));
                 }
                 None => {}
                 whole => known = all_of(whole),
--- a/crates/decide/tests/batch_trial.rs
+++ b/crates/decide/tests/batch_trial.rs
@@ -1,4 +1,4 @@
-//! Makers of a version on trial beside those that serve.
+//! Workers of a version on trial beside those that serve.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -7,9 +7,9 @@
 use decide::batch::{Coordinator, Event, WorkerInfo};
 use model::forward::Policy;
 use proptest::prelude::*;
-use support::{answers, at, calls, made, order, placed, pool};
+use support::{answers, at, calls, made, order, order_event, pool};
 
-fn makers(serving: usize, trial: usize, share: f64) -> Event {
+fn workers(serving: usize, trial: usize, share: f64) -> Event {
     let info = |id: String, share| WorkerInfo {
         id: id.as_str().into(),
         domain: "a".into(),
@@ -28,7 +28,7 @@
 fn run(c: &mut Coordinator, sizes: &[u32]) -> Vec<(usize, usize)> {
     let (mut trial, mut all, mut counts) = (0, 0, Vec::new());
     for (n, size) in sizes.iter().enumerate() {
-        let mut actions = c.handle(at(1), placed(n as u64, order(&format!("r{n}"), *size)));
+        let mut actions = c.handle(at(1), order_event(n as u64, order(&format!("r{n}"), *size)));
         let mut answered = answers(&actions).len();
         loop {
             let started = calls(&actions);
@@ -53,15 +53,15 @@
 
 proptest! {
     /// A version on trial gets its part of all pieces at most, whatever the orders, and gets
-    /// near to that where its makers can take so much beside the others.
+    /// near to that where its workers can take so much beside the others.
     #[test]
-    fn a_version_on_trial_gets_its_part_of_the_pieces(
+    fn a_version_on_trial_gets_its_share_of_the_pieces(
         sizes in proptest::collection::vec(1u32..30, 1..60),
         trial in 1usize..6,
         share in prop_oneof![Just(0.0), Just(0.02), Just(0.1), Just(0.5)],
     ) {
         let mut c = Coordinator::new(pool(), Policy::default());
-        c.handle(at(0), makers(3, trial, share));
+        c.handle(at(0), workers(3, trial, share));
         let counts = run(&mut c, &sizes);
         for (trial, all) in &counts {
             prop_assert!(*trial as f64 <= *all as f64 * share, "{trial} of {all}");
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn a_version_that_is_no_longer_on_trial_gets_calls_as_others_do() {
+fn a_version_no_longer_on_trial_gets_calls_like_any_other() {
     let mut c = Coordinator::new(pool(), Policy::default());
-    c.handle(at(0), makers(1, 1, 0.0));
+    c.handle(at(0), workers(1, 1, 0.0));
     assert!(run(&mut c, &[10; 5]).iter().all(|(trial, _)| *trial == 0));
     let new = WorkerInfo {
         id: "new-0".into(),
--- a/crates/decide/tests/forecast.rs
+++ b/crates/decide/tests/forecast.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn stages_in_a_row_add_up_and_stages_side_by_side_do_not() {
+fn sequential_stages_add_up_and_parallel_stages_do_not() {
     let forecast = Forecast::default();
     let engine = expected(&forecast, &[0, 0, 0], 1, 0);
     assert_eq!(expected(&forecast, &[1, 0, 0], 1, 0) - engine, ms(110));
@@ -102,25 +102,25 @@
 }
 
 #[test]
-fn a_request_waits_in_the_queues_of_the_regions_that_make_its_stages() {
+fn a_request_waits_in_the_queues_of_the_regions_that_run_its_stages() {
     const LARGE: u64 = 2 << 20;
     let any = Allowed::ANY;
     let north = Allowed::only(["north".into()]);
     let south = Allowed::only(["south".into()]);
     let encode = |region, allowed, bytes| queue("encode", Some(region), allowed, bytes);
-    let heard = [(encode("north", &any, 0), 90), (encode("north", &north, 0), 700)];
+    let reported = [(encode("north", &any, 0), 90), (encode("north", &north, 0), 700)];
     let cases = [
         (encode("north", &any, 0), 90, "passed on where it is sooner"),
         (encode("north", &north, 0), 700, "kept in its region, where all wait"),
         (encode("north", &any, LARGE), 90, "not heard of large ones: as long as others at least"),
         (encode("north", &south, 0), 90, "not heard of its kind: as long as any at least"),
-        (encode("south", &any, 0), 0, "another region's makers are not these"),
+        (encode("south", &any, 0), 0, "another region's workers are not these"),
         (encode("south", &south, 0), 0, "nor if no other is allowed"),
         (queue("encode", None, &any, 0), 0, "nor all regions' together"),
         (queue("draft", Some("north"), &any, 0), 0, "another service"),
     ];
     let mut forecast = Forecast::default();
-    for (queue, wait) in heard {
+    for (queue, wait) in reported {
         forecast.record(queue, one(wait), Time::ZERO);
     }
     for (queue, wait, why) in cases {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_wait_heard_of_a_queue_holds_against_older_ones_of_wider_queues() {
+fn a_reported_wait_overrides_older_ones_of_wider_queues() {
     let north = Allowed::only(["north".into()]);
     let own = queue("encode", Some("north"), &north, 0);
     let wider = queue("encode", Some("north"), &Allowed::ANY, 0);
@@ -147,14 +147,14 @@
 }
 
 #[test]
-fn where_all_regions_are_one_pool_all_orders_wait_in_one_queue() {
+fn all_orders_share_one_queue_when_regions_share_one_pool() {
     let north = Allowed::only(["north".into()]);
     let plain = queue("encode", None, &Allowed::ANY, 0);
     assert_eq!(queue("encode", None, &north, 8 << 20), plain);
 }
 
 #[test]
-fn the_stage_that_binds_is_named_with_its_wait_and_age() {
+fn the_stage_with_the_longest_wait_is_reported_with_its_age() {
     let mut forecast = Forecast::default();
     let services = services();
     let find = |name: &Name| services.iter().find(|s| s.name == *name);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn waits_that_take_too_much_of_the_spare_time_turn_a_request_away() {
+fn waits_that_exceed_the_spare_time_share_refuse_a_request() {
     let cases = [
         (400, 0, true, "no wait"),
         (400, 200, true, "a third of the 600 ms that it has to spare"),
@@ -190,32 +190,32 @@
         (1200, 0, true, "never in time: served late, for no wait is to blame"),
         (1200, 200, false, "never in time, and others wait"),
     ];
-    for (least, waits, enters, why) in cases {
-        let door = decide_admission(times(least, waits), ms(1000), ms(8000));
-        assert_eq!(door == Admission::Admit, enters, "{why}: {door:?}");
+    for (least, waits, is_admitted, why) in cases {
+        let admission = decide_admission(times(least, waits), ms(1000), ms(8000));
+        assert_eq!(admission == Admission::Admit, is_admitted, "{why}: {admission:?}");
     }
 }
 
 #[test]
-fn who_would_be_late_by_far_comes_back_later() {
-    let back = |waits| match decide_admission(times(400, waits), ms(1000), ms(8000)) {
+fn retry_after_grows_with_the_expected_lateness() {
+    let retry_after = |waits| match decide_admission(times(400, waits), ms(1000), ms(8000)) {
         Admission::Refuse(after) => after,
         Admission::Admit => panic!("a wait of {waits} ms for an objective of 1 s is refused"),
     };
-    let (soon, late) = (back(800), back(4600));
+    let (soon, late) = (retry_after(800), retry_after(4600));
     assert!(soon < late, "{soon:?} and {late:?}: the later, the more there is to work off");
 }
 
 proptest! {
     #[test]
-    fn any_times_give_a_verdict_whose_wait_fits_the_callers_patience(
+    fn retry_after_stays_within_the_callers_patience(
         least in 0u64..50_000,
         waits in 0u64..50_000,
         objective in 0u64..20_000,
         patience in 0u64..60_000,
     ) {
-        let door = decide_admission(times(least, waits), ms(objective), ms(patience));
-        if let Admission::Refuse(after) = door {
+        let admission = decide_admission(times(least, waits), ms(objective), ms(patience));
+        if let Admission::Refuse(after) = admission {
             prop_assert!(after >= ms(300));
             prop_assert!(after <= ms(patience / 3).max(ms(300)));
         }
@@ -223,19 +223,19 @@
 }
 
 #[test]
-fn word_that_no_maker_works_ends_when_one_comes() {
+fn a_no_worker_report_is_dropped_when_a_worker_is_added() {
     let least = expected(&Forecast::default(), &[1, 1, 1], 1, 0);
     let mut forecast = Forecast::default();
     let service: Name = "first".into();
     let of_service = queue(&service, None, &Allowed::ANY, 0);
-    let tell = |wait| Waits(vec![(Rank::default(), wait)]);
-    forecast.record(of_service.clone(), tell(u32::MAX), Time::ZERO);
+    let waits = |wait| Waits(vec![(Rank::default(), wait)]);
+    forecast.record(of_service.clone(), waits(u32::MAX), Time::ZERO);
     assert!(expected(&forecast, &[1, 1, 1], 1, 400) > ms(60_000));
     forecast.worker_added(&"second".into());
     assert!(expected(&forecast, &[1, 1, 1], 1, 400) > ms(60_000), "it is another service's");
     forecast.worker_added(&service);
     assert_eq!(expected(&forecast, &[1, 1, 1], 1, 400), least);
-    forecast.record(of_service, tell(900), Time::ZERO);
+    forecast.record(of_service, waits(900), Time::ZERO);
     forecast.worker_added(&service);
     assert!(expected(&forecast, &[1, 1, 1], 1, 0) > least, "a wait is as long as it was told");
 }
--- a/crates/decide/tests/place.rs
+++ b/crates/decide/tests/place.rs
@@ -12,7 +12,7 @@
 
 struct World {
     set: Set,
-    news: BTreeMap<Name, TargetNews>,
+    reports: BTreeMap<Name, TargetNews>,
     leaving: BTreeSet<Name>,
     domain: Name,
     placer: Placer,
@@ -38,7 +38,7 @@
         let model = Model { pool: "engines".into(), version: "v1".into(), replicas };
         set.pools.insert("engines".into(), pool);
         set.models.insert("m".into(), model);
-        let news = |i: usize| {
+        let report = |i: usize| {
             let target: Name = format!("e{i}").into();
             let models = if held.is_empty() { Vec::new() } else { vec![held.into()] };
             let report = Report { target: target.clone(), models, ..Report::default() };
@@ -46,7 +46,7 @@
         };
         World {
             set,
-            news: (0..targets).map(news).collect(),
+            reports: (0..targets).map(report).collect(),
             leaving: BTreeSet::new(),
             domain: "a".into(),
             placer: Placer::default(),
@@ -60,14 +60,14 @@
             set: &self.set,
             number: 1,
             domain: &self.domain,
-            reports: &self.news,
+            reports: &self.reports,
             leaving: &self.leaving,
         };
         self.placer.plan(self.now, self.epoch, view)
     }
 
-    fn obey(&mut self, order: &Order) {
-        let report = &mut self.news.get_mut(&order.target).expect("a target").report;
+    fn apply(&mut self, order: &Order) {
+        let report = &mut self.reports.get_mut(&order.target).expect("a target").report;
         match &order.task {
             Task::Load(v) => report.models.push(v.clone()),
             Task::Unload(v) => report.models.retain(|m| m != v),
@@ -76,16 +76,16 @@
     }
 
     fn serving(&self, any_of: &[&str]) -> usize {
-        let holds = |n: &&TargetNews| {
+        let serves = |n: &&TargetNews| {
             !n.report.leaving && n.report.models.iter().any(|m| any_of.contains(&&**m))
         };
-        self.news.values().filter(holds).count()
+        self.reports.values().filter(serves).count()
     }
 
     fn settle(&mut self, mut each: impl FnMut(&World)) {
         for _ in 0..60 {
             for order in self.plan() {
-                self.obey(&order);
+                self.apply(&order);
                 each(self);
             }
             self.now = self.now + Duration::from_secs(6);
@@ -94,12 +94,12 @@
 }
 
 #[test]
-fn loads_are_damped_and_reach_the_wanted_count() {
+fn loads_are_limited_and_reach_the_replica_count() {
     let mut w = World::new(6, "", 4);
     let first = w.plan();
     assert_eq!(first.len(), 2, "two loads at a time: {first:?}");
     assert!(w.plan().is_empty(), "nothing is sent twice while it is under way");
-    first.iter().for_each(|o| w.obey(o));
+    first.iter().for_each(|o| w.apply(o));
     w.settle(|_| {});
     assert_eq!(w.serving(&["m@v1"]), 4);
 }
@@ -127,25 +127,25 @@
 }
 
 #[test]
-fn a_drained_host_gets_its_replacement_first() {
+fn a_drained_host_is_replaced_before_it_drains() {
     let mut w = World::new(3, "", 1);
     w.settle(|_| {});
-    let holder = w.news.values().find(|n| !n.report.models.is_empty()).expect("one holds it");
+    let holder = w.reports.values().find(|n| !n.report.models.is_empty()).expect("one holds it");
     let host: Name = holder.report.target.replace('e', "h").into();
     w.set.drains.insert(host.clone(), Drain { host, reason: String::new() });
     w.settle(|w| assert!(w.serving(&["m@v1"]) >= 1));
     assert_eq!(w.serving(&["m@v1"]), 1);
-    assert_eq!(w.news.values().filter(|n| n.report.leaving).count(), 1);
+    assert_eq!(w.reports.values().filter(|n| n.report.leaving).count(), 1);
 }
 
 #[test]
-fn a_host_taken_back_without_warning_is_replaced() {
+fn a_host_lost_without_notice_is_replaced() {
     let mut w = World::new(4, "m@v1", 4);
     w.set.models.get_mut("m").expect("declared").replicas = 2;
     let gone: Name = "e0".into();
-    w.news.get_mut(&gone).expect("a target").ready = false;
+    w.reports.get_mut(&gone).expect("a target").ready = false;
     w.settle(|_| {});
-    let ready = w.news.values().filter(|n| n.ready && !n.report.models.is_empty()).count();
+    let ready = w.reports.values().filter(|n| n.ready && !n.report.models.is_empty()).count();
     assert!(ready >= 2, "{ready}");
 }
 
--- a/crates/decide/tests/prefill.rs
+++ b/crates/decide/tests/prefill.rs
@@ -46,22 +46,22 @@
     order
 }
 
-fn place(b: &mut Scheduler, i: usize, home: u64, now_ms: u64) -> Placement {
-    b.place(&ask(i, home), &order(8, home), at(now_ms)).expect("there are engines")
+fn place(scheduler: &mut Scheduler, i: usize, home: u64, now_ms: u64) -> Placement {
+    scheduler.place(&ask(i, home), &order(8, home), at(now_ms)).expect("there are engines")
 }
 
 #[test]
-fn prompts_without_work_ahead_go_to_their_homes() {
+fn prompts_go_to_their_homes_when_engines_are_idle() {
     let mut scheduler = Scheduler::new(at(0));
     for home in 0..50 {
         let now = OLD_MS + home * 5_000;
-        let placed = place(&mut scheduler, home as usize, home, now);
-        assert_eq!((&placed.engine, placed.tokens_ahead), (&order(8, home)[0], 0));
+        let placement = place(&mut scheduler, home as usize, home, now);
+        assert_eq!((&placement.engine, placement.tokens_ahead), (&order(8, home)[0], 0));
     }
 }
 
 #[test]
-fn a_new_prompt_goes_where_least_is_to_be_read_among_the_first_homes() {
+fn a_new_prompt_goes_to_the_least_loaded_of_its_first_homes() {
     let mut scheduler = Scheduler::new(at(0));
     let homes = order(8, 1);
     let found: Vec<TargetId> =
@@ -73,13 +73,13 @@
         let only = [busy.clone()];
         scheduler.place(&ask(i, 90 + i as u64), &only, at(OLD_MS)).expect("an engine");
     }
-    let placed = place(&mut scheduler, 7, 1, OLD_MS + 1);
-    assert_eq!(placed.engine, homes[2], "the first that has nothing to read");
-    assert!(!placed.is_cached);
+    let placement = place(&mut scheduler, 7, 1, OLD_MS + 1);
+    assert_eq!(placement.engine, homes[2], "the first that has nothing to read");
+    assert!(!placement.is_cached);
 }
 
 #[test]
-fn a_prompt_stays_where_its_shared_parts_are_until_the_wait_outweighs_them() {
+fn a_prompt_stays_with_its_cached_prefix_until_the_queue_costs_more() {
     let mut scheduler = Scheduler::new(at(0));
     let first = place(&mut scheduler, 0, 1, OLD_MS);
     scheduler.finish_prompt(&first.engine, &attempt(0), at(OLD_MS + 300));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_prompt_that_is_in_time_where_its_shared_parts_are_stays_there() {
+fn a_prompt_in_time_at_its_cached_prefix_stays_there() {
     let mut scheduler = Scheduler::new(at(0));
     let first = place(&mut scheduler, 0, 1, OLD_MS);
     scheduler.finish_prompt(&first.engine, &attempt(0), at(OLD_MS + 340));
@@ -111,37 +111,41 @@
     }
     for (i, (slack_ms, stays)) in [(1_300, true), (1_000, false)].into_iter().enumerate() {
         let ask = PrefillAsk { slack_ms, ..ask(i, 1) };
-        let placed = scheduler.place(&ask, &order(8, 1), at(OLD_MS + 410)).expect("an engine");
-        assert_eq!(placed.is_cached, stays, "{slack_ms} ms left");
-        scheduler.cancel_prompt(&placed.engine, &attempt(i));
+        let placement = scheduler.place(&ask, &order(8, 1), at(OLD_MS + 410)).expect("an engine");
+        assert_eq!(placement.is_cached, stays, "{slack_ms} ms left");
+        scheduler.cancel_prompt(&placement.engine, &attempt(i));
     }
 }
 
 #[test]
-fn what_was_read_or_never_told_of_no_longer_counts() {
+fn finished_and_expired_prompts_no_longer_count() {
     let mut scheduler = Scheduler::new(at(0));
-    let placed = place(&mut scheduler, 0, 1, OLD_MS);
-    assert_eq!(scheduler.queued_tokens(&placed.engine), TOKENS);
-    scheduler.finish_prompt(&placed.engine, &attempt(9), at(OLD_MS + 50));
-    assert_eq!(scheduler.queued_tokens(&placed.engine), TOKENS, "another attempt's end");
-    scheduler.finish_prompt(&placed.engine, &attempt(0), at(OLD_MS + 60));
-    assert_eq!(scheduler.queued_tokens(&placed.engine), 0);
+    let placement = place(&mut scheduler, 0, 1, OLD_MS);
+    assert_eq!(scheduler.queued_tokens(&placement.engine), TOKENS);
+    scheduler.finish_prompt(&placement.engine, &attempt(9), at(OLD_MS + 50));
+    assert_eq!(scheduler.queued_tokens(&placement.engine), TOKENS, "another attempt's end");
+    scheduler.finish_prompt(&placement.engine, &attempt(0), at(OLD_MS + 60));
+    assert_eq!(scheduler.queued_tokens(&placement.engine), 0);
     let lost = place(&mut scheduler, 1, 1, OLD_MS + 100);
     place(&mut scheduler, 2, 55, OLD_MS + 100 + 4_000);
     assert!(scheduler.queued_tokens(&lost.engine) < TOKENS, "its end will not come any more");
 }
 
 #[test]
-fn a_new_scheduler_takes_the_first_home_for_the_one_that_keeps_the_prompt() {
+fn a_new_scheduler_assumes_prefixes_are_cached_at_the_first_home() {
     let mut scheduler = Scheduler::new(at(60_000));
     let homes = order(8, 1);
     scheduler.place(&ask(0, 99), &homes[..1], at(60_001)).expect("an engine");
-    let placed = place(&mut scheduler, 1, 1, 60_002);
-    assert_eq!((&placed.engine, placed.is_cached), (&homes[0], true), "another prompt waits there");
+    let placement = place(&mut scheduler, 1, 1, 60_002);
+    assert_eq!(
+        (&placement.engine, placement.is_cached),
+        (&homes[0], true),
+        "another prompt waits there"
+    );
 }
 
 #[test]
-fn without_engines_there_is_no_choice_and_with_all_at_work_the_least_one_counts() {
+fn no_engines_give_no_placement_and_busy_ones_are_balanced() {
     let mut scheduler = Scheduler::new(at(0));
     assert_eq!(scheduler.place(&ask(0, 1), &[], at(OLD_MS)), None);
     for i in 0..100 {
@@ -155,7 +159,7 @@
 /// Engines that read one prompt after the other, each at the same speed.
 struct Engines {
     free_at: Vec<f64>,
-    kept: BTreeSet<(usize, u64)>,
+    cached: BTreeSet<(usize, u64)>,
     read: u64,
 }
 
@@ -164,13 +168,13 @@
 
 impl Engines {
     fn new(n: usize) -> Self {
-        Engines { free_at: vec![0.0; n], kept: BTreeSet::new(), read: 0 }
+        Engines { free_at: vec![0.0; n], cached: BTreeSet::new(), read: 0 }
     }
 
     /// When a prompt that comes now has been read.
-    fn take(&mut self, i: usize, home: u64, now: f64) -> f64 {
-        let is_kept = !self.kept.insert((i, home));
-        let tokens = if is_kept { TOKENS - SHARED } else { TOKENS };
+    fn read_prompt(&mut self, i: usize, home: u64, now: f64) -> f64 {
+        let is_cached = !self.cached.insert((i, home));
+        let tokens = if is_cached { TOKENS - SHARED } else { TOKENS };
         self.read += tokens;
         self.free_at[i] = self.free_at[i].max(now) + tokens as f64 / SPEED;
         self.free_at[i]
@@ -203,7 +207,7 @@
         }
         let home = rng.below(HOMES) as u64;
         let chosen = choose(&mut scheduler, i, home, now as u64);
-        let end = engines.take(chosen, home, now);
+        let end = engines.read_prompt(chosen, home, now);
         ends.insert((end as u64, i), chosen);
         took.push(end - now);
     }
@@ -211,16 +215,16 @@
     (took[PROMPTS * 9 / 10], engines.read)
 }
 
-fn number(id: &TargetId) -> usize {
+fn engine_index(id: &TargetId) -> usize {
     id.name.trim_start_matches("engine-").parse().expect("a number")
 }
 
 #[test]
-fn in_a_burst_prompts_are_read_sooner_than_at_their_homes_and_hardly_more_is_read() {
-    let (home, read_at_home) = burst(|_, _, home, _| number(&order(32, home)[0]));
+fn a_burst_is_read_sooner_than_at_homes_with_few_extra_tokens() {
+    let (home, read_at_home) = burst(|_, _, home, _| engine_index(&order(32, home)[0]));
     let (scheduled, read) = burst(|scheduler, i, home, now| {
-        let placed = scheduler.place(&ask(i, home), &order(32, home), at(now));
-        number(&placed.expect("there are engines").engine)
+        let placement = scheduler.place(&ask(i, home), &order(32, home), at(now));
+        engine_index(&placement.expect("there are engines").engine)
     });
     assert!(scheduled < home * 0.7, "{scheduled:.0} ms and not {home:.0} ms for 9 in 10");
     assert!(read as f64 <= read_at_home as f64 * 1.05, "{read} tokens, {read_at_home} at home");
--- a/crates/decide/tests/region_cut.rs
+++ b/crates/decide/tests/region_cut.rs
@@ -14,15 +14,15 @@
 use model::{Name, Time};
 
 /// Nodes of each failure domain.
-const EACH: usize = 2;
+const NODES_PER_DOMAIN: usize = 2;
 const DOMAINS: [&str; 6] = ["a1", "a2", "b1", "b2", "c1", "c2"];
 const REGIONS: [&str; 3] = ["a", "b", "c"];
 /// Time within which all find out about a cut, or about its end.
-const FOUND: Duration = Duration::from_secs(20);
+const CONVERGENCE: Duration = Duration::from_secs(20);
 const HOUR: Duration = Duration::from_secs(3600);
 
 fn region(i: usize) -> &'static str {
-    &DOMAINS[i / EACH][..1]
+    &DOMAINS[i / NODES_PER_DOMAIN][..1]
 }
 
 fn address(i: usize) -> SocketAddr {
@@ -30,13 +30,13 @@
 }
 
 fn node(i: usize) -> Node {
-    let domain = DOMAINS[i / EACH];
+    let domain = DOMAINS[i / NODES_PER_DOMAIN];
     let id = NodeId { name: format!("{domain}-{i}").into(), start: 1 };
     Node { id, address: address(i), entry: address(i), domain: domain.into(), capacity: 0 }
 }
 
-/// Ways from one region to another that nothing passes.
-type Ways = &'static [(&'static str, &'static str)];
+/// Links from one region to another that nothing passes.
+type Links = &'static [(&'static str, &'static str)];
 
 struct Host {
     member: Member,
@@ -50,7 +50,7 @@
     hosts: Vec<Host>,
     wire: BTreeMap<(Time, u64), (usize, usize, Packet)>,
     sent: u64,
-    cut: Ways,
+    cut: Links,
 }
 
 impl Net {
@@ -64,13 +64,14 @@
             roster.set_regions(regions.clone());
             Host { member: Member::new(me, Tuning::default(), rng.draw()), roster }
         };
-        let hosts = (0..DOMAINS.len() * EACH).map(host).collect();
+        let hosts = (0..DOMAINS.len() * NODES_PER_DOMAIN).map(host).collect();
         let mut net = Net { now: Time::ZERO, rng, hosts, wire: BTreeMap::new(), sent: 0, cut: &[] };
-        let seeds: Vec<SocketAddr> = (0..DOMAINS.len()).map(|d| address(d * EACH)).collect();
+        let seeds: Vec<SocketAddr> =
+            (0..DOMAINS.len()).map(|d| address(d * NODES_PER_DOMAIN)).collect();
         for i in 0..net.hosts.len() {
             net.feed(i, Event::Seeds(seeds.clone()));
         }
-        net.run(FOUND);
+        net.run(CONVERGENCE);
         net
     }
 
@@ -126,8 +127,8 @@
         if self.cut.contains(&(region(from), region(to))) {
             return;
         }
-        let away = if region(from) == region(to) { 500 } else { 20_000 };
-        let at = self.now + Duration::from_micros(away + self.rng.below(200) as u64);
+        let latency = if region(from) == region(to) { 500 } else { 20_000 };
+        let at = self.now + Duration::from_micros(latency + self.rng.below(200) as u64);
         self.sent += 1;
         self.wire.insert((at, self.sent), (from, to, packet));
     }
@@ -138,7 +139,7 @@
         !self.cut.contains(&(from, to)) && !self.cut.contains(&(to, from))
     }
 
-    /// The node that coordinates a region's makers, as a node finds it by asking.
+    /// The node that coordinates a region's workers, as a node finds it by asking.
     fn coordinator(&mut self, i: usize, region: &str) -> usize {
         let pool = PoolId { service: "encode".into(), region: Some(region.into()) };
         loop {
@@ -196,7 +197,8 @@
                 Some(scheduler.as_ref().map_or(*i, index))
             };
             let found: BTreeSet<Option<usize>> = nodes.iter().map(who).collect();
-            let is_there = |i: &Option<usize>| i.is_some_and(|i| DOMAINS[i / EACH] == domain);
+            let is_there =
+                |i: &Option<usize>| i.is_some_and(|i| DOMAINS[i / NODES_PER_DOMAIN] == domain);
             let is_here = regions.contains(&&domain[..1]);
             assert!(!is_here || found.len() == 1, "{why}: {domain} is scheduled by {found:?}");
             assert_eq!(found.iter().all(is_there), is_here, "{why}: {domain}, {found:?}");
@@ -219,21 +221,22 @@
     usize::from(ip.octets()[3])
 }
 
-const C_ALONE: Ways = &[("a", "c"), ("c", "a"), ("b", "c"), ("c", "b")];
-const ALL_APART: Ways = &[("a", "b"), ("b", "a"), ("a", "c"), ("c", "a"), ("b", "c"), ("c", "b")];
+const C_ISOLATED: Links = &[("a", "c"), ("c", "a"), ("b", "c"), ("c", "b")];
+const ALL_ISOLATED: Links =
+    &[("a", "b"), ("b", "a"), ("a", "c"), ("c", "a"), ("b", "c"), ("c", "b")];
 
 #[test]
-fn each_side_of_an_hours_cut_works_by_itself_and_all_together_once_it_heals() {
-    let cases: [(Ways, &[&[&str]], &str); 2] = [
-        (C_ALONE, &[&["a", "b"], &["c"]], "two see each other and not the third"),
-        (ALL_APART, &[&["a"], &["b"], &["c"]], "none sees another"),
+fn each_side_of_an_hour_long_partition_works_alone_and_rejoins_after_it_heals() {
+    let cases: [(Links, &[&[&str]], &str); 2] = [
+        (C_ISOLATED, &[&["a", "b"], &["c"]], "two see each other and not the third"),
+        (ALL_ISOLATED, &[&["a"], &["b"], &["c"]], "none sees another"),
     ];
     for (cut, sides, why) in cases {
         let mut net = Net::new();
         net.assert_side(&REGIONS, "before");
         let before = net.coordinators();
         net.cut = cut;
-        net.run(FOUND);
+        net.run(CONVERGENCE);
         for _ in 0..4 {
             for side in sides {
                 net.assert_side(side, why);
@@ -241,18 +244,18 @@
             net.run(HOUR / 4);
         }
         net.cut = &[];
-        net.run(FOUND);
+        net.run(CONVERGENCE);
         net.assert_side(&REGIONS, "healed");
         assert_eq!(net.coordinators(), before, "{why}: each has its work back");
     }
 }
 
 #[test]
-fn a_link_that_passes_one_way_parts_the_duties_of_two_regions_and_not_their_members() {
+fn a_one_way_link_splits_the_duties_of_two_regions_but_not_membership() {
     let mut net = Net::new();
     let before = net.coordinators();
     net.cut = &[("a", "b")];
-    net.run(FOUND);
+    net.run(CONVERGENCE);
     for _ in 0..4 {
         for i in net.nodes_of(&REGIONS) {
             let up = net.hosts[i].roster.count();
@@ -278,7 +281,7 @@
         net.run(HOUR / 4);
     }
     net.cut = &[];
-    net.run(FOUND);
+    net.run(CONVERGENCE);
     for i in net.nodes_of(&REGIONS) {
         let others = net.hosts[i].roster.ids();
         let now = net.now;
--- a/crates/decide/tests/region_spill.rs
+++ b/crates/decide/tests/region_spill.rs
@@ -12,14 +12,14 @@
 use decide::region::{LocalLoad, Spill};
 use model::Name;
 use model::forward::{BatchOrder, PieceResult, Rank, Waits};
-use support::{at, coordinator, made, makers, order, probes};
+use support::{at, coordinator, made, order, probes, workers};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 #[test]
-fn an_order_is_passed_on_only_where_it_is_in_time_and_would_be_late_here() {
+fn an_order_spills_only_if_late_locally_and_in_time_remotely() {
     let busy = LocalLoad { wait: 800, call_time: ms(150), piece_ms: 5.0 };
     let small = || BatchOrder { slack_ms: 700, ..order("r", 5) };
     let large = BatchOrder { result_bytes: 2 << 20, ..small() };
@@ -37,35 +37,35 @@
         (large.clone(), busy, 0, false, "its results are too large to cross"),
         (heavy, busy, 0, false, "its inputs are"),
         (guest.clone(), busy, 0, false, "it was passed on already"),
-        (small(), dead, 0, true, "no maker works here"),
+        (small(), dead, 0, true, "no worker works here"),
         (large, dead, 0, true, "nor for large ones"),
         (guest, dead, 0, false, "it does not go round"),
     ];
-    for (order, own, there, goes, why) in cases {
+    for (order, own, there, spills, why) in cases {
         let mut spill = Spill::default();
         let waits = Waits(vec![(Rank::default(), there)]);
         spill.update_waits("b".into(), waits, at(0));
         let others = [("b".into(), ms(40))];
         let chosen = spill.choose(&others, &order, own, at(100));
-        assert_eq!(chosen.is_some(), goes, "{why}: {chosen:?}");
+        assert_eq!(chosen.is_some(), spills, "{why}: {chosen:?}");
         let later = spill.choose(&others, &order, own, at(5000));
-        let unasked = own.wait == u32::MAX && goes;
-        assert_eq!(later.is_some(), unasked, "what was told is old: {why}");
+        let expected = own.wait == u32::MAX && spills;
+        assert_eq!(later.is_some(), expected, "what was told is old: {why}");
     }
 }
 
-/// Ways from one region to another.
-type Ways<'a> = &'a [(usize, usize)];
+/// Links from one region to another.
+type Links<'a> = &'a [(usize, usize)];
 
 /// Wire time between two regions, in milliseconds.
 const CROSSING: u64 = 20;
 /// Step of a play, in milliseconds.
 const STEP: u64 = 5;
-/// Makers of each region; each makes ten orders a second if its calls are full.
-const MAKERS: [(&str, &str); 4] = [("m1", "d1"), ("m2", "d1"), ("m3", "d2"), ("m4", "d2")];
+/// Workers of each region; each makes ten orders a second if its calls are full.
+const WORKERS: [(&str, &str); 4] = [("m1", "d1"), ("m2", "d1"), ("m3", "d2"), ("m4", "d2")];
 
-/// One region: its coordinator, its makers' calls, and what came of its callers' orders.
-struct Place {
+/// One region: its coordinator, its workers' calls, and what came of its callers' orders.
+struct Region {
     name: Name,
     c: Coordinator,
     spill: Spill,
@@ -73,8 +73,8 @@
     calls: Vec<(u64, u64, CallEnd)>,
     open: BTreeMap<OrderId, (usize, u64, BatchOrder)>,
     /// For each order of its callers: when it came, and whether it was made in time.
-    ends: Vec<(u64, bool)>,
-    passed_on: Vec<u64>,
+    outcomes: Vec<(u64, bool)>,
+    spilled_at: Vec<u64>,
 }
 
 enum Message {
@@ -82,30 +82,30 @@
     Waits { region: Name, waits: Waits },
 }
 
-struct Play {
+struct Simulation {
     now: u64,
     next: OrderId,
     spills: bool,
-    places: Vec<Place>,
+    regions: Vec<Region>,
     messages: Vec<(u64, usize, Message)>,
-    /// Ways from one region to another that nothing passes.
+    /// Links from one region to another that nothing passes.
     cuts: Vec<(usize, usize)>,
 }
 
-impl Play {
+impl Simulation {
     fn new(spills: bool) -> Self {
-        let place = |name: &&str| Place {
+        let region = |name: &&str| Region {
             name: (*name).into(),
-            c: coordinator(&MAKERS),
+            c: coordinator(&WORKERS),
             spill: Spill::default(),
             is_up: true,
             calls: Vec::new(),
             open: BTreeMap::new(),
-            ends: Vec::new(),
-            passed_on: Vec::new(),
+            outcomes: Vec::new(),
+            spilled_at: Vec::new(),
         };
-        let places = ["a", "b", "c"].iter().map(place).collect();
-        Play { now: 0, next: 1, spills, places, messages: Vec::new(), cuts: Vec::new() }
+        let regions = ["a", "b", "c"].iter().map(region).collect();
+        Simulation { now: 0, next: 1, spills, regions, messages: Vec::new(), cuts: Vec::new() }
     }
 
     /// Plays until a time, with this many orders a second in each region.
@@ -117,7 +117,7 @@
                 let before = (self.now - STEP) * per_s / 1000;
                 for n in before..self.now * per_s / 1000 {
                     let order = BatchOrder { slack_ms: 900, ..order(&format!("r{i}-{n}"), 5) };
-                    self.take(i, i, self.now + 900, order);
+                    self.receive(i, i, self.now + 900, order);
                 }
                 self.end_calls(i);
                 self.tick(i);
@@ -132,33 +132,33 @@
         let due: Vec<(u64, usize, Message)> = due;
         for (_, to, message) in due {
             match message {
-                Message::Order { from, due, order } => self.take(to, from, due, order),
+                Message::Order { from, due, order } => self.receive(to, from, due, order),
                 Message::Waits { region, waits } => {
-                    self.places[to].spill.update_waits(region, waits, at(now));
+                    self.regions[to].spill.update_waits(region, waits, at(now));
                 }
             }
         }
     }
 
     /// An order of region `from` reaches the coordinator of region `i`.
-    fn take(&mut self, i: usize, from: usize, due: u64, order: BatchOrder) {
+    fn receive(&mut self, i: usize, from: usize, due: u64, order: BatchOrder) {
         let chosen = self.choose(i, &order);
         if let Some(to) = chosen.filter(|to| self.is_cut(i, *to)) {
             // The question for a sign of life brings none.
-            let region = self.places[to].name.clone();
-            self.places[i].spill.remove_region(&region);
+            let region = self.regions[to].name.clone();
+            self.regions[i].spill.remove_region(&region);
             let order = BatchOrder { spilled: true, ..order.later(ms(2 * CROSSING)) };
-            return self.take(i, from, due, order);
+            return self.receive(i, from, due, order);
         }
         if let Some(to) = chosen {
-            self.places[i].passed_on.push(self.now);
+            self.regions[i].spilled_at.push(self.now);
             let order = BatchOrder { spilled: true, ..order.later(ms(CROSSING)) };
             self.messages.push((self.now + CROSSING, to, Message::Order { from, due, order }));
             return;
         }
         let id = self.next;
         self.next += 1;
-        self.places[i].open.insert(id, (from, due, order.clone()));
+        self.regions[i].open.insert(id, (from, due, order.clone()));
         self.feed(i, Event::Order { id, order, pinned: false });
     }
 
@@ -167,23 +167,23 @@
             return None;
         }
         let now = at(self.now);
-        let own = self.places[i].c.local_load(order, now);
-        let others: Vec<(Name, Duration)> = (0..self.places.len())
+        let own = self.regions[i].c.local_load(order, now);
+        let others: Vec<(Name, Duration)> = (0..self.regions.len())
             .filter(|j| *j != i)
-            .map(|j| (self.places[j].name.clone(), ms(2 * CROSSING)))
+            .map(|j| (self.regions[j].name.clone(), ms(2 * CROSSING)))
             .collect();
         let names: Vec<Name> = others.iter().map(|(r, _)| r.clone()).collect();
-        for region in self.places[i].spill.take_due_queries(&names, own.wait, now) {
-            let to = self.place(&region);
-            let waits = self.places[to].c.waits(now);
+        for region in self.regions[i].spill.take_due_queries(&names, own.wait, now) {
+            let to = self.region_index(&region);
+            let waits = self.regions[to].c.waits(now);
             if self.is_cut(i, to) {
                 continue;
             }
-            let told = Message::Waits { region, waits };
-            self.messages.push((self.now + 2 * CROSSING, i, told));
+            let message = Message::Waits { region, waits };
+            self.messages.push((self.now + 2 * CROSSING, i, message));
         }
-        let region = self.places[i].spill.choose(&others, order, own, now)?;
-        Some(self.place(&region))
+        let region = self.regions[i].spill.choose(&others, order, own, now)?;
+        Some(self.region_index(&region))
     }
 
     /// Whether a question to a region, or its answer, is lost.
@@ -191,15 +191,15 @@
         self.cuts.contains(&(from, to)) || self.cuts.contains(&(to, from))
     }
 
-    fn place(&self, region: &str) -> usize {
-        self.places.iter().position(|p| *p.name == *region).expect("one of the regions")
+    fn region_index(&self, region: &str) -> usize {
+        self.regions.iter().position(|p| *p.name == *region).expect("one of the regions")
     }
 
     fn end_calls(&mut self, i: usize) {
         let now = self.now;
-        let calls = std::mem::take(&mut self.places[i].calls);
+        let calls = std::mem::take(&mut self.regions[i].calls);
         let (ended, open): (Vec<_>, Vec<_>) = calls.into_iter().partition(|c| c.0 <= now);
-        self.places[i].calls = open;
+        self.regions[i].calls = open;
         for (_, number, end) in ended {
             self.feed(i, Event::CallEnded(number, end));
         }
@@ -207,67 +207,68 @@
 
     fn tick(&mut self, i: usize) {
         let now = at(self.now);
-        let place = &mut self.places[i];
-        let is_dead = place.c.waits(now).of(Rank::default()) == u32::MAX;
-        let moves = is_dead && place.spill.has_fresh_waits(now);
+        let region = &mut self.regions[i];
+        let is_dead = region.c.waits(now).of(Rank::default()) == u32::MAX;
+        let moves = is_dead && region.spill.has_fresh_waits(now);
         self.feed(i, if moves { Event::HandOver } else { Event::Tick });
     }
 
     fn feed(&mut self, i: usize, event: Event) {
         let now = self.now;
-        let actions = self.places[i].c.handle(at(now), event);
-        for maker in probes(&actions) {
-            let is_up = self.places[i].is_up;
-            self.feed(i, Event::Probed(maker, is_up));
+        let actions = self.regions[i].c.handle(at(now), event);
+        for worker in probes(&actions) {
+            let is_up = self.regions[i].is_up;
+            self.feed(i, Event::Probed(worker, is_up));
         }
         for action in actions {
-            self.act(i, action);
+            self.apply(i, action);
         }
     }
 
-    fn act(&mut self, i: usize, action: Action) {
+    fn apply(&mut self, i: usize, action: Action) {
         let now = self.now;
-        let place = &mut self.places[i];
+        let region = &mut self.regions[i];
         match action {
-            Action::Start(call) if place.is_up => {
+            Action::Start(call) if region.is_up => {
                 let took = 100 + 10 * call.pieces.len() as u64;
-                place.calls.push((now + took, call.number, made(&call)));
+                region.calls.push((now + took, call.number, made(&call)));
             }
-            Action::Start(call) => place.calls.push((now + STEP, call.number, CallEnd::Failed)),
+            Action::Start(call) => region.calls.push((now + STEP, call.number, CallEnd::Failed)),
             Action::Answer(id, results) => {
-                let (from, due, _) = place.open.remove(&id).expect("an order");
+                let (from, due, _) = region.open.remove(&id).expect("an order");
                 let whole = results.iter().all(|r| matches!(r, PieceResult::Made(_)));
                 let back = if from == i { 0 } else { CROSSING };
                 let in_time = whole && now + back <= due;
-                self.places[from].ends.push((due - 900, in_time));
+                self.regions[from].outcomes.push((due - 900, in_time));
             }
             Action::HandOver(id) => {
-                let (from, due, order) = place.open.remove(&id).expect("an order");
+                let (from, due, order) = region.open.remove(&id).expect("an order");
                 let order = BatchOrder { slack_ms: due.saturating_sub(now), ..order };
-                self.take(i, from, due, order);
+                self.receive(i, from, due, order);
             }
             Action::Overdue { .. } | Action::Probe(_) | Action::Free(_) => {}
         }
     }
 
     /// Share of a region's orders of this time that were in time.
-    fn share(&self, i: usize, from: u64, until: u64) -> f64 {
+    fn in_time_share(&self, i: usize, from: u64, until: u64) -> f64 {
         let of_time = |(came, _): &&(u64, bool)| (from..until).contains(came);
-        let ends: Vec<_> = self.places[i].ends.iter().filter(of_time).collect();
-        ends.iter().filter(|(_, in_time)| *in_time).count() as f64 / ends.len().max(1) as f64
+        let outcomes: Vec<_> = self.regions[i].outcomes.iter().filter(of_time).collect();
+        outcomes.iter().filter(|(_, in_time)| *in_time).count() as f64
+            / outcomes.len().max(1) as f64
     }
 
-    fn passed_on(&self, i: usize, from: u64, until: u64) -> usize {
-        self.places[i].passed_on.iter().filter(|t| (from..until).contains(*t)).count()
+    fn spilled_count(&self, i: usize, from: u64, until: u64) -> usize {
+        self.regions[i].spilled_at.iter().filter(|t| (from..until).contains(*t)).count()
     }
 }
 
 #[test]
-fn a_region_that_is_overrun_is_helped_by_idle_ones_and_drowns_none() {
+fn an_overloaded_region_spills_to_idle_ones_without_overloading_them() {
     let shares = [false, true].map(|spills| {
-        let mut play = Play::new(spills);
-        play.run(10_000, [60, 15, 15]);
-        [0, 1, 2].map(|i| play.share(i, 2000, 8000))
+        let mut sim = Simulation::new(spills);
+        sim.run(10_000, [60, 15, 15]);
+        [0, 1, 2].map(|i| sim.in_time_share(i, 2000, 8000))
     });
     let [alone, helped] = shares;
     assert!(alone[0] < 0.75, "half as much again as it can make: {alone:?}");
@@ -276,45 +277,45 @@
 }
 
 #[test]
-fn where_all_are_overrun_nothing_goes_round() {
-    let mut play = Play::new(true);
-    play.run(10_000, [60, 60, 60]);
-    let passed: usize = (0..3).map(|i| play.passed_on(i, 2000, 10_000)).sum();
-    assert!(passed < 8 * 180 / 20, "{passed} of 1440 orders");
+fn orders_do_not_circulate_when_all_regions_are_overloaded() {
+    let mut sim = Simulation::new(true);
+    sim.run(10_000, [60, 60, 60]);
+    let spilled: usize = (0..3).map(|i| sim.spilled_count(i, 2000, 10_000)).sum();
+    assert!(spilled < 8 * 180 / 20, "{spilled} of 1440 orders");
 }
 
 #[test]
-fn a_region_whose_makers_die_is_carried_within_a_second_and_takes_its_work_back() {
-    let mut play = Play::new(true);
-    play.run(3000, [15, 15, 15]);
-    play.places[0].is_up = false;
-    play.run(6000, [15, 15, 15]);
-    play.places[0].is_up = true;
-    play.run(12_000, [15, 15, 15]);
-    let carried = play.share(0, 4000, 6000);
-    assert!(carried > 0.95, "{carried} a second after the loss");
+fn a_region_whose_workers_fail_spills_within_a_second_and_recovers() {
+    let mut sim = Simulation::new(true);
+    sim.run(3000, [15, 15, 15]);
+    sim.regions[0].is_up = false;
+    sim.run(6000, [15, 15, 15]);
+    sim.regions[0].is_up = true;
+    sim.run(12_000, [15, 15, 15]);
+    let during = sim.in_time_share(0, 4000, 6000);
+    assert!(during > 0.95, "{during} a second after the loss");
     for i in 0..3 {
-        let share = play.share(i, 9000, 11_000);
+        let share = sim.in_time_share(i, 9000, 11_000);
         assert!(share > 0.97, "region {i} once they are back: {share}");
     }
-    assert_eq!(play.passed_on(0, 9000, 12_000), 0, "its makers have their work again");
+    assert_eq!(sim.spilled_count(0, 9000, 12_000), 0, "its workers have their work again");
 }
 
 #[test]
-fn a_region_whose_makers_are_gone_and_come_anew_is_carried_too() {
-    let mut play = Play::new(true);
-    play.run(3000, [15, 15, 15]);
-    play.feed(0, makers(&[]));
-    play.run(6000, [15, 15, 15]);
-    play.feed(0, makers(&MAKERS));
-    play.run(9000, [15, 15, 15]);
-    assert!(play.share(0, 3500, 6000) > 0.95, "{}", play.share(0, 3500, 6000));
-    assert!(play.share(0, 6500, 8000) > 0.97, "{}", play.share(0, 6500, 8000));
-    assert_eq!(play.passed_on(0, 6500, 9000), 0);
+fn a_region_whose_workers_are_removed_spills_until_they_return() {
+    let mut sim = Simulation::new(true);
+    sim.run(3000, [15, 15, 15]);
+    sim.feed(0, workers(&[]));
+    sim.run(6000, [15, 15, 15]);
+    sim.feed(0, workers(&WORKERS));
+    sim.run(9000, [15, 15, 15]);
+    assert!(sim.in_time_share(0, 3500, 6000) > 0.95, "{}", sim.in_time_share(0, 3500, 6000));
+    assert!(sim.in_time_share(0, 6500, 8000) > 0.97, "{}", sim.in_time_share(0, 6500, 8000));
+    assert_eq!(sim.spilled_count(0, 6500, 9000), 0);
 }
 
 #[test]
-fn waits_that_are_told_are_those_of_where_orders_go() {
+fn announced_waits_are_bounded_by_the_region_orders_spill_to() {
     let rank = Rank::default();
     let waits = |ms| Waits(vec![(rank, ms)]);
     let others = [("b".into(), ms(40))];
@@ -323,7 +324,7 @@
         (60, Some(50), 60, "sooner here"),
         (900, Some(800), 900, "the other takes none"),
         (900, None, 900, "nothing is known of the other"),
-        (u32::MAX, None, 40, "no maker works here: the other is asked anyway"),
+        (u32::MAX, None, 40, "no worker works here: the other is asked anyway"),
         (u32::MAX, Some(800), u32::MAX, "nobody takes it"),
     ];
     for (own, there, told, why) in cases {
@@ -334,7 +335,11 @@
         assert_eq!(spill.bound_waits(waits(own), &others, false, at(10)).of(rank), told, "{why}");
         let large = if own == u32::MAX { told } else { own };
         let bound = spill.bound_waits(waits(own), &others, true, at(10));
-        assert_eq!(bound.of(rank), large, "large ones are passed on from dead makers alone: {why}");
+        assert_eq!(
+            bound.of(rank),
+            large,
+            "large ones are passed on from dead workers alone: {why}"
+        );
         assert_eq!(
             spill.bound_waits(waits(own), &[], false, at(10)).of(rank),
             own,
@@ -344,23 +349,23 @@
 }
 
 #[test]
-fn an_overrun_region_is_helped_by_those_that_it_reaches() {
-    let cases: [(Ways<'_>, bool, &str); 4] = [
+fn an_overloaded_region_spills_to_reachable_regions() {
+    let cases: [(Links<'_>, bool, &str); 4] = [
         (&[(0, 1), (1, 0)], true, "cut off from one, the other helps"),
         (&[(1, 0)], true, "one way only is as good as none"),
         (&[(1, 2), (2, 1)], true, "those that help need not see each other"),
         (&[(0, 1), (0, 2)], false, "by itself it makes what it can"),
     ];
     for (cuts, is_helped, why) in cases {
-        let mut play = Play::new(true);
-        play.cuts = cuts.to_vec();
-        play.run(8000, [55, 15, 15]);
-        let shares = [0, 1, 2].map(|i| play.share(i, 2000, 6000));
+        let mut sim = Simulation::new(true);
+        sim.cuts = cuts.to_vec();
+        sim.run(8000, [55, 15, 15]);
+        let shares = [0, 1, 2].map(|i| sim.in_time_share(i, 2000, 6000));
         assert_eq!(shares[0] > 0.9, is_helped, "{why}: {shares:?}");
         assert!(shares[1] > 0.97 && shares[2] > 0.97, "{why}: {shares:?}");
-        play.cuts.clear();
-        play.run(14_000, [55, 15, 15]);
-        let healed = play.share(0, 9500, 12_500);
+        sim.cuts.clear();
+        sim.run(14_000, [55, 15, 15]);
+        let healed = sim.in_time_share(0, 9500, 12_500);
         assert!(healed > 0.9, "{why}: {healed} once it is healed");
     }
 }
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -262,7 +262,7 @@
     let mut c = Coordinator::new(batch::pool(), Policy::default());
     c.handle(at(0), makers(&[17], "a"));
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r1", 1) };
-    let first = batch::calls(&c.handle(at(0), batch::placed(1, large)));
+    let first = batch::calls(&c.handle(at(0), batch::order_event(1, large)));
     assert_eq!(first[0].worker, id(17));
     c.handle(at(10), makers(&[18], "a"));
     (c, first[0].clone())
@@ -272,7 +272,7 @@
 fn a_maker_that_starts_again_has_its_slots_and_its_room() {
     let (mut c, old) = restarted();
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
-    let next = batch::calls(&c.handle(at(20), batch::placed(2, large.clone())));
+    let next = batch::calls(&c.handle(at(20), batch::order_event(2, large.clone())));
     assert_eq!(next.len(), 1, "the slot of the start before is not its own");
     assert_eq!(next[0].worker, id(18));
     // What the start before made takes no room at the next one.
@@ -280,7 +280,7 @@
     let end = batch::made(&next[0]);
     c.handle(at(40), Event::CallEnded(next[0].number, end));
     let small = BatchOrder { result_bytes: 1_000_000, ..batch::order("r3", 1) };
-    let third = batch::calls(&c.handle(at(50), batch::placed(3, small)));
+    let third = batch::calls(&c.handle(at(50), batch::order_event(3, small)));
     assert_eq!(third[0].worker, id(18));
 }
 
@@ -293,7 +293,7 @@
         let mut actions = c.handle(at(20), Event::CallEnded(old.number, end.clone()));
         actions.extend(c.handle(at(21), Event::Probed(id(17), false)));
         let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
-        actions.extend(c.handle(at(22), batch::placed(2, large)));
+        actions.extend(c.handle(at(22), batch::order_event(2, large)));
         actions.extend(c.handle(at(22), Event::Tick));
         // Left out or short of room, it would have no call yet.
         let started = batch::calls(&actions);
--- a/crates/decide/tests/support/batch.rs
+++ b/crates/decide/tests/support/batch.rs
@@ -1,4 +1,4 @@
-//! Orders, makers and calls for the tests of the batch coordinator.
+//! Orders, workers and calls for the tests of the batch coordinator.
 
 use decide::batch::{Action, Call, CallEnd, Coordinator, Event, OrderId, WorkerInfo};
 use model::Time;
@@ -7,7 +7,7 @@
     TargetId,
 };
 
-/// What one maker bears.
+/// What one worker bears.
 pub fn pool() -> StagePool {
     StagePool { slots: 1, batch: 10, call_ms: 100.0, item_ms: 10.0, room_mb: 100.0, keep_ms: 4000 }
 }
@@ -18,12 +18,12 @@
 }
 
 /// An order that may be handed over.
-pub fn placed(id: OrderId, order: BatchOrder) -> Event {
+pub fn order_event(id: OrderId, order: BatchOrder) -> Event {
     Event::Order { id, order, pinned: false }
 }
 
 /// Makers and their failure domains, none of them cold.
-pub fn makers(of: &[(&str, &str)]) -> Event {
+pub fn workers(of: &[(&str, &str)]) -> Event {
     let info = |(id, domain): &(&str, &str)| WorkerInfo {
         id: (*id).into(),
         domain: (*domain).into(),
@@ -58,10 +58,10 @@
     }
 }
 
-/// A coordinator of these makers.
+/// A coordinator of these workers.
 pub fn coordinator(of: &[(&str, &str)]) -> Coordinator {
     let mut c = Coordinator::new(pool(), Policy::default());
-    c.handle(at(0), makers(of));
+    c.handle(at(0), workers(of));
     c
 }
 
@@ -86,7 +86,7 @@
 /// Makers that are asked for a sign of life.
 pub fn probes(actions: &[Action]) -> Vec<TargetId> {
     let probe = |a: &Action| match a {
-        Action::Probe(maker) => Some(maker.clone()),
+        Action::Probe(worker) => Some(worker.clone()),
         _ => None,
     };
     actions.iter().filter_map(probe).collect()
