--- a/crates/decide/src/batch/coordinator.rs
+++ b/crates/decide/src/batch/coordinator.rs
@@ -204,7 +204,7 @@
             }
         }
         if let Some(size) = self.min_refused_bytes(&flight, &end) {
-            self.workers.had_no_room(&flight.worker, size, now);
+            self.workers.record_no_room(&flight.worker, size, now);
         }
         match end {
             CallEnd::Answered(results) if results.len() == flight.pieces.len() => {
--- a/crates/decide/src/batch/workers.rs
+++ b/crates/decide/src/batch/workers.rs
@@ -305,7 +305,7 @@
     }
 
     /// A worker had less room than was reckoned.
-    pub(super) fn had_no_room(&mut self, id: &TargetId, size: u64, now: Time) {
+    pub(super) fn record_no_room(&mut self, id: &TargetId, size: u64, now: Time) {
         self.update(id, now, |m| m.record_no_room(size, now));
     }
 
