--- a/crates/decide/src/batch/coordinator.rs
+++ b/crates/decide/src/batch/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator machine: its orders and what becomes of its calls.
+//! State machine of the batch coordinator: its orders and the calls in flight.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use super::workers::Workers;
 use crate::region::LocalLoad;
 
-/// Calls that may fail under one order before it is given up.
+/// Failed calls that an order survives; a further one fails it.
 const MAX_FAILURES: u32 = 3;
-/// Times the time from which on it is overdue that a call may take before its worker counts as
-/// slow: one that was late by little, behind a link that has just healed, is as good as others.
+/// Multiple of the overdue threshold from which a call marks its worker as slow. A worker only
+/// slightly late, for example behind a link that has just healed, is treated like any other.
 const SLOW_FACTOR: u32 = 2;
 
 #[derive(Debug)]
@@ -27,11 +27,11 @@
     pub(super) pieces: Vec<(OrderId, usize)>,
     pub(super) started: Time,
     pub(super) expected: Duration,
-    /// When it counted as overdue, if it did.
+    /// Threshold that applied when the call was found overdue; `None` if it was not.
     pub(super) overdue_after: Option<Duration>,
 }
 
-/// Batches the pieces of one service.
+/// Batches the pieces of one stage service into calls.
 #[derive(Debug)]
 pub struct Coordinator {
     pub(super) pool: StagePool,
@@ -46,7 +46,7 @@
 }
 
 impl Coordinator {
-    /// A coordinator with no workers yet.
+    /// Creates a coordinator without workers.
     pub fn new(pool: StagePool, policy: Policy) -> Self {
         Coordinator {
             workers: Workers::new(&pool),
@@ -61,26 +61,26 @@
         }
     }
 
-    /// Orders not answered yet.
+    /// Number of unanswered orders.
     pub fn open_orders(&self) -> usize {
         self.orders.len()
     }
 
-    /// Pieces that wait for a call.
+    /// Number of pieces waiting for a call.
     pub fn queued_pieces(&self) -> usize {
         self.orders.values().map(|o| o.queued.len()).sum()
     }
 
-    /// Workers looked at so far: what the machine's work grows with.
+    /// Number of worker entries examined so far, a measure of the coordinator's cost.
     pub fn visited(&self) -> u64 {
         self.workers.visited()
     }
 
-    /// What an order would wait now before a call takes it, by its rank.
+    /// Expected wait of a new order before a call takes it, by rank.
     pub fn waits(&mut self, now: Time) -> Waits {
         self.workers.refresh(now);
-        // Workers that were late are back soon: doors that took them for gone would stay shut for
-        // longer than they are left out.
+        // Slow and full workers accept calls again soon. Reporting them as unavailable would make
+        // admission refuse requests for longer than the workers are ejected.
         let Some((workers, retry_in)) = self.workers.serving_or_retrying(now) else {
             return Waits(vec![(Rank::default(), Waits::NOBODY)]);
         };
@@ -101,7 +101,7 @@
         Waits(waits.collect())
     }
 
-    /// What an order would find at the workers now.
+    /// Wait and call time that an order would get from the local workers.
     pub fn local_load(&mut self, order: &BatchOrder, now: Time) -> LocalLoad {
         let wait = self.waits(now).of(order.rank);
         let slots = self.workers.serving_count() * self.pool.slots.max(1) as usize;
@@ -112,18 +112,18 @@
         }
     }
 
-    /// Time of a worker that a piece takes in a full call.
+    /// Worker time per piece in a full call, in milliseconds.
     fn piece_ms(&self) -> f64 {
         self.pool.call_ms / self.pool.batch.max(1) as f64 + self.pool.item_ms
     }
 
-    /// Sets what one worker bears, when rules change.
+    /// Updates the worker capacity after a configuration change.
     pub fn set_pool(&mut self, pool: StagePool, now: Time) {
         self.workers.set_pool(&pool, now);
         self.pool = pool;
     }
 
-    /// Takes one event; returns what is to be done.
+    /// Processes an event and returns the actions to take.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.workers.refresh(now);
@@ -168,7 +168,7 @@
         self.orders.insert(id, order);
     }
 
-    /// A call at work is not stopped by its caller; its results are freed at its end.
+    /// Calls in flight are not aborted; their results are freed when they end.
     fn cancel(&mut self, id: OrderId, out: &mut Vec<Action>) {
         if let Some(order) = self.orders.remove(&id) {
             free_results(order.results, out);
@@ -239,7 +239,7 @@
             return free_results(vec![Some(result)], out);
         };
         if order.results[piece].is_some() {
-            // Another call made it first.
+            // Another call has already produced it.
             return free_results(vec![Some(result)], out);
         }
         if result == PieceResult::NoRoom {
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Puts a call's pieces back in the queue; `counts` if the call failed.
+    /// Requeues the pieces of a call; `is_failure` counts a failure for each of its orders.
     fn requeue(
         &mut self,
         now: Time,
@@ -293,9 +293,9 @@
         }
     }
 
-    /// Ends orders whose time is over. Those that no call has taken by the time at which
-    /// they were wanted end too: behind all that can still be in time they would wait to
-    /// the end, while their callers could come back.
+    /// Ends orders that are out of time. Orders not started by the time their results were due end
+    /// too: they would queue behind every order that can still be in time until they expire, while
+    /// their callers could retry.
     fn drop_late(&mut self, now: Time, out: &mut Vec<Action>) {
         let shedding = self.policy.shedding;
         let is_expired =
@@ -305,7 +305,8 @@
         self.drop_expired(expired, out);
     }
 
-    /// Ends orders for want of time, or of the room that took it.
+    /// Answers orders with [`PieceResult::NoRoom`] if they lacked room, else with
+    /// [`PieceResult::Late`].
     fn drop_expired(&mut self, expired: Vec<OrderId>, out: &mut Vec<Action>) {
         for id in expired {
             let lacked_room = self.orders.get(&id).is_some_and(|o| o.lacked_room);
@@ -314,8 +315,8 @@
         }
     }
 
-    /// Ends orders that no worker may take: all workers lie outside of the regions that are
-    /// allowed, and none inside is even busy. To wait for one would only make the refusal late.
+    /// Fails orders whose allowed regions have no worker, not even a busy one. Waiting would only
+    /// delay the refusal.
     fn drop_barred(&mut self, out: &mut Vec<Action>) {
         let workers = &self.workers;
         let is_barred = |o: &Order| {
@@ -329,7 +330,7 @@
         }
     }
 
-    /// Answers an order with this for each piece, and frees what was made of it.
+    /// Answers an order with the same result for each piece, and frees the results it has.
     fn fail_order(&mut self, id: OrderId, result: &PieceResult, out: &mut Vec<Action>) {
         if let Some(order) = self.orders.remove(&id) {
             let n = order.results.len();
@@ -338,8 +339,8 @@
         }
     }
 
-    /// Asks once more for what is wanted of calls that are later than nearly all: their workers
-    /// may have lost them, be slow, or be out of reach. What comes second is freed.
+    /// Requeues the missing pieces of overdue calls, whose workers may have lost them, be slow or
+    /// be unreachable. The second result for a piece is freed.
     fn repeat_overdue(&mut self, now: Time, out: &mut Vec<Action>) {
         if !self.policy.overdue_calls {
             return;
@@ -361,8 +362,7 @@
     }
 }
 
-/// Asks once more for those of a call's pieces that are still wanted and may be; returns how
-/// many they are.
+/// Requeues the missing pieces of a call as far as the repeat budget allows; returns how many.
 fn requeue_overdue(
     pieces: &[(OrderId, usize)],
     orders: &mut BTreeMap<OrderId, Order>,
--- a/crates/decide/src/batch/feed.rs
+++ b/crates/decide/src/batch/feed.rs
@@ -1,7 +1,7 @@
 //! Tells a coordinator which workers may get calls.
 //!
-//! The whole list is told once, and again when something changes that concerns all workers. Apart
-//! from that only what discovery changed, and what time alone changes, is looked at.
+//! A snapshot is sent first, and again when something changes for all workers. Otherwise the feed
+//! examines only what discovery changed and what changes with time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,20 +14,20 @@
 use crate::permit::{LIMITED_CALL, pace_of};
 use crate::region::Map;
 
-/// Workers of one pool as its coordinator was told of them.
+/// Workers of one pool as last announced to its coordinator.
 #[derive(Debug, Default)]
 pub struct WorkerFeed {
-    /// Up to where changes of the fleet were looked at; `None` before the first look.
+    /// Fleet revision up to which changes were read; `None` before the first read.
     cursor: Option<u64>,
     cold: Option<ColdLimit>,
-    /// Whether workers are there that name no limit, so that those that do get short calls.
+    /// Whether any worker has no rate limit; workers with a limit then get short calls.
     has_unlimited: bool,
     announced: BTreeMap<Name, TargetId>,
-    /// Targets that become usable or not, or warm, by time alone.
+    /// Targets whose usability or cold state changes with time alone.
     timers: BTreeSet<(Time, Name)>,
 }
 
-/// What is looked at for one pool.
+/// Inputs for evaluating the targets of one pool.
 struct View<'a> {
     fleet: &'a Fleet,
     pool: &'a PoolId,
@@ -39,7 +39,7 @@
 }
 
 impl WorkerFeed {
-    /// What the coordinator is to be told by now, if anything.
+    /// The next event for the coordinator; `None` if nothing changed.
     pub fn next_event(
         &mut self,
         fleet: &Fleet,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Names that may have changed since the last look; `None` if any may.
+    /// Names that may have changed since the last read; `None` if any may have.
     fn take_changes(&mut self, fleet: &Fleet, now: Time) -> Option<Vec<Name>> {
         let cursor = self.cursor.replace(fleet.cursor());
         let ChangedTargets::Names(mut names) = fleet.changes_since(cursor?) else {
@@ -125,7 +125,7 @@
         limits.is_empty() || usable.any(|b| !self.has_limit(b))
     }
 
-    /// A target as the machine is to know it; `None` if it may get no calls.
+    /// The worker entry of a target; `None` if it may get no calls.
     fn info(&self, b: &Belief) -> Option<WorkerInfo> {
         let region = self.pool.region.as_ref();
         if region.is_some_and(|r| self.map.region_of(&b.target.domain) != *r) {
@@ -143,13 +143,13 @@
         })
     }
 
-    /// Least time between two calls of a cold worker.
+    /// Minimum interval between calls to a cold worker.
     fn cold_gap(&self, b: &Belief) -> Option<Duration> {
         let limit = self.cold.filter(|l| self.fleet.is_cold(b, *l, self.now))?;
         Some(limit.gap.unwrap_or(Duration::MAX))
     }
 
-    /// Least time between two calls of a worker that names a limit.
+    /// Minimum interval between calls to a worker with a rate limit.
     fn limit_gap(&self, b: &Belief) -> Option<Duration> {
         let rate = pace_of(self.fleet.limits().get(&b.target.id)?);
         let max_pieces = if self.has_unlimited { LIMITED_CALL } else { 1 };
--- a/crates/decide/src/batch/fill.rs
+++ b/crates/decide/src/batch/fill.rs
@@ -1,4 +1,4 @@
-//! Which worker gets the next call, and with which pieces.
+//! Chooses the worker for the next call and the pieces that it carries.
 
 use model::Time;
 
@@ -8,35 +8,37 @@
 use super::worker::Location;
 use super::workers::{Group, ReadyWorker};
 
-/// Part of the workers that is kept idle for what comes next while calls are kept short.
+/// Fraction of the workers kept idle for new orders while calls are kept short.
 const IDLE_RESERVE: f64 = 0.5;
-/// Part of a call's own time that its pieces may add before a further call is worth it.
+/// Fraction of a call's fixed time that its pieces may add before another call is worthwhile.
 const SHORT_CALL_FRACTION: f64 = 0.2;
-/// Calls over which what waits of one order is spread at most: each is a worker that may fail.
+/// Maximum number of calls that the queued pieces of one order are spread over, since each worker
+/// may fail.
 const MAX_SPLIT: usize = 3;
 
 impl Coordinator {
     pub(super) fn start_calls(&mut self, now: Time, out: &mut Vec<Action>) {
-        // Without this, workers all of whose work went elsewhere would never come back.
+        // Probes must be sent even with nothing queued. Otherwise workers whose traffic has moved
+        // elsewhere would never return.
         let none_available = self.workers.serving_count() == 0;
         if self.queued_pieces() == 0 && !none_available {
             return;
         }
         out.extend(self.workers.take_probes_due(now).into_iter().map(Action::Probe));
         let max_pieces = self.call_size();
-        // Calls that start change neither who works nor where.
+        // Starting calls changes neither which workers are available nor where they are.
         let available = self.workers.available_locations();
         let mut groups = self.workers.ready_groups();
         while let Some(group) = self.workers.best_group(&groups).cloned() {
-            // Others of the group have less room for the same orders.
+            // The other workers of the group have less room for the same orders.
             if !self.start_in_group(&group, &available, max_pieces, now, out) {
                 groups.remove(&group);
             }
         }
     }
 
-    /// Most pieces of the next calls. While workers idle, short calls make what waits sooner; the
-    /// more of them work, the longer calls get, since each costs the same whatever it carries.
+    /// Maximum number of pieces for the next calls. Short calls finish sooner while workers are
+    /// idle; calls grow with load because each has the same fixed cost.
     fn call_size(&self) -> usize {
         let batch = self.pool.batch.max(1);
         let reserved = (self.workers.serving_count() as f64 * IDLE_RESERVE) as usize;
@@ -52,7 +54,7 @@
         size.clamp(1, batch)
     }
 
-    /// Starts a call at the first worker of a group; returns whether any order suits it.
+    /// Starts a call at the first worker of a group; returns whether one started.
     fn start_in_group(
         &mut self,
         group: &Group,
@@ -77,7 +79,7 @@
         self.start_call(now, worker, accepted.into_iter().map(|(_, n)| n), out)
     }
 
-    /// Starts one call with pieces of these orders, in this order, if there is room for any.
+    /// Starts a call with pieces of these orders, in the given order; returns false if none fits.
     fn start_call(
         &mut self,
         now: Time,
--- a/crates/decide/src/batch/latency.rs
+++ b/crates/decide/src/batch/latency.rs
@@ -1,30 +1,30 @@
-//! How long calls take, against what the rules say of them, and when one is overdue.
+//! Estimates call times relative to the configured ones, and detects overdue calls.
 //!
-//! The time of a call is known roughly: it differs by stage and by what its inputs have to
-//! cross. So the ratio of true to expected time is followed as TCP follows its round trips
-//! (Jacobson 1988): a mean and a mean deviation. A call beyond the mean and four deviations
-//! is later than nearly all.
+//! Configured call times are approximate: the true ones depend on the stage and on the links that
+//! inputs cross. The ratio of actual to expected time is tracked like a TCP round-trip time
+//! (Jacobson 1988), with a mean and a mean deviation. Few calls take longer than the mean plus four
+//! deviations.
 
 use std::time::Duration;
 
-/// Weight of the newest call in the mean.
+/// Weight of the newest sample in the mean.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
-/// Weight of the newest call in the deviation.
+/// Weight of the newest sample in the deviation.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
-/// Deviations beyond the mean from which on a call is overdue.
+/// Number of deviations above the mean from which a call is overdue.
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// Deviation assumed before any call has ended.
+/// Deviation assumed before the first sample.
 const INITIAL_DEVIATION: f64 = 0.25;
-/// Least deviation reckoned with: in calm all calls take the same time, and those that are a
-/// quarter slower for a moment, as when a cut heals, are not lost.
+/// Minimum deviation. Under light load all calls take the same time, and a call that is a quarter
+/// slower for a moment, for example while a partition heals, is not lost.
 const MIN_DEVIATION: f64 = 0.15;
-/// Largest ratio that is learned from: a target that is slow says nothing of the others.
+/// Maximum ratio of a sample, since one slow target says nothing about the others.
 const MAX_RATIO: f64 = 3.0;
-/// Least time beyond the mean: a host whose share of its core is used up for the moment hears
-/// of an answer up to 100 ms late.
+/// Minimum margin above the mean. A host that has used up its CPU quota notices an answer up to 100
+/// ms late.
 const MIN_MARGIN: Duration = Duration::from_millis(120);
 
-/// Running mean and deviation of the time of calls, as parts of what was expected.
+/// Running mean and deviation of call times, as a ratio of the expected time.
 #[derive(Debug)]
 pub(super) struct LatencyEstimate {
     mean: f64,
@@ -38,7 +38,7 @@
 }
 
 impl LatencyEstimate {
-    /// A call took so long.
+    /// Records the duration of a call.
     pub(super) fn record(&mut self, expected: Duration, took: Duration) {
         if expected.is_zero() {
             return;
@@ -49,12 +49,12 @@
         self.deviation += DEVIATION_WEIGHT * (error.abs() - self.deviation);
     }
 
-    /// Time that a call usually takes.
+    /// Mean duration of a call with this expected time.
     pub(super) fn typical(&self, expected: Duration) -> Duration {
         expected.mul_f64(self.mean)
     }
 
-    /// Time from which on a call is overdue.
+    /// Age from which a call is overdue.
     pub(super) fn overdue_after(&self, expected: Duration) -> Duration {
         let typical = self.typical(expected);
         let deviation = self.deviation.max(MIN_DEVIATION);
--- a/crates/decide/src/batch/mod.rs
+++ b/crates/decide/src/batch/mod.rs
@@ -1,10 +1,10 @@
 //! The batch coordinator of one stage service.
 //!
-//! A call costs the same whatever it carries, so pieces of many requests share
-//! calls. The coordinator knows every call that it has in flight and what room
-//! each worker has left; when a worker is free it fills a call with what waits, most
-//! urgent first. Nothing depends on there being only one coordinator: pieces may
-//! be made twice, and a worker turns away what it cannot take.
+//! A call has a fixed cost whatever it carries, so pieces of several requests share calls. A worker
+//! is a target of the service's pool. The coordinator tracks its calls in flight and the room left
+//! at each worker, and fills a call for each free worker with the most urgent pieces. Several
+//! coordinators may run at once: pieces may be computed twice, and workers refuse calls beyond
+//! their capacity.
 
 mod coordinator;
 mod feed;
--- a/crates/decide/src/batch/orders.rs
+++ b/crates/decide/src/batch/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: what of them waits, how urgent they are, and where they may be made.
+//! Open orders: their queued pieces, their urgency and where they may run.
 
 use std::time::Duration;
 
@@ -7,40 +7,41 @@
 
 use super::worker::Location;
 
-/// Slack below which an urgent order may be made elsewhere after all.
+/// Slack beyond a typical call time below which an urgent order may leave its preferred failure
+/// domain.
 const SPILL_SLACK: Duration = Duration::from_millis(150);
-/// Part of a call that is filled while orders wait. More, and an order that can still be in
-/// time goes behind others as a late one; less, and a late one takes the place of one in time.
+/// Typical fill of a call while orders wait. A larger value puts orders that can still be in time
+/// behind others as late; a smaller one lets late orders displace those in time.
 const TYPICAL_FILL: f64 = 0.75;
-/// Failed calls from which on an order goes alone.
+/// Number of failed calls after which an order gets calls of its own.
 const ISOLATE_AFTER: u32 = 2;
-/// Workspaces of ranks up to this one may be made elsewhere for want of time.
+/// Workspace rank up to which orders may leave their failure domain when short of time.
 const MAX_SPILL_RANK: u8 = 1;
 
-/// Key by which orders are taken; the least goes first.
+/// Sort key of orders; the smallest is served first.
 pub(super) type Urgency = (bool, bool, Rank, bool, Duration);
 
-/// Time of a call with these pieces, filled up by others as it usually is when orders wait.
+/// Time of a call with these pieces, filled up by others as is typical while orders wait.
 pub(super) fn typical_call_time(pool: &StagePool, pieces: u32) -> Duration {
     let typical = (pool.batch as f64 * TYPICAL_FILL) as u32;
     pool.call_time(typical.max(pieces))
 }
 
-/// One order that is not answered yet.
+/// An unanswered order.
 #[derive(Debug)]
 pub(super) struct Order {
     pub(super) order: BatchOrder,
     pub(super) queued: Vec<usize>,
     pub(super) results: Vec<Option<PieceResult>>,
-    /// Calls under way for each piece.
+    /// Calls in flight for each piece.
     in_flight_calls: Vec<u8>,
     pub(super) failures: u32,
-    /// When the last of these was seen.
+    /// When the last failure was counted.
     last_failure: Option<Time>,
     pub(super) pinned: bool,
-    /// A call was overdue and its pieces were asked for again.
+    /// Whether pieces of an overdue call were requeued.
     was_repeated: bool,
-    /// A worker that could take a call had too little room for it.
+    /// Whether a worker that could take a call lacked room for this order's pieces.
     pub(super) lacked_room: bool,
     arrived: Time,
     home_domain: Option<Name>,
@@ -64,25 +65,25 @@
         }
     }
 
-    /// Time until the stage must be over for the request to be in time.
+    /// Time left to complete the stage for the request to be in time.
     fn slack(&self, now: Time) -> Duration {
         Duration::from_millis(self.order.slack_ms).saturating_sub(now.since(self.arrived))
     }
 
-    /// Milliseconds until the request is given up.
+    /// Milliseconds until the request is abandoned.
     pub(super) fn left_ms(&self, now: Time) -> u64 {
         let waited = now.since(self.arrived).as_millis() as u64;
         self.order.left_ms.saturating_sub(waited)
     }
 
-    /// Whether the request is given up by now.
+    /// Whether the request has been abandoned.
     pub(super) fn is_expired(&self, now: Time) -> bool {
         now.since(self.arrived) >= Duration::from_millis(self.order.left_ms)
     }
 
-    /// Whether the order could have been in time when it came, and no call has taken any
-    /// of it by the time at which it should have been made. One whose call failed is made
-    /// again, late: it did not wait behind others.
+    /// Whether the order could have been in time on arrival, and no call took any of it before its
+    /// slack ran out. An order whose call failed is retried late instead, since it did not wait
+    /// behind others.
     pub(super) fn is_starved(&self, pool: &StagePool, now: Time) -> bool {
         self.may_starve(pool) && self.slack(now).is_zero()
     }
@@ -94,14 +95,14 @@
         !self.is_started() && !had_call && could_be_in_time
     }
 
-    /// Whether its calls carry nothing else: two have failed under it, and a piece that ends
-    /// whatever makes it would take the others' with it a third time.
+    /// Whether the order shares no calls: two of its calls have failed, and a piece that crashes
+    /// every worker would fail the other orders' pieces a third time.
     pub(super) fn is_isolated(&self) -> bool {
         self.failures >= ISOLATE_AFTER
     }
 
-    /// A call that was begun then failed. Calls that were under way together count once: they
-    /// fail for one reason, such as a lost failure domain.
+    /// Counts the failure of a call started at `started`. Calls that were in flight together count
+    /// once, since they fail for one reason, such as the loss of a failure domain.
     pub(super) fn call_failed(&mut self, started: Time, now: Time) {
         if self.last_failure.is_none_or(|last| started >= last) {
             self.failures += 1;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Whether a call has taken some of it.
+    /// Whether any piece has been taken by a call.
     pub(super) fn is_started(&self) -> bool {
         self.queued.len() < self.results.len()
     }
@@ -119,14 +120,13 @@
         self.slack(now) < self.typical_time(pool)
     }
 
-    /// Time of a call with the order's pieces, filled up by others' as it usually is when
-    /// orders wait.
+    /// Time of a call with the queued pieces, filled up by other orders as is typical.
     fn typical_time(&self, pool: &StagePool) -> Duration {
         typical_call_time(pool, self.queued.len() as u32)
     }
 
-    /// Begun orders first, then those that can still be in time, the higher ranks,
-    /// those that this failure domain is meant for, the least slack.
+    /// Started orders first, then those that can still be in time, higher ranks, orders that prefer
+    /// this failure domain, and the least slack.
     pub(super) fn urgency(&self, domain: &str, pool: &StagePool, now: Time) -> Urgency {
         let is_started = self.is_started();
         let slack = self.slack(now);
@@ -138,13 +138,13 @@
         self.home_domain.as_ref().or(self.order.near.as_ref()).is_some_and(|d| **d == *domain)
     }
 
-    /// Whether the request may be served at a place.
+    /// Whether the request may be served at this location.
     fn permits(&self, location: &Location) -> bool {
         self.order.allowed.permits(location.region.as_deref())
     }
 
-    /// Whether a call at a worker at `place` suits this order. A call that orders share is
-    /// made only where each of them permits it.
+    /// Whether this order may use a worker at `location`. A call shared by several orders runs only
+    /// where all of them permit it.
     pub(super) fn accepts(
         &self,
         location: &Location,
@@ -169,7 +169,7 @@
             || (is_urgent && self.order.rank.workspace <= MAX_SPILL_RANK)
     }
 
-    /// Takes up to `most` waiting pieces for a call in `domain`.
+    /// Takes up to `limit` queued pieces for a call in `domain`.
     pub(super) fn take_queued(&mut self, limit: usize, domain: &Name) -> Vec<usize> {
         let count = self.queued.len().min(limit);
         if count > 0 {
@@ -182,24 +182,24 @@
         taken
     }
 
-    /// A call for a piece ended.
+    /// Records the end of a call for a piece.
     pub(super) fn call_ended(&mut self, piece: usize) {
         self.in_flight_calls[piece] = self.in_flight_calls[piece].saturating_sub(1);
     }
 
-    /// The piece waits for a call again, unless it is made or another call is under way.
+    /// Requeues a piece unless it has a result or another call in flight.
     pub(super) fn requeue(&mut self, piece: usize) {
         if self.in_flight_calls[piece] == 0 {
             self.enqueue(piece);
         }
     }
 
-    /// Whether only one call, which is overdue, is under way for a piece that is not made yet.
+    /// Whether the piece has no result and its overdue call is the only one in flight.
     pub(super) fn may_repeat(&self, piece: usize) -> bool {
         self.in_flight_calls[piece] == 1 && self.results[piece].is_none()
     }
 
-    /// The piece waits for a second call although the first one is still under way.
+    /// Requeues a piece while its first call is still in flight.
     pub(super) fn repeat(&mut self, piece: usize) {
         self.was_repeated = true;
         self.enqueue(piece);
@@ -211,7 +211,7 @@
         }
     }
 
-    /// A piece is made, or will not be.
+    /// Sets the final result of a piece.
     pub(super) fn set_result(&mut self, piece: usize, result: PieceResult) {
         self.queued.retain(|p| *p != piece);
         self.results[piece] = Some(result);
--- a/crates/decide/src/batch/quota.rs
+++ b/crates/decide/src/batch/quota.rs
@@ -1,22 +1,22 @@
-//! How many pieces the workers of a version on trial may get: a part of all that were asked for
-//! since its trial began here.
+//! Limits the pieces sent to a version on trial to a share of all pieces since its trial began
+//! here.
 
-/// Pieces asked for since a version is on trial.
+/// Pieces sent since the trial began.
 #[derive(Debug, Default)]
 pub(super) struct TrialQuota {
     total: u64,
-    /// Of these, by workers of the version.
+    /// Pieces sent to workers of the version on trial.
     trial: u64,
 }
 
 impl TrialQuota {
-    /// Pieces that the version may get now, if it may have this part of all.
+    /// Number of pieces that the version may get now, given its share of all pieces.
     pub(super) fn available(&self, share: f64) -> usize {
         let allowed = (self.total as f64 * share) as u64;
         allowed.saturating_sub(self.trial) as usize
     }
 
-    /// Pieces were asked for, at a worker of the version or at another one.
+    /// Records pieces sent to a worker.
     pub(super) fn record(&mut self, pieces: usize, is_trial: bool) {
         self.total += pieces as u64;
         if is_trial {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// No version is on trial.
+    /// Resets the counts when no version is on trial.
     pub(super) fn reset(&mut self) {
         *self = TrialQuota::default();
     }
--- a/crates/decide/src/batch/repeats.rs
+++ b/crates/decide/src/batch/repeats.rs
@@ -1,15 +1,15 @@
-//! How many pieces may be asked for once more.
+//! Budget for repeating the pieces of overdue calls.
 //!
-//! When all calls become slow, repeats would make them slower, so they are bounded: by a part
-//! of what is asked for in the long run, and by a part of what all targets work on at a moment.
+//! Repeats would make calls still slower when all calls are slow. They are limited to a fraction of
+//! the pieces sent in the long run, and to a fraction of the pieces in flight at any moment.
 
-/// Pieces that may be asked for again for each piece asked for.
+/// Repeats earned by each piece sent.
 const REPEAT_RATIO: f64 = 0.1;
-/// Part of what all targets work on at once that may be asked for again at a moment: a failure
-/// domain that is cut off holds a third or a half of it.
+/// Maximum budget as a fraction of the pieces that all targets work on at once. A failure domain
+/// that is cut off holds a third or a half of them.
 const BURST_FRACTION: f64 = 0.5;
 
-/// Pieces that may be asked for again now.
+/// Number of pieces that may be repeated now.
 #[derive(Debug)]
 pub(super) struct RepeatBudget(f64);
 
@@ -20,19 +20,19 @@
 }
 
 impl RepeatBudget {
-    /// Pieces were asked for.
+    /// Adds to the budget for pieces sent.
     pub(super) fn deposit(&mut self, pieces: usize) {
         self.0 += pieces as f64 * REPEAT_RATIO;
     }
 
-    /// Targets work on `all` pieces at once, one call holds `batch` of them. The pieces of one
-    /// call may always be asked for again.
+    /// Caps the budget, given the pieces that all targets work on at once and the size of one call.
+    /// A full call may always be repeated.
     pub(super) fn cap(&mut self, all: usize, batch: usize) {
         let max = (all as f64 * BURST_FRACTION).max(batch as f64);
         self.0 = self.0.min(max);
     }
 
-    /// Takes one piece if it may be asked for again.
+    /// Takes one repeat from the budget; returns false if it is exhausted.
     pub(super) fn withdraw(&mut self) -> bool {
         let granted = self.0 >= 1.0;
         if granted {
--- a/crates/decide/src/batch/types.rs
+++ b/crates/decide/src/batch/types.rs
@@ -1,114 +1,113 @@
-//! What a batch coordinator hears and wants done.
+//! Events and actions of the batch coordinator.
 
 use std::time::Duration;
 
 use model::Name;
 use model::forward::{BatchOrder, Handle, PieceOrder, PieceResult, TargetId};
 
-/// Number of an order at this coordinator.
+/// Identifies an order at one coordinator.
 pub type OrderId = u64;
 
-/// A worker as the coordinator is told of it.
+/// A worker as announced to the coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerInfo {
-    /// Target.
+    /// Identity, including its start.
     pub id: TargetId,
-    /// Failure domain.
+    /// Failure domain of the worker.
     pub domain: Name,
-    /// Region of that, if it is known.
+    /// Region of the failure domain, if known.
     pub region: Option<Name>,
-    /// Least time between two calls, if it is cold or names a limit; [`Duration::MAX`] if it gets
-    /// none.
+    /// Minimum interval between calls if the worker is cold or rate limited; [`Duration::MAX`] if
+    /// it gets none.
     pub gap: Option<Duration>,
-    /// Most pieces of a call, if it takes fewer than others.
+    /// Maximum number of pieces in a call, if lower than for other workers.
     pub max_pieces: Option<usize>,
-    /// Part of all pieces that workers of its version may get, if that is on trial beside another
-    /// one.
+    /// Maximum share of all pieces for the workers of this version while it is on trial.
     pub share: Option<f64>,
 }
 
-/// What the coordinator hears.
+/// Input of the coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// Pieces are ordered. A `pinned` order is not handed over.
+    /// A new order.
     Order {
-        /// Number of the order.
+        /// Assigned by the caller.
         id: OrderId,
-        /// The order.
+        /// Service, pieces and time limits.
         order: BatchOrder,
-        /// Whether it stays here whatever happens.
+        /// Whether the order must not be handed over.
         pinned: bool,
     },
-    /// Nobody waits for an order any more.
+    /// The caller has abandoned the order.
     Cancel(OrderId),
-    /// A call came to an end.
+    /// A call ended.
     CallEnded(u64, CallEnd),
-    /// All workers that may get calls.
+    /// Snapshot of all workers that may get calls.
     Workers(Vec<WorkerInfo>),
-    /// Workers that came or changed, and those that get no calls any more.
+    /// Difference from the last announced workers.
     WorkersChanged {
-        /// Those that may get calls.
+        /// Workers that were added or changed.
         updated: Vec<WorkerInfo>,
-        /// Those that may not.
+        /// Workers that may get no more calls.
         removed: Vec<TargetId>,
     },
-    /// A worker gave a sign of life, or none.
+    /// Result of a probe: whether the worker answered.
     Probed(TargetId, bool),
-    /// Results are no longer wanted and are being freed.
+    /// These results are being freed.
     Freed(Vec<Handle>),
-    /// Time passed, and this node stops or does not come first any more: orders that no
-    /// call has taken yet go to another coordinator.
+    /// This node stops or is no longer the preferred coordinator: unstarted orders move to another
+    /// one.
     HandOver,
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// How a call came to an end.
+/// Outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The worker answered for each piece.
+    /// The worker returned a result for each piece.
     Answered(Vec<PieceResult>),
-    /// The worker was full and did nothing.
+    /// The worker was full and refused the call.
     Full,
-    /// The worker could not be reached, or gave no usable answer.
+    /// The worker was unreachable or returned no valid response.
     Failed,
 }
 
-/// A call to be made.
+/// A call to send to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// Number.
+    /// Identifies the call at this coordinator.
     pub number: u64,
-    /// Worker.
+    /// Worker that runs the call.
     pub worker: TargetId,
-    /// Pieces.
+    /// Pieces to compute, at most a full batch.
     pub pieces: Vec<PieceOrder>,
 }
 
-/// What the coordinator wants done.
+/// Output of the coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Make a call.
+    /// Send a call.
     Start(Call),
-    /// A call is later than nearly all: what is still wanted of it is asked for once more.
+    /// A call is overdue; its missing pieces have been requeued.
     Overdue {
-        /// Call.
+        /// Number of the call.
         number: u64,
-        /// Its worker.
+        /// Worker that runs it.
         worker: TargetId,
-        /// Pieces that are asked for again.
+        /// Number of pieces requeued.
         repeated: usize,
-        /// How long it has been under way.
+        /// Time since the call started.
         age: Duration,
-        /// When it counted as overdue.
+        /// Age from which it counts as overdue.
         limit: Duration,
     },
-    /// Ask a worker that failed for a sign of life.
+    /// Probe a worker that failed.
     Probe(TargetId),
-    /// Answer an order.
+    /// Answer an order with a result for each piece.
     Answer(OrderId, Vec<PieceResult>),
-    /// An order is to be placed with another coordinator.
+    /// Place an order with another coordinator.
     HandOver(OrderId),
-    /// Results that nobody waits for: free them.
+    /// Free results that are no longer needed.
     Free(Vec<Handle>),
 }
--- a/crates/decide/src/batch/worker.rs
+++ b/crates/decide/src/batch/worker.rs
@@ -1,4 +1,4 @@
-//! One worker: its calls, its failures and its room for results.
+//! State of one worker: its calls, failures and room for results.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,24 +8,24 @@
 
 use super::types::{CallEnd, WorkerInfo};
 
-/// First time for which a failing worker is left out.
+/// First ejection time after a failure; doubles with each further one.
 const EJECTION_BASE: Duration = Duration::from_millis(300);
-/// Longest time for which a failing worker is left out.
+/// Maximum ejection time.
 const EJECTION_MAX: Duration = Duration::from_millis(2400);
-/// Time for which a worker that was full is left out.
+/// Backoff after a worker refused a call because it was full.
 const FULL_BACKOFF: Duration = Duration::from_millis(60);
-/// Time for which a worker's want of room is held for true.
+/// Time for which a reported lack of room stays valid.
 const NO_ROOM_TTL: Duration = Duration::from_millis(120);
-/// Part of a worker's room that is used; sizes are known only roughly.
+/// Fraction of a worker's room that is used, since result sizes are estimates.
 const ROOM_FRACTION: f64 = 0.9;
 
-/// What each worker of a pool bears.
+/// Capacity of each worker in a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Capacity {
     slots: u32,
-    /// Bytes of results.
+    /// Room for results, in bytes.
     max_bytes: u64,
-    /// Time for which a result rests at most.
+    /// Time after which a worker drops a result.
     result_ttl: Duration,
 }
 
@@ -39,45 +39,45 @@
     }
 }
 
-/// Where a worker is.
+/// Location of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Location {
     pub(super) domain: Name,
-    /// Region of that, if it is known.
+    /// Region of the failure domain, if known.
     pub(super) region: Option<Name>,
 }
 
-/// Whether a worker that failed has been asked for a sign of life since.
+/// Circuit breaker state of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Breaker {
     Closed,
-    /// It failed; it is to be asked for a sign of life once its time is over.
+    /// Failed; to be probed when its ejection ends.
     Open,
-    /// It is being asked.
+    /// A probe is in flight.
     HalfOpen,
 }
 
-/// How a worker stands at one moment.
+/// Status of a worker at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Status {
-    /// It may get calls, now or once one of its own ends.
+    /// Whether it may get calls now or once one of its own ends.
     pub(super) is_available: bool,
-    /// Bytes of results that it takes with a call now; `None` if it takes no call.
+    /// Bytes of results that it can take with a call now; `None` if it can take no call.
     pub(super) free_bytes: Option<u64>,
-    /// When it takes calls again, if it is known to answer.
+    /// When it accepts calls again, if it responds.
     pub(super) retry_at: Option<Time>,
-    /// When it is to be asked for a sign of life.
+    /// When it is to be probed.
     pub(super) probe_at: Option<Time>,
-    /// When this changes without an event.
+    /// When this status changes without an event.
     pub(super) changes_at: Option<Time>,
 }
 
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) location: Location,
-    /// Most pieces of its call.
+    /// Maximum number of pieces in a call.
     pub(super) max_pieces: Option<usize>,
-    /// Part of all pieces that workers of its version may get, if that is on trial.
+    /// Maximum share of all pieces for its version, if that is on trial.
     pub(super) share: Option<f64>,
     pub(super) present: bool,
     pub(super) calls: u32,
@@ -85,16 +85,17 @@
     last_call: Option<Time>,
     ejected_until: Time,
     failed_in_a_row: u32,
-    /// It answered last, late or that it is full: left out, it is asked again soon.
+    /// Whether it answered its last call, late or with a refusal: it is retried soon after an
+    /// ejection.
     is_responsive: bool,
     breaker: Breaker,
-    /// Size of a result that had no room, and until when that is held for true.
+    /// Size of a result that had no room, and until when that holds.
     result_cap: Option<(u64, Time)>,
     in_flight_bytes: u64,
-    /// Bytes of each result that rests here.
+    /// Bytes of each stored result.
     results: BTreeMap<String, u64>,
     stored_bytes: u64,
-    /// Results in the order in which they were made; freed ones stay until they would run out.
+    /// Results by age; freed ones stay until they would have expired.
     by_age: VecDeque<(Time, String)>,
 }
 
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Whether it is there just as discovery tells.
+    /// Whether the worker is present with exactly this announced state.
     pub(super) fn matches(&self, info: &WorkerInfo) -> bool {
         self.present
             && self.location.domain == info.domain
@@ -131,7 +132,7 @@
             && self.share == info.share
     }
 
-    /// Takes what discovery tells.
+    /// Updates the announced state.
     pub(super) fn set(&mut self, info: WorkerInfo) {
         let WorkerInfo { id: _, domain, region, gap, max_pieces, share } = info;
         self.location = Location { domain, region };
@@ -141,7 +142,7 @@
         self.share = share;
     }
 
-    /// Whether this coordinator is not to start calls there, since it is cold.
+    /// Whether this coordinator must not call it because it is cold.
     fn is_excluded(&self) -> bool {
         self.gap == Some(Duration::MAX)
     }
@@ -151,13 +152,13 @@
         self.present && !is_ejected && !self.is_excluded()
     }
 
-    /// Until when it is held back, since it had a call too short a time ago.
+    /// Until when it gets no call because of the minimum interval between calls.
     fn throttled_until(&self) -> Option<Time> {
         let gap = self.gap.filter(|gap| *gap < Duration::MAX)?;
         Some(self.last_call? + gap)
     }
 
-    /// Forgets results that have run out by now.
+    /// Drops results that have expired.
     pub(super) fn expire(&mut self, capacity: Capacity, now: Time) {
         while let Some((_, text)) =
             self.by_age.pop_front_if(|(at, _)| now.since(*at) >= capacity.result_ttl)
@@ -166,7 +167,7 @@
         }
     }
 
-    /// How it stands now.
+    /// Computes the current status.
     pub(super) fn status(&self, capacity: Capacity, now: Time) -> Status {
         let is_available = self.is_available(now);
         let is_throttled = self.throttled_until().is_some_and(|until| now < until);
@@ -202,14 +203,14 @@
         self.breaker = Breaker::Open;
     }
 
-    /// A call starts, whose results will take this many bytes.
+    /// Records the start of a call whose results will take `bytes`.
     pub(super) fn call_started(&mut self, bytes: u64, now: Time) {
         self.calls += 1;
         self.last_call = Some(now);
         self.in_flight_bytes += bytes;
     }
 
-    /// A call ended.
+    /// Records the end of a call.
     pub(super) fn call_ended(&mut self, bytes: u64, end: &CallEnd, was_slow: bool, now: Time) {
         self.calls = self.calls.saturating_sub(1);
         self.in_flight_bytes = self.in_flight_bytes.saturating_sub(bytes);
@@ -222,12 +223,12 @@
         }
     }
 
-    /// It is being asked for a sign of life.
+    /// Records that a probe was sent.
     pub(super) fn probe_sent(&mut self) {
         self.breaker = Breaker::HalfOpen;
     }
 
-    /// It gave a sign of life, or none.
+    /// Records the result of a probe.
     pub(super) fn probed(&mut self, alive: bool, now: Time) {
         if self.breaker != Breaker::HalfOpen {
             return;
@@ -240,13 +241,13 @@
         }
     }
 
-    /// It had less room than was reckoned: results of this size or more are not made there for a
-    /// while, smaller ones are.
+    /// Records that results of `size` bytes had no room. Until that expires, only smaller results
+    /// are made there.
     pub(super) fn record_no_room(&mut self, size: u64, now: Time) {
         self.result_cap = Some((size, now + NO_ROOM_TTL));
     }
 
-    /// A result rests here from now on.
+    /// Records a result stored at the worker.
     pub(super) fn store(&mut self, text: &str, bytes: u64, now: Time) {
         self.remove_result(text);
         self.results.insert(text.to_string(), bytes);
@@ -254,7 +255,7 @@
         self.by_age.push_back((now, text.to_string()));
     }
 
-    /// A result no longer takes room.
+    /// Releases the room of a result.
     pub(super) fn remove_result(&mut self, text: &str) {
         if let Some(bytes) = self.results.remove(text) {
             self.stored_bytes -= bytes;
--- a/crates/decide/src/batch/workers.rs
+++ b/crates/decide/src/batch/workers.rs
@@ -1,7 +1,7 @@
-//! All workers that a coordinator was told of.
+//! All workers announced to a coordinator.
 //!
-//! Who can take a call, where workers work and what time alone changes stand in indexes that are
-//! changed with each worker, so that an event costs no pass over the pool.
+//! Indexes of ready workers, available locations and timers are updated with each worker, so that
+//! no event scans the whole pool.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 use super::worker::{Capacity, Location, Status, Worker};
 use crate::tally::Tally;
 
-/// Workers that are as good as each other but for their room: of one place, on trial or not.
+/// Workers that differ only in their room: same location, and on trial or not.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Group {
     pub(super) location: Location,
@@ -32,30 +32,30 @@
 pub(super) struct ReadyWorker {
     pub(super) id: TargetId,
     pub(super) domain: Name,
-    /// Bytes of results for which there is room.
+    /// Free room for results, in bytes.
     pub(super) free_bytes: u64,
-    /// Most pieces of its call.
+    /// Maximum number of pieces in a call.
     pub(super) max_pieces: usize,
-    /// Part of all pieces that workers of its version may get, if that is on trial.
+    /// Maximum share of all pieces for its version, if that is on trial.
     pub(super) share: Option<f64>,
 }
 
-/// What is looked up of workers without going through them.
+/// Indexes over the workers.
 #[derive(Debug, Default)]
 struct Index {
-    /// Those that can take a call, those with most room first.
+    /// Workers that can take a call, most room first.
     ready: BTreeMap<Group, BTreeSet<(Reverse<u64>, TargetId)>>,
-    /// Count of those that work.
+    /// Number of available workers by location.
     available: Tally<Location>,
-    /// Count of those that work, but for those on trial.
+    /// Number of available workers that are not on trial.
     serving_count: usize,
-    /// Count of those that are there on trial.
+    /// Number of present workers on trial.
     trial_count: usize,
-    /// Count of those that are there.
+    /// Number of present workers by region.
     regions: Tally<Option<Name>>,
     retries: BTreeSet<(Time, TargetId)>,
     probes: BTreeSet<(Time, TargetId)>,
-    /// Those whose standing changes by time alone.
+    /// Workers whose status changes with time alone.
     timers: BTreeSet<(Time, TargetId)>,
 }
 
@@ -120,12 +120,12 @@
         Workers { all: BTreeMap::new(), capacity: pool.into(), index: Index::default(), visited: 0 }
     }
 
-    /// Workers looked at so far.
+    /// Number of worker entries examined so far.
     pub(super) fn visited(&self) -> u64 {
         self.visited
     }
 
-    /// Takes what each worker bears.
+    /// Updates the capacity of all workers.
     pub(super) fn set_pool(&mut self, pool: &StagePool, now: Time) {
         let capacity = pool.into();
         if self.capacity == capacity {
@@ -138,14 +138,14 @@
         }
     }
 
-    /// Lets time pass.
+    /// Updates workers whose status has changed with time.
     pub(super) fn refresh(&mut self, now: Time) {
         while let Some((_, id)) = self.index.timers.first().filter(|(at, _)| *at <= now).cloned() {
             self.update(&id, now, |_| ());
         }
     }
 
-    /// Changes a worker, if it is known, and what is looked up of it.
+    /// Updates a known worker and the indexes.
     fn update(&mut self, id: &TargetId, now: Time, change: impl FnOnce(&mut Worker)) {
         let Some((worker, status)) = self.all.get_mut(id) else {
             return;
@@ -162,7 +162,7 @@
         self.index.insert(id, worker, status);
     }
 
-    /// Takes the workers as they are; those gone stay while they have calls.
+    /// Replaces the set of workers; removed ones stay while they have calls in flight.
     pub(super) fn set_all(&mut self, workers: Vec<WorkerInfo>, now: Time) {
         let present: BTreeSet<&TargetId> = workers.iter().map(|m| &m.id).collect();
         let absent: Vec<TargetId> =
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Takes one worker as it is.
+    /// Adds or updates a worker.
     pub(super) fn set(&mut self, info: WorkerInfo, now: Time) {
         let id = info.id.clone();
         match self.all.get(&id) {
@@ -191,19 +191,18 @@
         }
     }
 
-    /// A worker is to get no calls any more.
+    /// Marks a worker that may get no more calls.
     pub(super) fn mark_absent(&mut self, id: &TargetId, now: Time) {
         self.update(id, now, |m| m.present = false);
     }
 
-    /// Count of workers that work, but for those of a version on trial, which get few calls.
+    /// Number of available workers, without those on trial, which get few calls.
     pub(super) fn serving_count(&self) -> usize {
         self.index.serving_count
     }
 
-    /// Count of workers that work, else of those that answered late or were full and are asked
-    /// again soon, and the time until the first of them takes a call. `None` if none is known to
-    /// answer.
+    /// Number of available workers, else of ejected ones that still respond (slow or full), with
+    /// the time until the first of them accepts a call. `None` if no worker is known to respond.
     pub(super) fn serving_or_retrying(&self, now: Time) -> Option<(usize, Duration)> {
         if self.index.serving_count > 0 {
             return Some((self.index.serving_count, Duration::ZERO));
@@ -217,30 +216,30 @@
         self.index.trial_count > 0
     }
 
-    /// Where working workers are.
+    /// Locations of available workers.
     pub(super) fn available_locations(&self) -> Vec<Location> {
         self.index.available.keys().cloned().collect()
     }
 
-    /// Whether a worker is there in a region that is allowed, one that is busy or has just
-    /// failed included: those come back.
+    /// Whether an allowed region has a worker. Busy and recently failed ones count, since they
+    /// return.
     pub(super) fn has_any_permitted(&self, allowed: &Allowed) -> bool {
         self.index.regions.keys().any(|region| allowed.permits(region.as_deref()))
     }
 
-    /// Count of workers that can take a call now, but for those on trial.
+    /// Number of workers that can take a call now, without those on trial.
     pub(super) fn ready_count(&self) -> usize {
         let serving_groups = self.index.ready.iter().filter(|(group, _)| !group.is_trial);
         serving_groups.map(|(_, ready)| ready.len()).sum()
     }
 
-    /// Groups in which a worker can take a call now.
+    /// Groups with a worker that can take a call now.
     pub(super) fn ready_groups(&self) -> BTreeSet<Group> {
         self.index.ready.keys().cloned().collect()
     }
 
-    /// The group whose first worker is to get the next call: workers of a version on trial, which
-    /// get few pieces and are to be judged by them soon, then those with most room.
+    /// The group that gets the next call: first workers on trial, which get few pieces and must be
+    /// evaluated by them soon, then those with the most room.
     pub(super) fn best_group<'a>(
         &self,
         groups: impl IntoIterator<Item = &'a Group>,
@@ -267,12 +266,12 @@
         })
     }
 
-    /// A call starts at a worker, whose results will take this many bytes.
+    /// Records the start of a call whose results will take `bytes`.
     pub(super) fn call_started(&mut self, id: &TargetId, bytes: u64, now: Time) {
         self.update(id, now, |m| m.call_started(bytes, now));
     }
 
-    /// A call ended at a worker.
+    /// Records the end of a call.
     pub(super) fn call_ended(
         &mut self,
         id: &TargetId,
@@ -284,12 +283,12 @@
         self.update(id, now, |m| m.call_ended(bytes, end, was_slow, now));
     }
 
-    /// Count of workers that are known.
+    /// Number of known workers.
     pub(super) fn count(&self) -> usize {
         self.all.len()
     }
 
-    /// Workers that failed and are to be asked for a sign of life now.
+    /// Failed workers to be probed now; marks them as being probed.
     pub(super) fn take_probes_due(&mut self, now: Time) -> Vec<TargetId> {
         let due = self.index.probes.iter().take_while(|(at, _)| *at <= now);
         let due: Vec<TargetId> = due.map(|(_, id)| id.clone()).collect();
@@ -299,22 +298,26 @@
         due
     }
 
-    /// A worker gave a sign of life, or none.
+    /// Records the result of a probe.
     pub(super) fn probed(&mut self, id: &TargetId, alive: bool, now: Time) {
         self.update(id, now, |m| m.probed(alive, now));
     }
 
+<<<<<<< Updated upstream
     /// A worker had less room than was reckoned.
+=======
+    /// Records that a worker had less room than estimated.
+>>>>>>> Stashed changes
     pub(super) fn record_no_room(&mut self, id: &TargetId, size: u64, now: Time) {
         self.update(id, now, |m| m.record_no_room(size, now));
     }
 
-    /// A result rests at its worker from now on.
+    /// Records a result stored at its worker.
     pub(super) fn record_result(&mut self, handle: &Handle, bytes: u64, now: Time) {
         self.update(&handle.maker, now, |m| m.store(&handle.text, bytes, now));
     }
 
-    /// Results no longer take room.
+    /// Releases the room of results.
     pub(super) fn remove_results(&mut self, handles: &[Handle], now: Time) {
         for handle in handles {
             self.update(&handle.maker, now, |m| m.remove_result(&handle.text));
