--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -1,9 +1,9 @@
-//! Admission at one entry node: how many requests run, who waits, who is shed.
+//! Admission control of one entry node: which requests run, wait or are shed.
 //!
-//! Requests run up to a width; beyond it they wait in a bounded queue, urgent
-//! before normal before patient, and by the earliest deadline within one
-//! priority. A full queue sheds its last, which may be the newcomer. Whoever
-//! waits and can no longer finish is refused at once, never held back.
+//! Requests run up to an adaptive concurrency limit. Beyond it they wait in a bounded queue,
+//! ordered by priority (urgent, normal, patient), then by the earliest deadline. A full queue sheds
+//! its last request, which may be the new one. A waiting request that can no longer finish in time
+//! is refused at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use model::outcome::Reason;
 use model::{Name, Time};
 
-/// Share of the width that patient work may take while others run.
+/// Share of the limit that patient requests may use while others run.
 const PATIENT_SHARE: f64 = 0.7;
 
-/// Weight of a new sample in the pace.
+/// Weight of a new sample in the mean interval.
 const INTERVAL_WEIGHT: f64 = 0.05;
-/// Running that takes more than this share of the deadline means congestion.
+/// Share of its deadline from which a request's running time counts as congestion.
 const CONGESTION_SHARE: f64 = 0.6;
-/// Growth of the width with each uncongested end, and its loss with each
-/// congested one: it settles where a fifth of the ends are congested. Cutting on
-/// single late ones kept it far too narrow.
+/// Relative growth of the limit with each uncongested completion, and its decay with each congested
+/// one. It settles where a fifth of the completions are congested; cutting it on single late ones
+/// kept it far too low.
 const LIMIT_GROWTH: f64 = 0.001;
 const LIMIT_DECAY: f64 = 0.004;
-/// Width at the start; an overload must not flood the targets before it is noticed.
+/// Limit at the start, so that an overload does not flood the targets before it is detected.
 const INITIAL_LIMIT: f64 = 64.0;
-/// Least width.
+/// Lower bound of the limit.
 const MIN_LIMIT: f64 = 4.0;
 
-/// A request at the door.
+/// A request that asks for admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingRequest {
     /// Request id.
@@ -38,16 +38,16 @@
     pub priority: Priority,
     /// When its answer is due.
     pub deadline: Time,
-    /// Least time that it needs.
+    /// Minimum time that it needs.
     pub need: Duration,
 }
 
-/// What is to be done with a request.
+/// Admission decision about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// Run it.
+    /// Start the request.
     Run(Name),
-    /// Refuse it: not run.
+    /// Refuse the request, which has not run.
     Refuse(Name, Reason),
 }
 
@@ -58,9 +58,9 @@
     seq: u64,
 }
 
-/// How many requests run at once: wider while running takes little of the
-/// deadline, narrower when it takes most, so that the wait stays at the door, where
-/// the hopeless can be refused before they cost anything.
+/// Adaptive concurrency limit. It grows while running takes little of the deadline and shrinks when
+/// it takes most, so that requests wait in the queue, where hopeless ones can be refused before
+/// they cost anything.
 #[derive(Debug)]
 struct ConcurrencyLimit {
     max: f64,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Smoothed time between two requests' ends while the gate is full.
+/// Smoothed interval between completions while the limit is nearly reached.
 #[derive(Debug, Default)]
 struct CompletionInterval {
     last_end: Option<Time>,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Admission of one node.
+/// Admission queue of one node.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     limit: ConcurrencyLimit,
@@ -119,7 +119,7 @@
 }
 
 impl AdmissionQueue {
-    /// At most `width` requests run and `depth` wait.
+    /// Runs at most `limit` requests and queues at most `max_queued`.
     pub fn new(limit: usize, max_queued: usize) -> Self {
         let current = (limit as f64).min(INITIAL_LIMIT);
         let limit = ConcurrencyLimit { max: limit as f64, current, is_fixed: false };
@@ -133,27 +133,27 @@
         }
     }
 
-    /// Keeps the width as it was given.
+    /// Uses the maximum as a fixed limit.
     pub fn with_fixed_limit(mut self) -> Self {
         self.limit.current = self.limit.max;
         self.limit.is_fixed = true;
         self
     }
 
-    /// Requests running.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests waiting.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// A request arrives.
+    /// Submits a request; returns the decisions that follow.
     pub fn submit(&mut self, now: Time, w: PendingRequest) -> Vec<Verdict> {
-        // With nothing running there is nothing to wait for: times seen under
-        // load must not shut an idle node.
+        // With nothing running there is nothing to wait for: times measured under load must not
+        // block an idle node.
         if !self.running.is_empty() && now + w.need > w.deadline {
             return vec![Verdict::Refuse(w.request, Reason::Hopeless)];
         }
@@ -173,12 +173,12 @@
         out
     }
 
-    /// Requests that may run at once, as adapted.
+    /// Current concurrency limit.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// A request ended after running for `ran` under a deadline of `most`.
+    /// Records the end of a request that ran for `ran` under a deadline of `budget`.
     pub fn complete(
         &mut self,
         now: Time,
@@ -193,7 +193,7 @@
         self.remove_request(now, request)
     }
 
-    /// A request went away, running or waiting.
+    /// Removes a running or queued request that was abandoned.
     pub fn remove_request(&mut self, now: Time, request: &Name) -> Vec<Verdict> {
         if self.running.remove(request).is_none() {
             self.waiting.retain(|_, w| w.request != *request);
@@ -201,17 +201,17 @@
         self.advance(now)
     }
 
-    /// Time passed: refuses those that can no longer finish.
+    /// Refuses queued requests that can no longer finish in time.
     pub fn tick(&mut self, now: Time) -> Vec<Verdict> {
         self.advance(now)
     }
 
-    /// Time after which a refused caller finds room, if `mean` is a request's time.
+    /// Time after which a refused caller can expect capacity, given the `mean` request time.
     pub fn retry_after(&self, mean: Duration) -> Duration {
         mean.mul_f64((self.waiting.len() + 1) as f64 / self.limit.get() as f64)
     }
 
-    /// Wait of a newcomer, by those before it and the pace at which turns come free.
+    /// Expected wait of a new request, from those ahead of it and the completion interval.
     fn expected_wait(&self, key: &QueueKey) -> Duration {
         let ahead = self.waiting.range(..*key).count() as u32;
         self.interval.mean * (ahead + 1)
--- a/crates/decide/src/batch/workers.rs
+++ b/crates/decide/src/batch/workers.rs
@@ -303,11 +303,7 @@
         self.update(id, now, |m| m.probed(alive, now));
     }
 
-<<<<<<< Updated upstream
-    /// A worker had less room than was reckoned.
-=======
     /// Records that a worker had less room than estimated.
->>>>>>> Stashed changes
     pub(super) fn record_no_room(&mut self, id: &TargetId, size: u64, now: Time) {
         self.update(id, now, |m| m.record_no_room(size, now));
     }
--- a/crates/decide/src/deadline/mod.rs
+++ b/crates/decide/src/deadline/mod.rs
@@ -1,24 +1,24 @@
-//! Budgets of steps from observed times, and the admission that follows.
+//! Step timeouts, time budgets and required times from observed step durations.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use model::Time;
 
-/// Longest step that is told apart, 10 minutes in microseconds.
+/// Longest step duration that is resolved: 10 minutes, in microseconds.
 const MAX_STEP_US: u64 = 600_000_000;
-/// Samples before a quantile is trusted.
+/// Number of samples required for a quantile.
 const MIN_SAMPLES: u64 = 20;
-/// Samples after which a histogram's older half fades.
+/// Number of samples after which a new window starts and the older one is dropped.
 const WINDOW_SAMPLES: u64 = 2_000;
 /// Timeout before there are enough samples.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Shortest timeout.
+/// Minimum timeout.
 const MIN_TIMEOUT: Duration = Duration::from_millis(50);
-/// A timeout is this many times the 99th percentile.
+/// Multiple of the 99th percentile used as the timeout.
 const TIMEOUT_FACTOR: f64 = 3.0;
 
-/// Times of one step: whole, and the longest silence between frames.
+/// Durations of one step, in a current and a previous window.
 #[derive(Debug, Clone)]
 pub struct StepTimes {
     current: Histogram<u32>,
@@ -33,7 +33,7 @@
 }
 
 impl StepTimes {
-    /// A step took this long.
+    /// Records the duration of a step.
     pub fn record(&mut self, took: Duration) {
         if self.current.len() >= WINDOW_SAMPLES {
             std::mem::swap(&mut self.current, &mut self.previous);
@@ -42,13 +42,14 @@
         self.current.saturating_record((took.as_micros() as u64).max(1));
     }
 
-    /// A quantile, if there are enough samples; from the fuller of the two windows.
+    /// A quantile of the current window, or of the previous one while that has too few samples;
+    /// `None` if both have.
     pub fn quantile(&self, q: f64) -> Option<Duration> {
         let window = if self.current.len() >= MIN_SAMPLES { &self.current } else { &self.previous };
         (window.len() >= MIN_SAMPLES).then(|| Duration::from_micros(window.value_at_quantile(q)))
     }
 
-    /// How long to wait for an answer before a repeatable step is tried elsewhere.
+    /// How long to wait for an answer before a repeatable step is retried elsewhere.
     pub fn timeout(&self) -> Duration {
         let Some(p99) = self.quantile(0.99) else {
             return DEFAULT_TIMEOUT;
@@ -56,31 +57,31 @@
         p99.mul_f64(TIMEOUT_FACTOR).max(MIN_TIMEOUT)
     }
 
-    /// When to send a hedge beside a short step: its 95th percentile.
+    /// When to send a hedged request for a short step: its 95th percentile.
     pub fn hedge(&self) -> Option<Duration> {
         self.quantile(0.95).map(|p| p.max(MIN_TIMEOUT / 10))
     }
 }
 
-/// Quantile of each step's time that a request must still have; most that are let
-/// in with so much left finish in time.
+/// Quantile of each step's time that a request must have left. Most requests admitted with this
+/// much time finish in time.
 const NEED_QUANTILE: f64 = 0.75;
-/// Most of what is left that a request is taken to need: times seen under
-/// overload must not shut the door for good.
+/// Maximum share of the time left that a request is assumed to need, so that times observed under
+/// overload cannot block admission for good.
 const MAX_NEED_SHARE: f64 = 0.5;
 
-/// Time that steps will need, by their medians.
+/// Time that steps will need, by the median of each.
 pub fn median_total(times: &[&StepTimes]) -> Duration {
     times.iter().filter_map(|t| t.quantile(0.5)).sum()
 }
 
-/// Budget of a step: what remains, less what later steps need.
+/// Budget of a step: the time left less what later steps need.
 pub fn budget(now: Time, deadline: Time, reserved: Duration) -> Duration {
     deadline.since(now).saturating_sub(reserved)
 }
 
-/// Time that a request with these steps, and `left` until its deadline, must have
-/// when its turn comes.
+/// Time that a request with these steps and `left` until its deadline must still have when it
+/// starts.
 pub fn required_time(times: &[&StepTimes], left: Duration) -> Duration {
     let total: Duration = times.iter().filter_map(|t| t.quantile(NEED_QUANTILE)).sum();
     total.min(left.mul_f64(MAX_NEED_SHARE))
--- a/crates/decide/src/forecast/mod.rs
+++ b/crates/decide/src/forecast/mod.rs
@@ -1,11 +1,10 @@
-//! When a request is expected to get its first event, and whether it is refused
-//! at the door for it.
+//! Forecast of a request's time to first event, and the admission decision based on it.
 //!
-//! The coordinators of the stages tell in each answer how long a new order would
-//! wait: here, or where it would be passed on to. What counts for a request are the waits of
-//! the regions that will make its stages. A request that would miss its objective by far is refused at once and
-//! told when to come back: that costs it less than a late answer, and leaves its
-//! place to one that can still be in time.
+//! Each answer of a stage's coordinator reports how long a new order would wait, locally or in the
+//! region it would spill to. For a request, the waits of the regions that will run its stages
+//! count. A request that would miss its objective by far is refused at once with a retry-after
+//! time. That costs the caller less than a late answer and leaves the capacity to requests that can
+//! be in time.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,29 +14,30 @@
 
 use crate::stages;
 
-/// Time over which what was heard of a wait fades to nothing.
+/// Time over which a reported wait decays linearly to zero.
 const WAIT_FADE: Duration = Duration::from_millis(1500);
-/// Time that an engine usually takes to its first event, about the median (139 ms) of long
-/// prompts. The door turns away by it: more would refuse requests that are in time.
+/// Typical time of an engine to its first event, about the median (139 ms) for long prompts. A
+/// larger value would refuse requests that are in time.
 const TYPICAL_FIRST_EVENT: Duration = Duration::from_millis(150);
-/// Part of a request's spare time, the objective less the time that it takes without any
-/// wait, from which on waits turn it away: what is expected of a wait is half a second old,
-/// and in a burst the true one is longer by the time that the request gets there.
+/// Fraction of a request's spare time (the objective less its time without waits) above which waits
+/// refuse it. Expected waits are half a second old, and in a burst the true wait is longer by the
+/// time the request arrives there.
 const MAX_WAIT_FRACTION: f64 = 0.35;
-/// Waits that never turn a request away, however tight its objective is: less than the
-/// time of one call, which any order may find under way.
+/// Waits that never refuse a request, however tight its objective: less than one call, which any
+/// order may find in flight.
 const TOLERATED_WAIT: Duration = Duration::from_millis(150);
-/// Shortest wait before a refused caller comes back.
+/// Minimum retry-after time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Part of a caller's time after which it does not come back any more.
+/// The retry-after time is at most the caller's patience divided by this; callers do not retry
+/// later.
 const RETRY_AFTER_DIVISOR: u32 = 4;
 
-/// What is decided about a request at the door.
+/// Admission decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It is served.
+    /// Serve the request.
     Admit,
-    /// It is refused; its caller may come back after this time.
+    /// Refuse the request; the caller may retry after this time.
     Refuse(Duration),
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl ReportedWaits {
-    /// Wait of a new order by now.
+    /// Remaining wait of a new order.
     fn wait(&self, rank: Rank, now: Time) -> Duration {
         let age = now.since(self.received_at).as_secs_f64() / WAIT_FADE.as_secs_f64();
         let wait = Duration::from_millis(u64::from(self.waits.of(rank)));
@@ -56,18 +56,18 @@
     }
 }
 
-/// What this node heard of the stages' waits.
+/// Waits reported by the coordinators of stages, by queue.
 #[derive(Debug, Default)]
 pub struct Forecast(HashMap<QueueId, ReportedWaits>);
 
 impl Forecast {
-    /// A coordinator told what the next orders in a queue wait.
+    /// Records the wait that a coordinator reported for a queue.
     pub fn record(&mut self, queue: QueueId, waits: Waits, now: Time) {
         self.0.retain(|_, reported| now.since(reported.received_at) < WAIT_FADE);
         self.0.insert(queue, ReportedWaits { waits, received_at: now });
     }
 
-    /// A maker of a service came, so that word that none works says nothing any more.
+    /// Drops reports that no worker of the service is available, since one was added.
     pub fn worker_added(&mut self, service: &Name) {
         let has_no_worker = |reported: &ReportedWaits| {
             reported.waits.0.iter().any(|(_, wait)| *wait == Waits::NOBODY)
@@ -75,8 +75,8 @@
         self.0.retain(|queue, reported| queue.pool.service != *service || !has_no_worker(reported));
     }
 
-    /// What tells how long a new order waits, as far as it is still known: what was heard of its
-    /// queue, or later of one in which orders wait as long at most.
+    /// The valid report that bounds the wait of a new order: of its own queue, or a later one of a
+    /// queue in which orders wait at most as long.
     fn newest_bound(&self, queue: &QueueId, rank: Rank, now: Time) -> Option<&ReportedWaits> {
         let since = self.0.get(queue).map_or(Time::ZERO, |known| known.received_at);
         let reported =
@@ -89,8 +89,7 @@
             .map_or(Duration::ZERO, |reported| reported.wait(rank, now))
     }
 
-    /// The queue on a request's path in which it would wait longest; none if it would wait
-    /// nowhere.
+    /// The queue on a request's path with the longest wait; `None` if no queue has one.
     pub fn longest_wait<'a>(
         &self,
         min_times: &[Duration],
@@ -107,8 +106,7 @@
         waits.max_by_key(|longest| longest.wait).filter(|longest| !longest.wait.is_zero())
     }
 
-    /// Expected time of each stage of a request, given its time without any wait and what it
-    /// waits in.
+    /// Expected time of each stage of a request, from its time without waits and its queue.
     pub fn stage_times(
         &self,
         min_times: &[Duration],
@@ -123,8 +121,7 @@
         min_times.iter().zip(queues).map(time).collect()
     }
 
-    /// Expected time to the first event of a request whose stages take `least` without
-    /// any wait.
+    /// Expected time to first event of a request whose stages take `min_times` without waits.
     pub fn expected(
         &self,
         route: &Route,
@@ -143,34 +140,34 @@
     }
 }
 
-/// Where on its path a request would wait longest.
+/// The longest wait on a request's path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LongestWait<'a> {
     /// Stage service.
     pub service: &'a Name,
-    /// Wait there.
+    /// Expected wait.
     pub wait: Duration,
-    /// How long ago its coordinator told it.
+    /// Age of the coordinator's report.
     pub age: Duration,
 }
 
-/// What a request's time to its first event is made of.
+/// Components of a request's expected time to first event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Expected {
-    /// Time that it takes without any wait.
+    /// Time without any wait.
     pub without_wait: Duration,
-    /// Time that waits add.
+    /// Time added by waits.
     pub waits: Duration,
 }
 
 impl Expected {
-    /// All of it.
+    /// Sum of both.
     pub fn total(&self) -> Duration {
         self.without_wait + self.waits
     }
 }
 
-/// Time of each stage's call without any wait; none for a stage that is left out.
+/// Call time of each stage without waits; zero for a skipped stage.
 pub fn min_stage_times<'a>(
     route: &Route,
     pieces: &[u32],
@@ -184,7 +181,7 @@
     route.stages.iter().enumerate().map(time).collect()
 }
 
-/// Decides about a request whose first event is expected after this time.
+/// Decides whether to serve a request with this expected time to first event.
 pub fn decide_admission(expected: Expected, objective: Duration, patience: Duration) -> Admission {
     let spare = objective.saturating_sub(expected.without_wait);
     if expected.waits <= spare.mul_f64(MAX_WAIT_FRACTION).max(TOLERATED_WAIT) {
--- a/crates/decide/src/load/mod.rs
+++ b/crates/decide/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Load of targets: who polls which, and which changes are worth passing on.
+//! Load of targets: which nodes poll them, and which changes are gossiped.
 //!
-//! Each target is polled by two nodes of its failure domain (rendezvous). Only
-//! a change of about a quarter, or of readiness, goes round; `leaving` jumps the
-//! queue of [`crate::member`]. Between reports a node adds what it sent itself.
+//! Each target is polled by two nodes of its failure domain (rendezvous hashing). Only changes of
+//! about a quarter, or of readiness, are gossiped; `leaving` takes precedence in the queue of
+//! [`crate::member`]. Between reports a node adds the load that it sent itself.
 
 use std::collections::BTreeMap;
 
@@ -10,20 +10,20 @@
 use model::member::LoadRumor;
 use model::{Name, hash};
 
-/// Nodes that poll one target.
+/// Number of nodes that poll each target.
 pub const POLLERS: usize = 2;
-/// Flag: the target answers.
+/// Flag: the target responds.
 const READY: u8 = 1;
 /// Flag: the target is leaving.
 const LEAVING: u8 = 2;
 
-/// Whether `me` polls `target`, given the names of the domain's nodes; the rank
-/// tells first from second.
+/// Rank of `me` among the pollers of `target`, given the names of the domain's nodes; `None` if it
+/// does not poll it.
 pub fn poll_rank(target: &str, me: &Name, nodes: &[Name]) -> Option<usize> {
     hash::rendezvous(target, nodes.iter(), POLLERS).iter().position(|n| n == me)
 }
 
-/// Packs a target's state for gossip.
+/// Encodes a target's state for gossip.
 pub fn to_rumor(state: &TargetNews) -> LoadRumor {
     LoadRumor {
         target: key(&state.report.target),
@@ -38,14 +38,14 @@
     (hash::of(target.as_bytes()) >> 32) as u32
 }
 
-/// Rounds a wait so that two within about a quarter of each other look the same.
+/// Rounds a wait so that two within about a quarter of each other are equal.
 fn quantize_wait(wait: u32) -> u16 {
     let w = wait.min(60_000);
     let step = (w.next_power_of_two() / 8).max(1);
     (w / step * step) as u16
 }
 
-/// What one control node knows of all targets.
+/// State of all targets as known to one control node.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     names: BTreeMap<u32, Name>,
@@ -60,29 +60,29 @@
 }
 
 impl LoadTable {
-    /// Takes the list of targets; forgets the others.
+    /// Replaces the set of targets and drops the state of others.
     pub fn set_targets<'a>(&mut self, targets: impl Iterator<Item = &'a Name>) {
         self.names = targets.map(|t| (key(t), t.clone())).collect();
         let names = &self.names;
         self.reports.retain(|t, _| names.get(&key(t)) == Some(t));
     }
 
-    /// Grows with each change.
+    /// Change counter; increases with each update.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Everything known.
+    /// Known state of all targets.
     pub fn reports(&self) -> impl Iterator<Item = &TargetNews> {
         self.reports.values().map(|e| &e.state)
     }
 
-    /// What is known of one target.
+    /// Known state of one target.
     pub fn get(&self, target: &str) -> Option<&TargetNews> {
         self.reports.get(target).map(|e| &e.state)
     }
 
-    /// What changed after the change numbered `since`.
+    /// States changed after change number `since`.
     pub fn since(&self, since: u64) -> impl Iterator<Item = &TargetNews> {
         self.reports.values().filter(move |e| e.change > since).map(|e| &e.state)
     }
@@ -92,7 +92,7 @@
         self.reports.insert(name, Entry { state, change: self.changes });
     }
 
-    /// Takes this node's own poll; returns news worth passing on.
+    /// Records a successful poll by this node; returns a rumor if the change is worth gossiping.
     pub fn record_poll(&mut self, report: Report) -> Option<LoadRumor> {
         let seq = report.seq;
         let name = report.target.clone();
@@ -104,7 +104,7 @@
         (!is_same).then_some(rumor)
     }
 
-    /// A poll failed; returns news worth passing on.
+    /// Records a failed poll; returns a rumor if the target was ready before.
     pub fn record_unreachable(&mut self, target: &Name) -> Option<LoadRumor> {
         let old = self.reports.get(target).map(|e| e.state.clone());
         let was_ready = old.as_ref().is_none_or(|n| n.ready);
@@ -121,7 +121,7 @@
         was_ready.then_some(rumor)
     }
 
-    /// Takes gossip; returns it if it is news to this node, to be passed on.
+    /// Merges a received rumor; returns it for forwarding if it is newer than the known state.
     pub fn merge_rumor(&mut self, rumor: LoadRumor) -> Option<LoadRumor> {
         let name = self.names.get(&rumor.target)?.clone();
         let old = self.reports.get(&name).map(|e| &e.state);
--- a/crates/decide/src/place/mod.rs
+++ b/crates/decide/src/place/mod.rs
@@ -1,9 +1,8 @@
-//! Which target holds which model version, and the orders that bring it about.
+//! Placement of model versions on targets, and the orders that realize it.
 //!
-//! Orders are desired state: read back from load reports, repaired by sending
-//! again, and damped by what the weight store can serve. An old version goes
-//! only once its successor serves on as many targets as are wanted. Leaving
-//! targets get their replacements first and are drained then.
+//! Orders are desired state: confirmed by load reports, resent until they take effect, and limited
+//! to what the weight store can serve. An old version is unloaded only once its successor serves on
+//! the required number of targets. Leaving targets are replaced first and drained afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,34 +12,33 @@
 use model::order::{Order, Task};
 use model::{Name, Time, hash};
 
-/// Loads that may run at once in one failure domain, for the weight store's rate.
+/// Concurrent loads in one failure domain, limited by the rate of the weight store.
 const MAX_LOADS: usize = 2;
-/// An order not seen to take effect is sent again after this.
+/// Time after which an order without visible effect is sent again.
 const RESEND_AFTER: Duration = Duration::from_secs(5);
-/// Validity that the lease must still have when an order is sent: longer than
-/// the longest send.
+/// Validity that the lease must still have when an order is sent; longer than the longest send.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(1500);
-/// Longest time that sending one order may take.
+/// Maximum time for sending one order.
 pub const MAX_SEND_TIME: Duration = Duration::from_millis(1000);
 
-/// Placement of one failure domain's targets, run by its lease holder.
+/// Places models on the targets of one failure domain; run by its lease holder.
 #[derive(Debug, Default)]
 pub struct Placer {
     sent: BTreeMap<(Name, Name), Time>,
 }
 
-/// What the placer goes by.
+/// Inputs of the placement.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// Accepted configuration.
     pub set: &'a Set,
-    /// Its manifest number.
+    /// Manifest number of the configuration.
     pub number: u64,
-    /// Failure domain.
+    /// Failure domain whose targets are placed.
     pub domain: &'a Name,
-    /// Last report of each target.
+    /// Latest report of each target.
     pub reports: &'a BTreeMap<Name, TargetNews>,
-    /// Hosts that the host list shows as leaving.
+    /// Hosts marked as leaving in the host list.
     pub leaving: &'a BTreeSet<Name>,
 }
 
@@ -61,7 +59,7 @@
 }
 
 impl Placer {
-    /// Orders that are due, under the lease's `epoch`.
+    /// Returns the orders that are due, under the lease's `epoch`.
     pub fn plan(&mut self, now: Time, epoch: u64, view: View) -> Vec<Order> {
         self.sent.retain(|_, at| now.since(*at) < RESEND_AFTER);
         let mut out = Vec::new();
@@ -104,7 +102,7 @@
         if serving < replicas.min(remaining.len()) || serving == 0 {
             return;
         }
-        // The successor serves: retire the former versions of this model.
+        // The new version serves, so older versions of the model can be unloaded.
         for t in remaining {
             let Some(state) = view.reports.get(t) else {
                 continue;
@@ -116,7 +114,7 @@
         }
     }
 
-    /// Drains leaving targets whose models serve elsewhere by now.
+    /// Drains leaving targets whose models are served elsewhere.
     fn drain(&mut self, now: Time, epoch: u64, view: View, out: &mut Vec<Order>) {
         for pool in view.set.pools.values() {
             let local = pool.targets.iter().filter(|t| t.domain == *view.domain);
@@ -164,7 +162,7 @@
     }
 }
 
-/// A failure domain's part of a model's replicas: by its part of the pool, at
+/// A failure domain's share of a model's replicas, in proportion to its share of the pool and at
 /// least one where it has a target.
 fn domain_share(pool: &Pool, domain: &Name, replicas: u32) -> usize {
     let local = pool.targets.iter().filter(|t| t.domain == *domain).count();
--- a/crates/decide/src/prefill/mod.rs
+++ b/crates/decide/src/prefill/mod.rs
@@ -1,16 +1,16 @@
-//! Which engine of a failure domain reads a long prompt.
+//! Chooses the engine of a failure domain that prefills a long prompt.
 //!
-//! A prompt goes to its home, the engine that most likely keeps its shared parts. Homes are
-//! dealt out by a hash that knows no load, so some engine always has twice the usual work,
-//! and no node alone sees it: each sends an engine a few prompts a minute. So the nodes ask
-//! one of them, the scheduler, which knows what each engine of one service in one failure
-//! domain has still to read.
+//! A prompt goes to its home, the engine most likely to have its shared prefix cached. Homes are
+//! assigned by a hash that ignores load, so some engine always has twice the average work. No node
+//! sees this on its own, since each sends an engine only a few prompts a minute. So nodes ask one
+//! of them, the scheduler, which tracks the tokens queued at each engine of one service in one
+//! failure domain.
 //!
-//! It is asked and told without a lease: two schedulers each see a part of the work, a lost
-//! one is done without, and a prompt whose end is not told of is forgotten in time. Work is
-//! counted in prompt tokens. How fast engines read is learned from the ends: a prompt whose
-//! first event is in time at the engine that keeps its shared parts goes there, also when it
-//! would be read sooner elsewhere, since that would be reading twice.
+//! The scheduler needs no lease: two schedulers each see part of the work, prompts are placed
+//! without a lost one, and a prompt whose end is not reported expires. Work is counted in prompt
+//! tokens, and engine throughput is learned from finished prompts. A prompt whose first event is in
+//! time at the engine with its prefix goes there even if another engine would be sooner, which
+//! avoids reading the prefix twice.
 
 mod throughput;
 
@@ -22,30 +22,30 @@
 
 use throughput::Throughput;
 
-/// Engines of a home's order that are weighed against each other. Few, so that another
-/// scheduler finds a home again; with a quarter of the engines reading, one in 250 prompts
-/// finds all four at work.
+/// Number of engines compared in the order of a home. It is small so that another scheduler finds a
+/// home again; with a quarter of the engines busy, one prompt in 250 finds all four busy.
 const CANDIDATES: usize = 4;
-/// Tokens that wait at an engine from which on all others are weighed too.
+/// Queued tokens at all candidates from which the other engines are compared too.
 const OVERLOAD_TOKENS: u64 = 40_000;
-/// What a token counts that is read although another engine keeps it: its reading is work
-/// that nobody would have had.
+/// Cost factor for tokens read although another engine has them cached, since that is additional
+/// work.
 const REREAD_FACTOR: f64 = 1.5;
-/// Part of a prompt's slack that its reading may take by what is expected, so that it is in
-/// time: what other engines do meanwhile is not known to the millisecond.
+/// Fraction of a prompt's slack that its expected prefill may take to count as in time, since the
+/// other load of an engine is not known exactly.
 const SLACK_FRACTION: f64 = 0.6;
-/// Time after which a prompt whose reading has not been told of is forgotten: the longest
-/// take an engine a second or two.
+/// Time after which a prompt without a reported end is dropped; the longest take an engine one or
+/// two seconds.
 const PROMPT_TTL: Duration = Duration::from_secs(4);
-/// Time for which a new scheduler takes it that prompts are kept at their first home.
+/// Time for which a new scheduler assumes that prefixes are cached at their first home.
 const WARMUP: Duration = Duration::from_secs(10);
-/// Homes remembered; 11,000 workspaces in 6 failure domains, several prompts each.
+/// Maximum number of remembered homes, for 11,000 workspaces in 6 failure domains with several
+/// prompts each.
 const MAX_HOMES: usize = 16_384;
 
 #[derive(Debug)]
 struct PendingPrompt {
     tokens: u64,
-    /// Tokens that were to be read before.
+    /// Tokens queued ahead at the engine.
     tokens_ahead: u64,
     placed_at: Time,
 }
@@ -59,11 +59,11 @@
 /// The engine chosen for a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
-    /// Engine.
+    /// Engine that prefills the prompt.
     pub engine: TargetId,
-    /// Prompt tokens that it has to read before.
+    /// Prompt tokens queued ahead at the engine.
     pub tokens_ahead: u64,
-    /// Whether it is expected to keep the prompt's shared parts.
+    /// Whether the prompt's shared prefix is expected to be cached there.
     pub is_cached: bool,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler that knows what was placed since `began`.
+    /// Creates a scheduler that knows the placements since `started_at`.
     pub fn new(started_at: Time) -> Self {
         Scheduler {
             started_at,
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Prompt tokens that an engine has still to read.
+    /// Prompt tokens queued at an engine.
     pub fn queued_tokens(&self, engine: &TargetId) -> u64 {
         self.pending.get(engine).map_or(0, |r| r.values().map(|p| p.tokens).sum())
     }
 
-    /// Chooses among engines in the order of the prompt's home.
+    /// Places a prompt on one of the engines, given in the order of its home.
     pub fn place(&mut self, ask: &PrefillAsk, order: &[TargetId], now: Time) -> Option<Placement> {
         self.expire_prompts(now);
         let holder = self.cache_holder(ask, order, now);
@@ -103,20 +103,20 @@
         let is_below_limit = |e: &TargetId| self.queued_tokens(e) < OVERLOAD_TOKENS;
         let candidates = if first.iter().any(is_below_limit) { first } else { order };
         let all = candidates.iter().chain(holder.as_ref().filter(|k| !candidates.contains(k)));
-        // The first of equals: all schedulers know the order.
+        // Ties go to the first engine, since all schedulers know the order.
         let engine = all.min_by_key(|e| self.cost(ask, e, holder.as_ref()))?.clone();
         let is_cached = holder.as_ref() == Some(&engine);
         Some(self.assign(ask, engine, is_cached, now))
     }
 
-    /// Whether the first event is expected in time at the engine that keeps the shared parts.
+    /// Whether the first event is expected in time at the engine with the shared prefix.
     fn is_in_time(&self, ask: &PrefillAsk, engine: &TargetId) -> bool {
         let tokens = self.queued_tokens(engine) + ask.tokens.saturating_sub(ask.shared);
         let slack = Duration::from_millis(ask.slack_ms).mul_f64(SLACK_FRACTION);
         self.throughput.read_time(tokens).is_some_and(|time| time <= slack)
     }
 
-    /// The engine that keeps the shared parts of a prompt, as far as is known.
+    /// The engine that has the shared prefix of a prompt cached, if known.
     fn cache_holder(&self, ask: &PrefillAsk, order: &[TargetId], now: Time) -> Option<TargetId> {
         match self.cached.get(&ask.home) {
             Some(prefix) => Some(prefix.engine.clone()).filter(|e| order.contains(e)),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Tokens until the prompt is read at an engine, those read again for the worse.
+    /// Cost in tokens until the prompt is read; tokens read again are weighted higher.
     fn cost(&self, ask: &PrefillAsk, engine: &TargetId, holder: Option<&TargetId>) -> u64 {
         let shared = match holder {
             Some(holder) if holder == engine => 0,
@@ -158,7 +158,7 @@
         Placement { engine, tokens_ahead, is_cached }
     }
 
-    /// Forgets the homes that were not used for the longest time.
+    /// Evicts the least recently used half of the homes.
     fn evict_half(&mut self) {
         let mut used: Vec<Time> = self.cached.values().map(|k| k.last_used).collect();
         let middle = used.len() / 2;
@@ -167,7 +167,7 @@
         self.cached.retain(|_, k| k.last_used > middle);
     }
 
-    /// An engine has read a prompt.
+    /// Records that an engine has read a prompt.
     pub fn finish_prompt(&mut self, engine: &TargetId, attempt: &Name, now: Time) {
         if let Some(prompt) = self.remove(engine, attempt) {
             self.throughput
@@ -175,7 +175,7 @@
         }
     }
 
-    /// An engine will not read a prompt any more.
+    /// Records that an engine will not read a prompt.
     pub fn cancel_prompt(&mut self, engine: &TargetId, attempt: &Name) {
         self.remove(engine, attempt);
     }
--- a/crates/decide/src/prefill/throughput.rs
+++ b/crates/decide/src/prefill/throughput.rs
@@ -1,19 +1,19 @@
-//! How fast engines read prompts, as far as their ends have told.
+//! Prefill throughput of engines, learned from finished prompts.
 
 use std::time::Duration;
 
-/// Tokens from which on a reading tells of the pace; the time for fewer is that of the first
-/// token and of the way.
+/// Minimum number of tokens in a sample. The time of fewer is dominated by the first token and the
+/// network.
 const MIN_SAMPLE_TOKENS: u64 = 4_000;
-/// Weight of the newest reading in the running mean.
+/// Weight of the newest sample in the mean.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Running mean of tokens read in a millisecond by one engine.
+/// Running mean of the tokens read per millisecond by one engine.
 #[derive(Debug, Default)]
 pub(super) struct Throughput(Option<f64>);
 
 impl Throughput {
-    /// So many tokens, those ahead included, were read within this time.
+    /// Records the time to read `tokens`, those queued ahead included.
     pub(super) fn record(&mut self, tokens: u64, took: Duration) {
         let ms = took.as_secs_f64() * 1000.0;
         if tokens < MIN_SAMPLE_TOKENS || ms < 1.0 {
@@ -24,7 +24,7 @@
         self.0 = Some(mean);
     }
 
-    /// Time expected for so many tokens; `None` before anything was read.
+    /// Expected time to read `tokens`; `None` before the first sample.
     pub(super) fn read_time(&self, tokens: u64) -> Option<Duration> {
         let ms = tokens as f64 / self.0?;
         Some(Duration::from_secs_f64(ms / 1000.0))
--- a/crates/decide/src/region/map.rs
+++ b/crates/decide/src/region/map.rs
@@ -1,8 +1,8 @@
-//! How far regions lie from one another, as one node measures it.
+//! Distances between regions, as measured by one node.
 //!
-//! Settings say in which region a failure domain lies; round trips of membership's probes say
-//! how far that is. Regions as near as failure domains are to each other count as one. All
-//! nodes measure the same links and so come to agree; a wrong view for a moment costs batches.
+//! The configuration assigns failure domains to regions; round trips of membership probes give the
+//! distances. Regions as near to each other as failure domains are count as one. All nodes measure
+//! the same links and so converge; a wrong view for a moment only makes batches smaller.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,21 +11,21 @@
 
 use crate::fleet::Regions;
 
-/// Round trip to another region of which nothing is measured yet: regions are drawn far apart
-/// until they prove near, since work that crosses them for nothing is paid at once.
+/// Round trip assumed to another region before any measurement. Unmeasured regions count as far
+/// apart, since needless traffic between regions has an immediate cost.
 const DEFAULT_REMOTE_RTT: Duration = Duration::from_millis(40);
-/// Round trip to another failure domain of the own region of which nothing is measured yet.
+/// Round trip assumed to another failure domain of the local region before any measurement.
 const DEFAULT_LOCAL_RTT: Duration = Duration::from_millis(2);
-/// Round trip from which on regions are apart: a stage crosses it twice, which is one part in
-/// twenty of a usual call (200 ms) and more than fuller calls gain.
+/// Round trip from which regions count as separate. A stage crosses the link twice, which is a
+/// twentieth of a typical call (200 ms) and more than fuller calls gain.
 const SPLIT_RTT: Duration = Duration::from_millis(10);
-/// Round trip under which they are one again.
+/// Round trip below which separate regions count as one again.
 const MERGE_RTT: Duration = Duration::from_millis(6);
-/// Part by which a measured time rises towards a longer one. It falls at once: what a busy host
-/// adds is no distance.
+/// Weight of a longer sample in the estimate. A shorter sample replaces it at once, since delay
+/// added by a busy host is not distance.
 const RISE_WEIGHT: f64 = 0.02;
 
-/// Regions as one node sees them.
+/// Regions and their distances as seen by one node.
 #[derive(Debug, Clone)]
 pub struct Map {
     domain: Name,
@@ -35,14 +35,14 @@
 }
 
 impl Map {
-    /// Seen from a failure domain, with nothing measured.
+    /// A map for a node in `domain`, without measurements.
     pub fn new(domain: Name, regions: Regions) -> Self {
         let mut map = Map { domain, regions, round_trips: BTreeMap::new(), is_split: false };
         map.is_split = map.max_round_trip() >= SPLIT_RTT;
         map
     }
 
-    /// A probe of a node in a failure domain was answered after this time.
+    /// Records the round trip of a membership probe to a node in a failure domain.
     pub fn record_round_trip(&mut self, domain: &Name, took: Duration) {
         let estimate = self.round_trips.entry(domain.clone()).or_insert(took);
         *estimate = match took.checked_sub(*estimate) {
@@ -53,7 +53,7 @@
         self.is_split = farthest >= if self.is_split { MERGE_RTT } else { SPLIT_RTT };
     }
 
-    /// Region of a failure domain. One that settings place nowhere is a region by itself.
+    /// Region of a failure domain; one without a configured region is a region of its own.
     pub fn region_of(&self, domain: &Name) -> Name {
         self.regions.of(domain).unwrap_or(domain).clone()
     }
@@ -63,17 +63,17 @@
         self.region_of(&self.domain)
     }
 
-    /// Whether regions are so far apart that each works by itself.
+    /// Whether regions are so far apart that each works on its own.
     pub fn is_split(&self) -> bool {
         self.is_split
     }
 
-    /// Whether a failure domain is in this node's region, or regions are as good as one.
+    /// Whether a failure domain is in the local region, or regions count as one.
     pub fn is_near(&self, domain: &Name) -> bool {
         !self.is_split || self.region_of(domain) == self.local_region()
     }
 
-    /// Time to a failure domain and back.
+    /// Round trip to a failure domain, zero for this node's own.
     pub fn round_trip(&self, domain: &Name) -> Duration {
         if *domain == self.domain {
             return Duration::ZERO;
@@ -83,13 +83,13 @@
         self.round_trips.get(domain).copied().unwrap_or(default)
     }
 
-    /// Time to the nearest failure domain of a region and back.
+    /// Round trip to the nearest failure domain of a region.
     pub fn region_round_trip(&self, region: &Name) -> Duration {
         let of_region = self.regions.domains().filter(|d| self.region_of(d) == *region);
         of_region.map(|d| self.round_trip(d)).min().unwrap_or(DEFAULT_REMOTE_RTT)
     }
 
-    /// Regions but this node's.
+    /// All regions except this node's.
     pub fn other_regions(&self) -> BTreeSet<Name> {
         let regions = self.regions.domains().map(|d| self.region_of(d));
         regions.filter(|r| *r != self.local_region()).collect()
@@ -100,8 +100,8 @@
         self.other_regions().iter().map(|r| self.region_round_trip(r)).max().unwrap_or_default()
     }
 
-    /// The region whose makers are to make an order, of those that have any: the wanted one,
-    /// else the own one, else the nearest. `None` if regions are as good as one.
+    /// The region to run an order in, among those with workers: the preferred one, else the local
+    /// one, else the nearest. `None` if regions count as one.
     pub fn choose_region(
         &self,
         preferred: Option<Name>,
@@ -119,9 +119,9 @@
         nearest.cloned()
     }
 
-    /// The regions whose makers are to make the stages of a chain, each where its inputs lie;
-    /// given the stages that come before each, and the regions that have makers for it. `None`
-    /// there is a stage that is left out.
+    /// The regions to run the stages of a chain in, each where its inputs are. Takes the
+    /// predecessors of each stage and the regions with workers for it; `None` there marks a skipped
+    /// stage.
     pub fn choose_regions(
         &self,
         predecessors: &[Vec<usize>],
--- a/crates/decide/src/region/mod.rs
+++ b/crates/decide/src/region/mod.rs
@@ -1,4 +1,4 @@
-//! Regions as distances: how far they lie, and when work goes to another one.
+//! Distances between regions, and when orders spill to another one.
 
 mod map;
 mod spill;
--- a/crates/decide/src/region/spill.rs
+++ b/crates/decide/src/region/spill.rs
@@ -1,8 +1,8 @@
-//! When the coordinator of one region's makers passes an order on to another region.
+//! When the coordinator of a region's workers passes an order on to another region.
 //!
-//! Only the coordinator decides: it knows what waits here to the piece, so no herd of nodes
-//! follows one figure. What waits elsewhere it hears from the coordinators there, and adds what
-//! it has passed on since. An order is passed on once at most. Times in milliseconds.
+//! Only the coordinator decides: it knows the local queue exactly, so nodes do not all react to the
+//! same number at once. It learns the waits of other regions from their coordinators and adds the
+//! work spilled there since. An order spills at most once. Times are in milliseconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,30 +10,30 @@
 use model::forward::{BatchOrder, LARGE_RESULT, Rank, Waits};
 use model::{Name, Time};
 
-/// Time for which it holds what another region's coordinator told.
+/// Time for which the reported waits of another region are valid.
 const WAITS_TTL: Duration = Duration::from_millis(600);
-/// Least time between two questions to the same region.
+/// Minimum interval between queries to one region.
 const QUERY_INTERVAL: Duration = Duration::from_millis(150);
-/// Wait here from which on other regions are asked for theirs: less never makes an order late.
+/// Local wait from which other regions are queried. Shorter waits never make an order late.
 const QUERY_MIN_WAIT_MS: u32 = 60;
-/// Longest wait of a region that takes orders of others: about a call. One that is overrun
-/// itself takes none, so that an overflow does not go round.
+/// Maximum wait of a region that accepts spilled orders, about one call. An overloaded region
+/// accepts none, so that overflow does not circulate.
 const MAX_REMOTE_WAIT_MS: u32 = 200;
-/// Time by which another region has to be sooner, and by which a wait here may be longer than
-/// reckoned. Half of a call: that is how wrong both are.
+/// Minimum gain of a spill, and the margin added to the local wait. It is half of a call, the error
+/// of both estimates.
 const MIN_GAIN_MS: u32 = 100;
-/// Bytes of inputs above which an order stays where they lie: a few hundred times what an
-/// answer takes, and as dear to move between regions as a request is worth.
+/// Maximum input size of an order that may spill: a few hundred times the size of an answer, and as
+/// expensive to move between regions as the request is worth.
 const MAX_MOVED_BYTES: u64 = 128 << 10;
 
-/// What is so at the coordinator's own makers.
+/// Wait and call time at the coordinator's own workers.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalLoad {
-    /// Wait of the order here; [`Waits::NOBODY`] if no maker works.
+    /// Wait of the order in milliseconds; [`Waits::NOBODY`] if no worker is available.
     pub wait: u32,
     /// Time of a call that takes the order.
     pub call_time: Duration,
-    /// Time that each piece adds to the wait of those behind it.
+    /// Wait that each piece adds for those behind it, in milliseconds.
     pub piece_ms: f64,
 }
 
@@ -41,11 +41,11 @@
 struct RegionWaits {
     waits: Waits,
     received_at: Time,
-    /// Milliseconds of work passed on to it since.
+    /// Milliseconds of work spilled to the region since.
     spilled_ms: f64,
 }
 
-/// What the coordinator of one region's makers knows of the other regions.
+/// What a region's coordinator knows about the other regions.
 #[derive(Debug, Default)]
 pub struct Spill {
     waits: BTreeMap<Name, RegionWaits>,
@@ -53,17 +53,18 @@
 }
 
 impl Spill {
-    /// A coordinator of another region told what an order would wait there.
+    /// Records the waits reported by the coordinator of another region.
     pub fn update_waits(&mut self, region: Name, waits: Waits, now: Time) {
         self.waits.insert(region, RegionWaits { waits, received_at: now, spilled_ms: 0.0 });
     }
 
-    /// A coordinator of another region did not answer.
+    /// Forgets a region whose coordinator did not respond.
     pub fn remove_region(&mut self, region: &Name) {
         self.waits.remove(region);
     }
 
-    /// Regions to be asked for their waits, of these, when an order would wait this long here.
+    /// The given regions that are due for a query, if the local wait calls for it; marks them as
+    /// queried.
     pub fn take_due_queries(&mut self, regions: &[Name], wait: u32, now: Time) -> Vec<Name> {
         if wait < QUERY_MIN_WAIT_MS {
             return Vec::new();
@@ -75,13 +76,13 @@
         due
     }
 
-    /// Whether any other region told of its waits lately.
+    /// Whether the waits of any other region are still valid.
     pub fn has_fresh_waits(&self, now: Time) -> bool {
         self.waits.values().any(|t| now.since(t.received_at) < WAITS_TTL)
     }
 
-    /// Waits here, none longer than where the orders would be passed on to; large ones are
-    /// only if no maker works here.
+    /// Local waits, capped at the wait where orders would spill to. Waits of large orders are
+    /// capped only if no local worker is available.
     pub fn bound_waits(
         &self,
         local: Waits,
@@ -99,8 +100,8 @@
         Waits(local.0.into_iter().map(bounded).collect())
     }
 
-    /// Wait of an order in another region, if it takes one. One that has told nothing does
-    /// only if no maker works here.
+    /// Wait of an order in another region, if that accepts it. A region without valid waits accepts
+    /// orders only if no local worker is available.
     fn region_wait(
         &self,
         region: &Name,
@@ -116,7 +117,7 @@
         (remote <= f64::from(MAX_REMOTE_WAIT_MS)).then_some(remote as u32)
     }
 
-    /// Least wait of an order in these regions, each with the time to it and back, which counts.
+    /// The region with the shortest wait, the round trip to it included.
     fn shortest_wait(
         &self,
         regions: &[(Name, Duration)],
@@ -131,8 +132,8 @@
         waits.min().map(|(wait, region)| (region.clone(), wait))
     }
 
-    /// The region, of these, to which an order goes in place of waiting here: one where it is
-    /// in time while it would be late here, or any if no maker works here.
+    /// The region to spill an order to: one where it is in time while it would be late here, or any
+    /// that accepts it if no local worker is available.
     pub fn choose(
         &mut self,
         regions: &[(Name, Duration)],
--- a/crates/decide/src/stages/mod.rs
+++ b/crates/decide/src/stages/mod.rs
@@ -1,26 +1,26 @@
-//! The progress of one request's stages: which may start, whose results may be freed,
-//! and what is made again when a result is gone.
+//! Progress of one request's stages: which may start, whose results may be freed, and what is
+//! recomputed when a result is lost.
 //!
-//! Results rest at their makers and die with them. A stage that finds an input gone is
-//! not the request's end: nothing has run that may not run again, so the stages before
-//! it are made anew as long as there is time.
+//! Results are stored at the workers that made them and are lost with them. A lost input does not
+//! fail the request: stages may safely run again, so the stages before it are recomputed while time
+//! allows.
 
 mod schedule;
 
 pub use schedule::{critical_path, latest_starts, remaining_times};
 
-/// Times that stages of one request are made again after a result was gone.
+/// Maximum number of recomputations for lost results of one request.
 const MAX_RECOMPUTES: u32 = 2;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Does not start before it is released.
+    /// Must not start before it is released.
     Postponed,
     Waiting,
     Running,
-    /// Made, and its results rest at their makers.
+    /// Complete; its results are stored at their workers.
     Held,
-    /// Made, and its results were freed.
+    /// Complete; its results were freed.
     Freed,
 }
 
@@ -39,28 +39,28 @@
 }
 
 impl Progress {
-    /// Stages that each come after the named ones.
+    /// Creates the progress of stages, given the predecessors of each.
     pub fn new(predecessors: Vec<Vec<usize>>) -> Self {
         let states = vec![State::Waiting; predecessors.len()];
         Progress { predecessors, states, recomputes_left: MAX_RECOMPUTES }
     }
 
-    /// A stage that has not started does not start before it is released.
+    /// Holds back a stage that has not started until it is released.
     pub fn postpone(&mut self, stage: usize) {
         self.states[stage] = State::Postponed;
     }
 
-    /// A postponed stage may start.
+    /// Lets a postponed stage start.
     pub fn release(&mut self, stage: usize) {
         self.states[stage] = State::Waiting;
     }
 
-    /// Whether all stages are made.
+    /// Whether all stages are complete.
     pub fn is_done(&self) -> bool {
         self.states.iter().all(|s| s.is_complete())
     }
 
-    /// Stages that no other stage comes after.
+    /// Stages without dependents.
     pub fn final_stages(&self) -> Vec<usize> {
         (0..self.predecessors.len()).filter(|i| self.dependents(*i).next().is_none()).collect()
     }
@@ -70,7 +70,7 @@
         self.predecessors.iter().enumerate().filter(depends).map(|(i, _)| i)
     }
 
-    /// Takes a stage that may start now; it counts as running from now on.
+    /// Takes a stage that may start now and marks it as running.
     pub fn start_next(&mut self) -> Option<usize> {
         let may_start = |i: &usize| {
             let has_inputs = self.predecessors[*i].iter().all(|j| self.states[*j] == State::Held);
@@ -81,7 +81,7 @@
         Some(stage)
     }
 
-    /// A stage was made; returns those whose results nobody wants any more.
+    /// Marks a stage as complete; returns the stages whose results are no longer needed.
     pub fn complete(&mut self, stage: usize) -> Vec<usize> {
         self.states[stage] = State::Held;
         let unwanted = |j: &usize| {
@@ -95,8 +95,8 @@
         freed
     }
 
-    /// A stage found an input gone; returns the stages that are made again, whose
-    /// results are to be freed, or `None` if they have been made again often enough.
+    /// Handles a lost input of a stage. Returns the stages to recompute, whose results are to be
+    /// freed, or `None` if the limit is reached.
     pub fn input_lost(&mut self, stage: usize) -> Option<Vec<usize>> {
         self.recomputes_left = self.recomputes_left.checked_sub(1)?;
         self.states[stage] = State::Waiting;
--- a/crates/decide/src/stages/schedule.rs
+++ b/crates/decide/src/stages/schedule.rs
@@ -1,12 +1,11 @@
 //! Times along the paths of one request's stages.
 //!
-//! Stages are named by position, `after` lists for each those that come before it, all
-//! at lower positions, and `takes` how long each takes. A stage that is left out takes
-//! no time.
+//! Stages are identified by position. `predecessors` lists for each the stages before it, all at
+//! lower positions, and `durations` the time of each, zero if it is skipped.
 
 use std::time::Duration;
 
-/// For each stage, the time of the longest path behind it, itself not counted.
+/// For each stage, the time of the longest path after it, excluding the stage itself.
 pub fn remaining_times(predecessors: &[Vec<usize>], durations: &[Duration]) -> Vec<Duration> {
     let mut remaining = vec![Duration::ZERO; predecessors.len()];
     for stage in (0..predecessors.len()).rev() {
@@ -18,7 +17,7 @@
     remaining
 }
 
-/// The time of the longest path.
+/// Time of the longest path.
 pub fn critical_path(predecessors: &[Vec<usize>], durations: &[Duration]) -> Duration {
     paths(predecessors, durations).into_iter().max().unwrap_or_default()
 }
@@ -32,8 +31,7 @@
         .collect()
 }
 
-/// For each stage, how long after the first one it may start without making the whole
-/// longer.
+/// For each stage, the latest start after the first one that does not extend the critical path.
 pub fn latest_starts(predecessors: &[Vec<usize>], durations: &[Duration]) -> Vec<Duration> {
     let paths = paths(predecessors, durations);
     let longest = paths.iter().max().copied().unwrap_or_default();
