--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 pub use cold::{ColdBounds, ColdLimit};
 pub use evacuation::{Evacuated, EvacuationChange};
 pub use notice::{NoticeChange, Notices};
-pub use pick::{ColdStarts, Home, PickCriteria, shares};
+pub use pick::{ColdStarts, Home, PickCriteria, home_weights};
 pub use state::{Observation, Presence, TargetState};
 pub use supersede::drop_superseded;
 pub use targets::Fleet;
--- a/crates/decide/src/fleet/pick.rs
+++ b/crates/decide/src/fleet/pick.rs
@@ -46,7 +46,7 @@
     /// target accepts from all nodes together.
     pub max_per_target: u32,
     /// Relative weights of the failure domains for homes; all equal if empty.
-    pub shares: &'a [(Name, f64)],
+    pub home_weights: &'a [(Name, f64)],
     /// Limit of the service's cold targets; `None` if they need none.
     pub cold_limit: Option<ColdLimit>,
     /// Which cold targets may be picked.
@@ -56,9 +56,9 @@
 }
 
 impl PickCriteria<'_> {
-    fn share_of(&self, domain: &str) -> f64 {
-        let share = self.shares.iter().find(|(d, _)| **d == *domain);
-        share.map_or(1.0, |(_, share)| *share)
+    fn weight_of(&self, domain: &str) -> f64 {
+        let weight = self.home_weights.iter().find(|(d, _)| **d == *domain);
+        weight.map_or(1.0, |(_, weight)| *weight)
     }
 }
 
@@ -112,19 +112,19 @@
     criteria.map.round_trip(domain).as_secs_f64() * 1000.0
 }
 
-/// Distance in weighted rendezvous hashing: the smallest wins, in proportion to the shares (the
+/// Distance in weighted rendezvous hashing: the smallest wins, in proportion to the weights (the
 /// logarithmic method of Schindelhauer and Schomaker, 2005).
-fn distance(hash: u64, share: f64) -> f64 {
+fn distance(hash: u64, weight: f64) -> f64 {
     /// Bits of a hash that an `f64` can represent exactly.
     const BITS: u32 = 53;
     let unit = ((hash >> (u64::BITS - BITS)) + 1) as f64 / (1u64 << BITS) as f64;
-    -unit.ln() / share.max(f64::MIN_POSITIVE)
+    -unit.ln() / weight.max(f64::MIN_POSITIVE)
 }
 
 /// Weight of each failure domain for homes, for requests whose inputs are produced close to their
 /// target: the number of producers there divided by the number of targets. Only targets in allowed
 /// regions are counted.
-pub fn shares(
+pub fn home_weights(
     fleet: &Fleet,
     producers: &str,
     targets: &str,
@@ -145,12 +145,12 @@
     if producers.is_empty() {
         return Vec::new();
     }
-    let share = |(domain, targets): (Name, u32)| {
+    let weight = |(domain, targets): (Name, u32)| {
         let produced = producers.get(&domain).map_or(EMPTY_DOMAIN_PRODUCERS, |n| f64::from(*n));
-        let share = produced / f64::from(targets);
-        (domain, share)
+        let weight = produced / f64::from(targets);
+        (domain, weight)
     };
-    count(targets).into_iter().map(share).collect()
+    count(targets).into_iter().map(weight).collect()
 }
 
 /// Targets in home order for a prompt.
@@ -161,7 +161,7 @@
 ) -> Vec<&'a TargetState> {
     let score = |t: &'a TargetState| {
         let hash = hash::mix(home.key, hash::of(t.target.id.name.as_bytes()));
-        (distance(hash, criteria.share_of(&t.target.domain)), t)
+        (distance(hash, criteria.weight_of(&t.target.domain)), t)
     };
     let mut order: Vec<(f64, &TargetState)> = targets.map(score).collect();
     order.sort_unstable_by(|(a, _), (b, _)| a.total_cmp(b));
@@ -173,7 +173,7 @@
     /// nearby target with a named limit that has not been asked for a while, and an ejected target
     /// that is due for a probe. A request that was already sent elsewhere is never used as a probe
     /// of the latter.
-    pub fn pick_plain(
+    pub fn pick_by_wait(
         &self,
         criteria: PickCriteria<'_>,
         now: Time,
--- a/crates/decide/src/fleet/state.rs
+++ b/crates/decide/src/fleet/state.rs
@@ -210,7 +210,7 @@
 
     /// Records the load report in an answer; returns whether it cannot be parsed although the one
     /// before it could, or there was none.
-    pub(super) fn note_load(&mut self, report: ReportedLoad, now: Time) -> bool {
+    pub(super) fn record_load(&mut self, report: ReportedLoad, now: Time) -> bool {
         let was_unreadable = self.load_unreadable;
         match report {
             ReportedLoad::None => {}
--- a/crates/decide/src/fleet/targets.rs
+++ b/crates/decide/src/fleet/targets.rs
@@ -329,8 +329,8 @@
 
     /// Records the load report in an answer; returns whether it cannot be parsed although the one
     /// before it could, or there was none.
-    pub fn note_load(&mut self, id: &TargetId, report: ReportedLoad, now: Time) -> bool {
-        self.get_mut(id).is_some_and(|t| t.note_load(report, now))
+    pub fn record_load(&mut self, id: &TargetId, report: ReportedLoad, now: Time) -> bool {
+        self.get_mut(id).is_some_and(|t| t.record_load(report, now))
     }
 
     /// Evacuations known to this node.
--- a/crates/decide/src/relay/mod.rs
+++ b/crates/decide/src/relay/mod.rs
@@ -12,8 +12,8 @@
 //! the less often the more followers there are.
 
 mod history;
+mod latest;
 mod list;
-mod newest;
 mod outage;
 mod source;
 mod start;
@@ -21,8 +21,8 @@
 pub mod waits;
 
 pub use history::History;
+pub use latest::LatestList;
 pub use list::{Entry, List};
-pub use newest::LatestList;
 pub use outage::OutageGrace;
 pub use source::{Choice, Relays, Role, Source, Sources};
 pub use start::startup_wait;
--- a/crates/decide/src/relay/outage.rs
+++ b/crates/decide/src/relay/outage.rs
@@ -50,7 +50,7 @@
     }
 
     /// Handles a restore of the store from an older copy, which may lack entries that existed.
-    pub fn restored(&mut self, now: Time) {
+    pub fn store_restored(&mut self, now: Time) {
         self.recovered_at = Some(now);
     }
 
--- a/crates/decide/src/relay/source.rs
+++ b/crates/decide/src/relay/source.rs
@@ -80,7 +80,7 @@
 }
 
 impl Choice {
-    fn now(source: Source) -> Self {
+    fn immediate(source: Source) -> Self {
         Choice { source, pause: Duration::ZERO }
     }
 }
@@ -109,20 +109,20 @@
         self.stale.retain(|_, until| now < *until);
         let store_backed_off = self.store_until.is_some_and(|until| now < until);
         if relays.role == Role::Relay && !store_backed_off {
-            return Choice::now(Source::Store);
+            return Choice::immediate(Source::Store);
         }
         // A standby replaces a relay that has lost contact: the store may reject the relays of all
         // failure domains and still serve other nodes.
         let relay_is_stale = relays.peers.first().is_some_and(|n| self.stale.contains_key(&n.id));
         if relays.role == Role::Standby && relay_is_stale && !store_backed_off {
-            return Choice::now(Source::Store);
+            return Choice::immediate(Source::Store);
         }
         let is_responsive = |n: &&Node| !self.unresponsive.contains_key(&n.id);
         let is_fresh = |n: &&Node| !self.stale.contains_key(&n.id);
         if let Some(peer) = relays.peers.iter().filter(is_responsive).find(is_fresh) {
             self.fallback_at = None;
             let await_fresh = relays.role == Role::Unknown;
-            return Choice::now(Source::Peer { node: peer.clone(), await_fresh });
+            return Choice::immediate(Source::Peer { node: peer.clone(), await_fresh });
         }
         if relays.role == Role::Unknown && relays.peers.is_empty() {
             return Choice { source: Source::Unavailable, pause: PAUSE_STARTUP };
@@ -142,9 +142,9 @@
         let may_ask_store = matches!(relays.role, Role::Follower | Role::Standby);
         if may_ask_store && now >= ask_store_at && !store_backed_off {
             self.fallback_at = None;
-            return Choice::now(Source::Store);
+            return Choice::immediate(Source::Store);
         }
-        Choice::now(Source::Peer { node: stale, await_fresh: true })
+        Choice::immediate(Source::Peer { node: stale, await_fresh: true })
     }
 
     /// Source to use while no relay answers.
--- a/crates/decide/tests/allowed.rs
+++ b/crates/decide/tests/allowed.rs
@@ -13,7 +13,7 @@
 use batch::{answers, at, calls, coordinator, made, order, placed};
 use decide::batch::{Action, Call, CallEnd, Event, MakerInfo, OrderId};
 use decide::fleet::{
-    ColdStarts, Exclusion, Fleet, Home, Observation, PickCriteria, Regions, Terms, shares,
+    ColdStarts, Exclusion, Fleet, Home, Observation, PickCriteria, Regions, Terms, home_weights,
 };
 use decide::rng::Rng;
 use model::Name;
@@ -95,7 +95,7 @@
         !fleet.is_in_allowed_region(&"gone".into(), &north),
         "region of an unknown target is unknown"
     );
-    assert!(shares(&fleet, "engine", "engine", &north, at(0)).is_empty());
+    assert!(home_weights(&fleet, "engine", "engine", &north, at(0)).is_empty());
 }
 
 #[test]
@@ -171,7 +171,7 @@
         fleet.set_evacuations(Evacuations { at: 1, domains: evacuated.collect() }, at(0));
         let allowed = allowed(&named);
         let exclude: Vec<TargetId> = exclude.iter().map(|i| format!("t{i}").as_str().into()).collect();
-        let shares = shares(&fleet, "engine", "engine", &allowed, at(10));
+        let weights = home_weights(&fleet, "engine", "engine", &allowed, at(10));
         let criteria = PickCriteria {
             service: "engine",
             domain,
@@ -180,13 +180,13 @@
             terms: Terms { allowed: &allowed, side: Side::Serving },
             exclude: &exclude,
             max_per_target: 40,
-            shares: &shares,
+            home_weights: &weights,
             cold_limit: None,
             cold_starts: ColdStarts::Avoid,
             may_repeat: true,
         };
         let home = Home { key, shared_tokens: 100 };
-        let by_wait = fleet.pick_plain(criteria, at(10), &mut Rng::new(seed));
+        let by_wait = fleet.pick_by_wait(criteria, at(10), &mut Rng::new(seed));
         let by_home = fleet.pick_home(criteria, home, at(10));
         let near = fleet.local_homes(criteria, home, at(10));
         let place = |id: &TargetId| {
@@ -199,8 +199,8 @@
             prop_assert!(inside(place(id)), "{} in {}", id.name, place(id));
             prop_assert!(fleet.is_in_allowed_region(id, &allowed));
         }
-        for (domain, _) in &shares {
-            prop_assert!(inside(domain), "a share of {}", domain);
+        for (domain, _) in &weights {
+            prop_assert!(inside(domain), "a weight of {}", domain);
         }
         let is_free = |(i, (d, s)): (usize, &(&str, State))| {
             let id = TargetId::from(format!("t{i}").as_str());
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -26,7 +26,7 @@
 
 fn pick(fleet: &Fleet, per_s: f64, cold_starts: ColdStarts<'_>, now: Time) -> Option<TargetId> {
     let wanted = PickCriteria { cold_limit: Some(limit(per_s)), cold_starts, ..wanted(&[]) };
-    fleet.pick_plain(wanted, now, &mut Rng::new(1)).map(|t| t.id)
+    fleet.pick_by_wait(wanted, now, &mut Rng::new(1)).map(|t| t.id)
 }
 
 #[test]
@@ -128,7 +128,7 @@
                     cold_starts: ColdStarts::InTurn(&|_| true),
                     ..wanted(&[])
                 };
-                if fleet.pick_plain(wanted, at(ms), &mut rng).is_some() {
+                if fleet.pick_by_wait(wanted, at(ms), &mut rng).is_some() {
                     fleet.note_cold_start(&"t0".into(), limit, at(ms));
                     arrivals.push(ms + rng.below(250) as u64);
                 }
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -27,7 +27,7 @@
 /// Targets of a hundred requests without and a hundred with a prompt.
 fn chosen(fleet: &Fleet) -> BTreeSet<String> {
     let mut rng = Rng::new(1);
-    let plain = (0..100).filter_map(|_| fleet.pick_plain(wanted(&[]), at(0), &mut rng));
+    let plain = (0..100).filter_map(|_| fleet.pick_by_wait(wanted(&[]), at(0), &mut rng));
     let plain: Vec<Target> = plain.collect();
     let home = |key| fleet.pick_home(wanted(&[]), Home { key, shared_tokens: 10 }, at(0));
     plain.into_iter().chain((0..100).filter_map(home)).map(|t| t.id.to_string()).collect()
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use decide::fleet::{Fleet, Home, Observation, PickCriteria, Regions, Terms, shares};
+use decide::fleet::{Fleet, Home, Observation, PickCriteria, Regions, Terms, home_weights};
 use decide::region::Map;
 use decide::rng::Rng;
 use model::forward::{Allowed, NamedLimit, PromptPart, ReportedLoad, Target, TargetId, TargetLoad};
@@ -83,11 +83,11 @@
     fleet.remove(&"t1".into(), None, at(0));
     let mut rng = Rng::new(1);
     for _ in 0..50 {
-        let plain = fleet.pick_plain(wanted(&[]), at(0), &mut rng).map(|t| t.id);
+        let plain = fleet.pick_by_wait(wanted(&[]), at(0), &mut rng).map(|t| t.id);
         assert_eq!(plain.map(|t| t.name).as_deref(), Some("t2"));
     }
     let tried = ["t2".into()];
-    assert_eq!(fleet.pick_plain(wanted(&tried), at(0), &mut rng), None);
+    assert_eq!(fleet.pick_by_wait(wanted(&tried), at(0), &mut rng), None);
     assert_eq!(fleet.pick_home(wanted(&tried), home(1), at(0)), None);
 }
 
@@ -135,7 +135,8 @@
     let mut fleet = fleet(2);
     let mut rng = Rng::new(1);
     fleet.observe(&"t0".into(), Observation::Unreachable, at(0));
-    let pick = |f: &Fleet, rng: &mut Rng, ms| f.pick_plain(wanted(&[]), at(ms), rng).map(|t| t.id);
+    let pick =
+        |f: &Fleet, rng: &mut Rng, ms| f.pick_by_wait(wanted(&[]), at(ms), rng).map(|t| t.id);
     assert_eq!(pick(&fleet, &mut rng, 10).map(|t| t.name).as_deref(), Some("t1"));
     fleet.observe(&"t1".into(), Observation::Unreachable, at(20));
     assert!(pick(&fleet, &mut rng, 30).is_some(), "if all are ejected, one is tried anyway");
@@ -150,18 +151,18 @@
     for id in ["t0", "t1"] {
         fleet.observe(&id.into(), Observation::Answered(Duration::from_millis(50)), at(0));
     }
-    let local = fleet.pick_plain(wanted(&[]), at(0), &mut rng).expect("two targets are up");
+    let local = fleet.pick_by_wait(wanted(&[]), at(0), &mut rng).expect("two targets are up");
     assert_eq!(&*local.id.name, "t0", "own failure domain first");
     for _ in 0..3 {
         fleet.request_sent(&"t0".into(), 0);
     }
-    let spread = fleet.pick_plain(wanted(&[]), at(0), &mut rng).expect("two targets are up");
+    let spread = fleet.pick_by_wait(wanted(&[]), at(0), &mut rng).expect("two targets are up");
     assert_eq!(&*spread.id.name, "t1");
     for _ in 0..3 {
         fleet.request_done(&"t0".into());
         fleet.observe(&"t0".into(), Observation::Failed, at(0));
     }
-    let sound = fleet.pick_plain(wanted(&[]), at(0), &mut rng).expect("two targets are up");
+    let sound = fleet.pick_by_wait(wanted(&[]), at(0), &mut rng).expect("two targets are up");
     assert_eq!(&*sound.id.name, "t1");
 }
 
@@ -172,7 +173,7 @@
     let (mut now, mut first, mut all) = (0, 0, 0);
     while now < for_ms {
         let chosen =
-            fleet.pick_plain(wanted(&[]), at(now), &mut rng).expect("two targets are up").id;
+            fleet.pick_by_wait(wanted(&[]), at(now), &mut rng).expect("two targets are up").id;
         let took = if &*chosen.name == "t0" { t0_ms } else { t1_ms };
         now += took;
         first += usize::from(&*chosen.name == "t0");
@@ -204,8 +205,8 @@
     for id in ["t0", "t1"] {
         fleet.observe(&id.into(), Observation::Answered(Duration::from_millis(50)), at(0));
     }
-    assert!(!fleet.note_load(&"t0".into(), ReportedLoad::Load(load), at(0)));
-    let chosen = fleet.pick_plain(wanted(&[]), at(ms), &mut rng).expect("two targets are up");
+    assert!(!fleet.record_load(&"t0".into(), ReportedLoad::Load(load), at(0)));
+    let chosen = fleet.pick_by_wait(wanted(&[]), at(ms), &mut rng).expect("two targets are up");
     chosen.id.name.to_string()
 }
 
@@ -231,13 +232,13 @@
     }
     // The answer to one of the three requests carries this report.
     let report = TargetLoad { running: 2, waiting: 0, slots: 4, slowdown: 1.0 };
-    fleet.note_load(&id, ReportedLoad::Load(report), at(0));
+    fleet.record_load(&id, ReportedLoad::Load(report), at(0));
     fleet.request_done(&id);
     assert_eq!(load(&fleet), 0.5, "two of four slots");
-    assert!(fleet.note_load(&id, ReportedLoad::Unreadable, at(0)), "reported once");
-    assert!(!fleet.note_load(&id, ReportedLoad::Unreadable, at(0)));
+    assert!(fleet.record_load(&id, ReportedLoad::Unreadable, at(0)), "reported once");
+    assert!(!fleet.record_load(&id, ReportedLoad::Unreadable, at(0)));
     assert_eq!(load(&fleet), 0.5);
-    assert!(!fleet.note_load(&"t9".into(), ReportedLoad::Unreadable, at(0)), "unknown target");
+    assert!(!fleet.record_load(&"t9".into(), ReportedLoad::Unreadable, at(0)), "unknown target");
 }
 
 #[test]
@@ -260,12 +261,12 @@
     let wanted = PickCriteria { max_per_target: 2, ..wanted(&[]) };
     let mut taken = BTreeSet::new();
     for _ in 0..4 {
-        let target = fleet.pick_plain(wanted, at(0), &mut rng).expect("a slot is free");
+        let target = fleet.pick_by_wait(wanted, at(0), &mut rng).expect("a slot is free");
         fleet.request_sent(&target.id, 0);
         taken.insert(target.id);
     }
     assert_eq!(taken.len(), 2);
-    assert_eq!(fleet.pick_plain(wanted, at(0), &mut rng), None);
+    assert_eq!(fleet.pick_by_wait(wanted, at(0), &mut rng), None);
     assert_eq!(fleet.pick_home(wanted, home(1), at(0)), None);
     fleet.request_done(&"t1".into());
     assert_eq!(fleet.pick_home(wanted, home(1), at(0)).map(|t| t.id.name).as_deref(), Some("t1"));
@@ -280,7 +281,7 @@
     let id = TargetId::from("t0");
     fleet.observe(&id, Observation::Answered(Duration::from_secs(1)), at(0));
     let mut chosen = |fleet: &Fleet, ms| {
-        fleet.pick_plain(wanted(&[]), at(ms), &mut rng).map(|t| t.id.name.to_string())
+        fleet.pick_by_wait(wanted(&[]), at(ms), &mut rng).map(|t| t.id.name.to_string())
     };
     assert_eq!(chosen(&fleet, 5_000).as_deref(), Some("t1"), "names no limit");
     fleet.record_limit(&id, NamedLimit::PerSecond(1.0), at(5_000), at(5_010));
@@ -311,11 +312,11 @@
     for (id, domain) in producers {
         fleet.upsert(Target { service: "encode".into(), ..target(id, domain) }, at(0));
     }
-    let by_domain = shares(&fleet, "encode", "engine", &Allowed::ANY, at(0));
+    let by_domain = home_weights(&fleet, "encode", "engine", &Allowed::ANY, at(0));
     let mut homes = [0.0; 3];
     let keys = 3000;
     for key in 0..keys {
-        let wanted = PickCriteria { shares: &by_domain, ..wanted(&[]) };
+        let wanted = PickCriteria { home_weights: &by_domain, ..wanted(&[]) };
         let home = fleet.pick_home(wanted, home(key), at(0)).expect("18 targets are up");
         homes[["a", "b", "c"].iter().position(|d| *d == &*home.domain).expect("a domain")] += 1.0;
     }
@@ -324,8 +325,8 @@
         assert!((got - wanted).abs() < wanted * 0.15, "{homes:?}");
     }
     assert!(
-        shares(&fleet, "unknown", "engine", &Allowed::ANY, at(0)).is_empty(),
-        "no producers, no shares"
+        home_weights(&fleet, "unknown", "engine", &Allowed::ANY, at(0)).is_empty(),
+        "no producers, no weights"
     );
 }
 
@@ -339,7 +340,7 @@
     let mut fleet = fleet(12);
     let mut rng = Rng::new(1);
     let mut chosen = |fleet: &Fleet| {
-        let plain = (0..50).filter_map(|_| fleet.pick_plain(wanted, at(0), &mut rng));
+        let plain = (0..50).filter_map(|_| fleet.pick_by_wait(wanted, at(0), &mut rng));
         let mut domains: BTreeSet<String> = plain.map(|t| t.domain.to_string()).collect();
         let homes = (0..50).filter_map(|key| fleet.pick_home(wanted, home(key), at(0)));
         domains.extend(homes.map(|t| t.domain.to_string()));
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -124,9 +124,9 @@
     let mut fleet = fleet(vec![entry(17, 5)]);
     let tried = [id(17)];
     let mut rng = Rng::new(1);
-    assert_eq!(fleet.pick_plain(wanted(&tried), at(0), &mut rng), None);
+    assert_eq!(fleet.pick_by_wait(wanted(&tried), at(0), &mut rng), None);
     fleet.upsert(entry(18, 6), at(10));
-    let chosen = fleet.pick_plain(wanted(&tried), at(10), &mut rng).map(|t| t.id);
+    let chosen = fleet.pick_by_wait(wanted(&tried), at(10), &mut rng).map(|t| t.id);
     assert_eq!(chosen, Some(id(18)));
 }
 
--- a/crates/decide/tests/support/fleet.rs
+++ b/crates/decide/tests/support/fleet.rs
@@ -43,7 +43,7 @@
         home_region: None,
         exclude,
         max_per_target: 100,
-        shares: &[],
+        home_weights: &[],
         cold_limit: None,
         may_repeat: true,
         cold_starts: ColdStarts::Avoid,
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -232,7 +232,7 @@
     pub fn note_load(&self, target: &Target, said: ReportedLoad) {
         self.metrics.load(said);
         let now = self.now();
-        if self.fleet(|f| f.note_load(&target.id, said, now)) {
+        if self.fleet(|f| f.record_load(&target.id, said, now)) {
             Event::BadLoad { target: &target.id.name, service: &target.service }.emit();
         }
     }
@@ -281,7 +281,7 @@
         Event::Epoch { epoch, before, from, at: self.feed.at().unwrap_or(0) }.emit();
         if before.is_some() {
             let now = self.now();
-            self.doubt(|d| d.restored(now));
+            self.doubt(|d| d.store_restored(now));
             self.fleet(|f| f.begin_epoch(now));
             self.quarantine.restored();
         }
--- a/crates/forward/src/prefill/mod.rs
+++ b/crates/forward/src/prefill/mod.rs
@@ -52,7 +52,7 @@
             terms: Terms { allowed: &ask.allowed, side: ask.side },
             exclude: &ask.but,
             max_per_target: u32::MAX,
-            shares: &[],
+            home_weights: &[],
             cold_limit: node.cold_limit(&ask.service),
             // Cold engines are left to the nodes that own them.
             cold_starts: ColdStarts::Avoid,
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use decide::fleet::{ColdStarts, Exclusion, Home, PickCriteria, Terms, shares};
+use decide::fleet::{ColdStarts, Exclusion, Home, PickCriteria, Terms, home_weights};
 use decide::region::Map;
 use decide::resend::Next;
 use model::forward::{Allowed, LARGE_RESULT, Phase, Side, Target, TargetId};
@@ -66,14 +66,14 @@
             terms: self.terms(&allowed),
             exclude: &but,
             max_per_target: self.connections_each(),
-            shares: &shares,
+            home_weights: &shares,
             cold_limit: self.node.cold_limit(&self.service),
             cold_starts: ColdStarts::InTurn(&owns),
             may_repeat: self.route.repeat.may_repeat() && self.route.max_attempts > 1,
         };
         let chosen = match self.home() {
             Some(home) => self.node.fleet(|f| f.pick_home(wanted, home, now)),
-            None => self.node.fleet(|f| self.node.rng(|r| f.pick_plain(wanted, now, r))),
+            None => self.node.fleet(|f| self.node.rng(|r| f.pick_by_wait(wanted, now, r))),
         }?;
         self.node.fleet(|f| f.note_chosen(&chosen.id, now));
         Some(chosen)
@@ -213,7 +213,7 @@
         let Some(makers) = large.map(|s| &s.service) else {
             return Vec::new();
         };
-        self.node.fleet(|f| shares(f, makers, &self.service, allowed, now))
+        self.node.fleet(|f| home_weights(f, makers, &self.service, allowed, now))
     }
 
     /// Whether a target chosen a while ago, or by another node, may get the request.
