--- a/crates/decide/tests/allowed.rs
+++ b/crates/decide/tests/allowed.rs
@@ -260,7 +260,7 @@
 }
 
 /// Makers of a coordinator: the present ones of two per failure domain.
-fn told(present: &BTreeSet<usize>, regions: &BTreeMap<&str, &str>) -> Vec<MakerInfo> {
+fn maker_infos(present: &BTreeSet<usize>, regions: &BTreeMap<&str, &str>) -> Vec<MakerInfo> {
     let info = |i: &usize| {
         let domain = DOMAINS[i % DOMAINS.len()];
         MakerInfo {
@@ -298,7 +298,7 @@
             .collect();
         let mut present: BTreeSet<usize> = (0..8).collect();
         let mut c = coordinator(&[]);
-        c.on(at(0), Event::Makers(told(&present, &regions)));
+        c.on(at(0), Event::Makers(maker_infos(&present, &regions)));
         let mut rules: BTreeMap<Name, Option<BTreeSet<&str>>> = BTreeMap::new();
         let mut open: BTreeMap<OrderId, Name> = BTreeMap::new();
         let mut flights: Vec<Call> = Vec::new();
@@ -321,7 +321,7 @@
                 }
                 Step::Makers(now_present) => {
                     present = now_present;
-                    Event::Makers(told(&present, &regions))
+                    Event::Makers(maker_infos(&present, &regions))
                 }
                 Step::End { call, how } if call < flights.len() => {
                     let call = flights.remove(call);
@@ -367,7 +367,7 @@
 fn order_near_a_disallowed_domain_goes_to_an_allowed_region() {
     let mut c = coordinator(&[]);
     let regions = BTreeMap::from([("a", "north"), ("b", "south")]);
-    c.on(at(0), Event::Makers(told(&[0, 1].into(), &regions)));
+    c.on(at(0), Event::Makers(maker_infos(&[0, 1].into(), &regions)));
     let bytes = 3_000_000;
     let order = BatchOrder {
         allowed: allowed(&Some(["south"].into())),
@@ -383,11 +383,11 @@
 fn order_without_an_allowed_maker_fails_at_once_and_frees_its_results() {
     let mut c = coordinator(&[]);
     let regions = BTreeMap::from([("a", "north"), ("b", "south")]);
-    c.on(at(0), Event::Makers(told(&[0, 1].into(), &regions)));
+    c.on(at(0), Event::Makers(maker_infos(&[0, 1].into(), &regions)));
     let south = || allowed(&Some(["south"].into()));
     let large = BatchOrder { allowed: south(), ..order("r1", 15) };
     let started = calls(&c.on(at(0), placed(1, large))).remove(0);
-    c.on(at(200), Event::Makers(told(&[0].into(), &regions)));
+    c.on(at(200), Event::Makers(maker_infos(&[0].into(), &regions)));
     let actions = c.on(at(210), Event::Ended(started.number, made(&started)));
     assert_eq!(answers(&actions).len(), 0, "already answered when its maker was removed");
     let freed = actions.iter().map(|a| match a {
