--- a/crates/decide/tests/follow.rs
+++ b/crates/decide/tests/follow.rs
@@ -248,10 +248,10 @@
 
 #[test]
 fn outage_causes_few_calls_and_its_end_is_noticed_soon() {
-    let away = Faults { store: |_, _, ms| !is_faulty(ms), peers: |_, _, _, _| true };
+    let outage = Faults { store: |_, _, ms| !is_faulty(ms), peers: |_, _, _, _| true };
     for seed in 0..5 {
         let mut fleet = Fleet::new(seed);
-        let oldest = fleet.run(20_000, &away, |_| true);
+        let oldest = fleet.run(20_000, &outage, |_| true);
         let calls = fleet.calls_within(FAULT_START, FAULT_END);
         assert!(calls <= 130, "{calls} store calls by {NODES} nodes in 5 s");
         let back = from(&oldest, FAULT_END + 2_500);
--- a/crates/decide/tests/regions.rs
+++ b/crates/decide/tests/regions.rs
@@ -150,7 +150,8 @@
             for i in 0..3 {
                 let me = format!("{domain}-{i}");
                 let roster = roster(&me, 3);
-                let first = roster.coordinators(&pool_of(region), now).next().expect("somebody");
+                let first =
+                    roster.coordinators(&pool_of(region), now).next().expect("a coordinator");
                 found.insert(first.map_or(me, |n| n.id.name.to_string()));
             }
         }
--- a/crates/decide/tests/relay.rs
+++ b/crates/decide/tests/relay.rs
@@ -30,7 +30,7 @@
     match &chosen.source {
         Source::Store => "store",
         Source::Peer { node, .. } => &node.id.name,
-        Source::Unavailable => "nobody",
+        Source::Unavailable => "unavailable",
     }
 }
 
@@ -120,7 +120,7 @@
     let mut sources = Sources::default();
     let no_peers = Relays { role: Role::Unknown, peers: Vec::new(), ..relays(Role::Unknown) };
     let chosen = sources.choose(&no_peers, at(0), full_jitter);
-    assert_eq!(name_of(&chosen), "nobody");
+    assert_eq!(name_of(&chosen), "unavailable");
     assert!(chosen.pause > Duration::ZERO);
     let chosen = sources.choose(&relays(Role::Unknown), at(50), full_jitter);
     assert_eq!(
