--- a/crates/decide/src/member/gossip.rs
+++ b/crates/decide/src/member/gossip.rs
@@ -1,4 +1,4 @@
-//! News of other nodes: what is believed of it, and to whom it is passed on.
+//! Gossip about other nodes: how a rumor is applied and to whom it is forwarded.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use super::peers::digest_of;
 use super::types::Action;
 
-/// Peers told at once of a refutation.
+/// Peers that are sent a refutation immediately.
 const REFUTATION_FANOUT: usize = 5;
-/// Least time between two answers to a digest that differs.
+/// Minimum interval between two syncs triggered by a mismatched digest.
 const SYNC_INTERVAL: Duration = Duration::from_secs(2);
-/// Time for which changes count as recent. Rumors reach nearly everybody sooner.
+/// Age up to which a change counts as recent. Rumors reach nearly all nodes sooner than this.
 const RECENT_WINDOW: Duration = Duration::from_secs(4);
-/// Part of the list up to which the recent changes are told in its place.
+/// Maximum share of the member list that recent changes may make up to be sent in its place.
 const MAX_RECENT_SHARE: f64 = 0.25;
-/// Time between two exchanges of whole lists for each peer on them, so that a node's part of
-/// them does not grow with the fleet.
+/// Interval between two full list exchanges per listed peer, so that a node's share of the
+/// traffic does not grow with the fleet.
 const FULL_SYNC_PER_PEER: Duration = Duration::from_millis(60);
-/// Most that a node blames itself.
+/// Upper bound of the health score that a node gives itself; 0 is healthy.
 pub(super) const MAX_HEALTH_SCORE: u32 = 4;
 
 impl Member {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes news about another node and passes it on if it is new.
+    /// Applies a rumor about another node and queues it for gossip if it is new.
     pub(super) fn apply_rumor(&mut self, now: Time, rumor: &Rumor, out: &mut Vec<Action>) {
         let previous = self.peers.get(&rumor.node.id).map(|p| p.health);
         if !self.peers.apply(now, rumor) {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Tells a suspect directly, so that it can refute to whoever suspects it in
-    /// one round trip, long before rumors would have gone to it and back.
+    /// Notifies a suspect directly, so that it can refute in one round trip, long before gossip
+    /// would have reached it and returned.
     pub(super) fn notify_suspect(&mut self, rumor: &Rumor, out: &mut Vec<Action>) {
         let start = rumor.node.id.start;
         let mut packet = self.empty_packet(Purpose::Ping { start });
@@ -75,11 +75,11 @@
         self.peers.digest() ^ digest_of(&self.me.id)
     }
 
-    /// Anti-entropy: rumors die out before they reach everybody, so two nodes that hold different
-    /// lists now and then tell each other what changed lately, and more seldom all.
+    /// Anti-entropy: rumors expire before they reach every node, so two nodes with different
+    /// digests exchange recent changes from time to time and, less often, the full list.
     ///
-    /// Where somebody comes or goes all the time no two digests are alike, and whole lists after
-    /// each probe would cost each node as much as the fleet is large.
+    /// Under constant churn no two digests match, and sending the full list after each probe
+    /// would cost every node traffic proportional to the size of the fleet.
     pub(super) fn anti_entropy(
         &mut self,
         now: Time,
@@ -110,12 +110,12 @@
             return self.apply_rumor(now, rumor, out);
         }
         if rumor.health >= Health::Dead {
-            // Buried while paused or cut off: come back as a new member.
+            // Declared dead while paused or partitioned: rejoin under a new identity.
             self.me.id.start = self.rng.draw().max(1);
             self.incarnation = 0;
             self.outbox.push(self.own_rumor());
         } else if rumor.health == Health::Suspect && rumor.incarnation >= self.incarnation {
-            // Somebody doubts this node: refute, and take it as a hint of slowness.
+            // A peer suspects this node: refute, and treat it as a sign that this node is slow.
             self.incarnation = rumor.incarnation + 1;
             self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
             self.outbox.push(self.own_rumor());
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Passes a refutation on at once: it races with the suspicion's end.
+    /// Forwards a refutation immediately: it races against the suspicion timeout.
     pub(super) fn broadcast_refutation(&mut self, rumor: &Rumor, out: &mut Vec<Action>) {
         for to in self.sample(REFUTATION_FANOUT, &rumor.node.id) {
             let mut packet = self.empty_packet(Purpose::News);
--- a/crates/decide/src/member/join.rs
+++ b/crates/decide/src/member/join.rs
@@ -1,9 +1,10 @@
-//! How a node that has just started finds its peers.
+//! How a newly started node discovers its peers.
 //!
-//! Hundreds start together after a loss of power, and the seeds may be the smallest of all
-//! hosts: they tell a newcomer of the hosts that bear most, the hubs, and no more. To these
-//! it makes itself known, and asks one of them after the other, which tells it the whole list
-//! if it does not know the same. Where no host bears more than the others all are hubs.
+//! Hundreds of nodes start together after a power loss, and the seeds may run on the smallest
+//! hosts. A seed therefore tells a joining node only about the hubs, the peers on the hosts of
+//! highest capacity. The joining node announces itself to the hubs and polls one after another;
+//! a hub whose digest differs replies with the full list. If all hosts have equal capacity, all
+//! are hubs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,34 +16,34 @@
 use super::peers::Peer;
 use super::types::Action;
 
-/// Rumors in one packet that answers a newcomer.
+/// Rumors per packet when members are pushed to a peer.
 const PUSH_RUMORS: usize = 16;
-/// Peers that an answer has to bring for the whole list to be asked for once more: fewer come and
-/// go at any time, and rumors tell of them.
+/// New peers that a pull must bring for the full list to be requested again. Smaller differences
+/// are normal churn, which gossip covers.
 const MIN_PULL_GAIN: usize = 4;
-/// Uptime from which on a peer did not start together with a new node.
+/// Uptime above which a peer did not start together with a joining node.
 const OLD_UPTIME: Duration = Duration::from_secs(5);
-/// Time for which a node counts as new.
+/// Time after its start during which a node counts as joining.
 const JOIN_WINDOW: Duration = Duration::from_secs(3);
-/// Time between two questions for the whole list, in the time in which most others start
-/// and after it.
+/// Interval between two pulls of the full list while most other nodes are starting too.
 const HERD_PULL_INTERVAL: Duration = Duration::from_millis(100);
+/// The same interval once the herd has started.
 const PULL_INTERVAL: Duration = Duration::from_millis(300);
-/// Time in which most others start, if all do.
+/// Time within which most nodes start if the whole fleet does.
 const HERD_WINDOW: Duration = Duration::from_millis(800);
-/// Time between two tries of a seed in the time in which most others start: the seeds may be
-/// the last to come, and a datagram comes back in a few milliseconds.
+/// Interval between two attempts to reach a seed while most nodes are starting. The seeds may be
+/// the last to start, and a round trip takes only a few milliseconds.
 const HERD_SEED_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What a node has done to find its peers.
+/// Progress of peer discovery after a start.
 #[derive(Debug, Default)]
 pub(super) struct Joining {
     started: Option<Time>,
     seed_attempts: u32,
     next_pull: Time,
-    /// Peers known at the last question for the whole list.
+    /// Number of peers known at the last pull of the full list.
     known_peers: Option<usize>,
-    /// The whole list is known.
+    /// Whether the full list is known.
     is_done: bool,
 }
 
@@ -51,30 +52,30 @@
         self.started.is_some_and(|began| now.since(began) < JOIN_WINDOW)
     }
 
-    /// Whether others most likely start too.
+    /// Whether most other nodes are probably starting too.
     fn in_herd(&self, now: Time) -> bool {
         self.started.is_some_and(|began| now.since(began) < HERD_WINDOW)
     }
 
-    /// When the whole list is asked for next.
+    /// When the next pull is due.
     pub(super) fn next(&self, now: Time) -> Time {
         if self.is_joining(now) && !self.is_done { self.next_pull } else { Time::NEVER }
     }
 }
 
 impl Member {
-    /// Notes that the node runs.
+    /// Records the time of the first event.
     pub(super) fn mark_started(&mut self, now: Time) {
         self.joining.started.get_or_insert(now);
     }
 
-    /// A question to whoever is at an address. It carries no news: each is told only so many
-    /// times, and would be lost where nobody listens.
+    /// A ping to an address whose node is unknown. It carries no gossip: each rumor has a limited
+    /// number of transmissions, which would be wasted if nobody listens there.
     pub(super) fn hello(&self) -> Packet {
         Packet { rumors: vec![self.own_rumor()], ..self.empty_packet(Purpose::Ping { start: 0 }) }
     }
 
-    /// Tries a seed: another one each time, since some may be down or not up yet.
+    /// Pings a seed, a different one on each attempt, since some may be down or not yet started.
     pub(super) fn contact_seed(&mut self, now: Time, out: &mut Vec<Action>) {
         let tries = self.joining.seed_attempts;
         self.joining.seed_attempts += 1;
@@ -90,19 +91,19 @@
         self.notify_link(out);
     }
 
-    /// Makes a new node known to a hub that it has just heard of.
+    /// Announces a joining node to a hub that it has just discovered.
     pub(super) fn announce_to_hub(&self, now: Time, rumor: &Rumor, out: &mut Vec<Action>) {
         if self.joining.is_joining(now) && rumor.node.capacity > self.me.capacity {
             self.send_rumors(rumor.node.address, vec![self.own_rumor()], out);
         }
     }
 
-    /// Asks a hub for the whole list.
+    /// Requests the full list from a hub.
     pub(super) fn pull(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.joining.is_done || !self.joining.is_joining(now) || now < self.joining.next_pull {
             return;
         }
-        // Those that start together tell each other as long as any may still be coming.
+        // Nodes that start together keep pulling while others may still be starting.
         let new_peers = self.joining.known_peers.map(|known| self.peers.up().saturating_sub(known));
         let is_complete = new_peers.is_some_and(|n| n < MIN_PULL_GAIN);
         if is_complete && self.peers.has_older_than(OLD_UPTIME, now) {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Up to `n` of the peers whose hosts bear most.
+    /// Up to `n` random hubs.
     fn sample_hubs(&mut self, n: usize) -> Vec<&Peer> {
         let Some((_, hubs)) = self.peers.hubs() else {
             return Vec::new();
@@ -129,7 +130,7 @@
         drawn.into_iter().filter_map(|id| self.peers.get(id)).collect()
     }
 
-    /// Answers a newcomer: a hub with all that it knows, the others with the hubs.
+    /// Replies to a joining node: a hub sends the full list, other nodes send the hubs.
     pub(super) fn push_members(&mut self, to: SocketAddr, out: &mut Vec<Action>) {
         if self.peers.hubs().is_none_or(|(max_capacity, _)| max_capacity <= self.me.capacity) {
             return self.push_all(to, out);
@@ -141,14 +142,14 @@
         self.send_rumors(to, hubs, out);
     }
 
-    /// Tells a peer about everybody.
+    /// Sends a peer all members that are up, this node included.
     pub(super) fn push_all(&self, to: SocketAddr, out: &mut Vec<Action>) {
         let others = self.peers.iter_up().map(|p| p.rumor(self.now));
         let all: Vec<Rumor> = others.chain([self.own_rumor()]).collect();
         self.push_each(to, &all, out);
     }
 
-    /// Tells a peer this news, some in each datagram.
+    /// Sends a peer these rumors, split over several datagrams.
     pub(super) fn push_each(&self, to: SocketAddr, rumors: &[Rumor], out: &mut Vec<Action>) {
         for chunk in rumors.chunks(PUSH_RUMORS) {
             self.send_rumors(to, chunk.to_vec(), out);
--- a/crates/decide/src/member/machine.rs
+++ b/crates/decide/src/member/machine.rs
@@ -1,4 +1,4 @@
-//! The membership machine of one node.
+//! The membership state machine of one node.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,15 +13,15 @@
 use super::types::{Action, Event, Tuning};
 use crate::rng::Rng;
 
-/// One period in this many tries a seed that nobody is known to be at.
+/// On average, one period in this many pings a seed at whose address no peer is known.
 const SEED_RETRY_PERIODS: usize = 5;
-/// Time for which the addresses of peers that left or died are tried: most come back at
-/// the same address within seconds, and their seeds may be down by then.
+/// Time for which the addresses of peers that left or died are pinged. Most restart at the same
+/// address within seconds, and their seeds may be down by then.
 const LOST_RETRY_WINDOW: Duration = Duration::from_secs(60);
-/// Such addresses tried in one period, in turn.
+/// Lost addresses pinged per period, in rotation.
 const LOST_PER_PERIOD: usize = 3;
-/// Times the patience after which a probe has failed: the direct one, and the
-/// two hops of the helpers' one.
+/// Probe timeouts after which a probe has failed: one for the direct probe and two for the hops
+/// of the indirect one.
 const PROBE_TIMEOUTS: u32 = 3;
 
 #[derive(Debug)]
@@ -32,6 +32,7 @@
     pub(super) helpers_asked: bool,
 }
 
+/// A probe sent on behalf of the peer at `origin`.
 #[derive(Debug)]
 pub(super) struct IndirectProbe {
     pub(super) seq: u32,
@@ -41,7 +42,7 @@
     pub(super) expires: Time,
 }
 
-/// Membership as one node sees it.
+/// Membership state of one node, driven by [`Event`]s without I/O.
 #[derive(Debug)]
 pub struct Member {
     pub(super) me: Node,
@@ -55,13 +56,15 @@
     pub(super) outbox: Outbox,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) links: Vec<SocketAddr>,
+    /// Lifeguard's local health: 0 is healthy, higher values lengthen this node's timeouts.
     pub(super) health_score: u32,
     pub(super) last_probe_failed: bool,
     pub(super) last_sync: Time,
-    /// When a peer was last told the whole list since digests differed.
+    /// When the full list was last sent because of a mismatched digest.
     pub(super) last_full_sync: Time,
+    /// Notifications of the current manifest still to be sent to the reporters.
     pub(super) rebroadcasts: u8,
-    /// Which of the lost addresses is tried next.
+    /// Index of the lost address to ping next.
     pub(super) next_lost: usize,
     pub(super) seq: u32,
     pub(super) next_period: Time,
@@ -73,7 +76,7 @@
 }
 
 impl Member {
-    /// A node that knows nobody.
+    /// A node that knows no peers.
     pub fn new(me: Node, tuning: Tuning, seed: u64) -> Self {
         let mut outbox = Outbox::default();
         outbox.push(Rumor {
@@ -126,19 +129,18 @@
         self.peers.get(id).filter(|p| p.is_up())
     }
 
-    /// Peers that came, went, are doubted or no longer, or started at another time than was
-    /// known, since the last call.
+    /// Peers that joined, went down, changed health or had their uptime corrected since the last
+    /// call.
     pub fn take_changed(&mut self) -> BTreeSet<NodeId> {
         self.peers.take_changed()
     }
 
-    /// Time that direct probes took to nodes of these failure domains and back, since the
-    /// last call.
+    /// Round-trip times of direct probes since the last call, with the failure domain probed.
     pub fn take_round_trips(&mut self) -> Vec<(Name, Duration)> {
         std::mem::take(&mut self.round_trips)
     }
 
-    /// Manifest in force on this node.
+    /// Number of the manifest in force on this node.
     pub fn applied(&self) -> u64 {
         self.manifest
     }
@@ -148,7 +150,8 @@
         self.peers.up() + usize::from(!self.left)
     }
 
-    /// Nodes up, those with the manifest `number` or a higher one, and the lowest.
+    /// Number of nodes up, how many of them have manifest `number` or a higher one in force, and
+    /// the lowest number in force.
     pub fn manifest_progress(&self, number: u64) -> (usize, usize, u64) {
         let own = std::iter::once(self.manifest);
         let all = own.chain(self.peers().map(|p| p.manifest));
@@ -174,7 +177,7 @@
         self.next_period.min(probe).min(self.joining.next(self.now))
     }
 
-    /// Takes one event; returns what is to be done.
+    /// Handles one event and returns the resulting actions.
     pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.now = now;
@@ -227,9 +230,9 @@
         self.ping_lost_addresses(now, out);
     }
 
-    /// Probes addresses where peers were lately, or now and then a seed, that nobody is
-    /// known to be at: so nodes that restarted while their seeds were down, and the two
-    /// sides of a healed partition, find each other.
+    /// Pings addresses where peers were up recently or, from time to time, a seed, if no peer is
+    /// known there. This way nodes that restarted while their seeds were down, and the two sides
+    /// of a healed partition, find each other.
     fn ping_lost_addresses(&mut self, now: Time, out: &mut Vec<Action>) {
         let is_lost = |a: &SocketAddr| *a != self.me.address && !self.peers.has_address(*a);
         let mut lost = self.peers.departed_since(now, LOST_RETRY_WINDOW);
--- a/crates/decide/src/member/manifests.rs
+++ b/crates/decide/src/member/manifests.rs
@@ -1,4 +1,4 @@
-//! Which manifest is in force, and who is told.
+//! Which manifest is in force, and which nodes are notified of it.
 
 use std::net::SocketAddr;
 
@@ -7,9 +7,9 @@
 use super::machine::Member;
 use super::types::Action;
 
-/// Peers told at once about a new manifest.
+/// Random peers that are notified immediately of a new manifest.
 const PUSH_FANOUT: usize = 3;
-/// Times that the reporters are told again of a manifest; datagrams get lost.
+/// Times that reporters are notified again of a manifest, since datagrams get lost.
 const REBROADCASTS: u8 = 2;
 
 impl Member {
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Nodes that may hold the failure domain's lease and so report on it.
+    /// Addresses of the nodes that may hold the failure domain's lease and report on it.
     pub fn reporters(&self) -> Vec<SocketAddr> {
         let ids = self.relays();
         self.peers().filter(|p| ids.contains(&p.node.id.name)).map(|p| p.node.address).collect()
     }
 
-    /// Names of the nodes that hold watches and may take leases, this one included.
+    /// Names of the nodes that keep store watches and may acquire leases, this one included.
     pub fn relays(&self) -> Vec<model::Name> {
         /// Three, so that two may fail at once.
         const RELAYS: usize = 3;
--- a/crates/decide/src/member/mod.rs
+++ b/crates/decide/src/member/mod.rs
@@ -2,14 +2,15 @@
 //! the self-awareness of Lifeguard (Dadgar, Phillips, Currey 2018).
 //!
 //! Each period a node probes one peer, so the cost does not grow with the
-//! domain. A peer that answers neither directly nor through others is suspected
-//! and can refute by a higher incarnation; only then is it dead. A node whose
-//! own probes fail stretches its patience first, so that a slow node blames
-//! itself. Nodes keep nothing on disk: each start draws an identity, and a
-//! restarted node is a new member whose old self is buried by its own answer.
+//! domain. A peer that answers neither directly nor through others is suspected.
+//! It can refute with a higher incarnation and is declared dead only if it does
+//! not. A node whose own probes fail extends its timeouts first, so that a slow
+//! node suspects itself before others. Nodes persist nothing: each start draws an
+//! identity, and a restarted node is a new member whose own answer declares its
+//! previous identity dead.
 //!
-//! The manifest number rides on every packet and is pushed to a few peers as
-//! soon as it is in force, so that news of it spreads in milliseconds.
+//! The manifest number is piggybacked on every packet and pushed to a few peers
+//! as soon as it is in force, so that it spreads within milliseconds.
 
 mod gossip;
 mod join;
--- a/crates/decide/src/member/packets.rs
+++ b/crates/decide/src/member/packets.rs
@@ -1,4 +1,4 @@
-//! Packets that a node sends, and to which peers.
+//! Construction of packets and selection of their recipients.
 
 use std::net::SocketAddr;
 
@@ -7,9 +7,9 @@
 
 use super::machine::Member;
 
-/// Most rumors in one packet; keeps it under one Ethernet frame.
+/// Maximum rumors piggybacked on one packet, which keeps it within one Ethernet frame.
 const MAX_RUMORS: usize = 6;
-/// Most loads in one packet.
+/// Maximum loads in one packet.
 const MAX_LOADS: usize = 20;
 
 impl Member {
@@ -41,12 +41,12 @@
         Packet { loads, ..packet }
     }
 
-    /// A packet of those that go often between the same two nodes while one of them joins.
-    /// It carries no loads: unlike rumors, nothing makes up for loads that the others missed.
+    /// A packet with rumors but no loads, for traffic that repeats between the same two nodes while
+    /// one of them joins. Unlike rumors, loads that other nodes miss are never made up for.
     pub(super) fn join_packet(&mut self, purpose: Purpose, seq: u32) -> Packet {
         let nodes = self.peers.up() + 1;
         let mut rumors = self.outbox.take(MAX_RUMORS, nodes);
-        // The suspected hear of it first of all from whoever probes them.
+        // A suspect learns of the suspicion soonest from the node that probes it.
         if matches!(purpose, Purpose::Ping { .. })
             && let Some(p) = self.probe.as_ref().and_then(|p| self.peers.get(&p.target))
             && p.health == Health::Suspect
--- a/crates/decide/src/member/peers.rs
+++ b/crates/decide/src/member/peers.rs
@@ -1,4 +1,4 @@
-//! What a node believes of its peers.
+//! A node's view of its peers.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -10,52 +10,52 @@
 use super::sample::SampleSet;
 use crate::rng::Rng;
 
-/// How long the dead are remembered, so that old news cannot bring them back.
+/// How long dead peers are remembered, so that stale rumors cannot revive them.
 const DEAD_RETENTION: Duration = Duration::from_secs(120);
 
-/// Least difference by which a known uptime is corrected: what news of it was under way.
+/// Minimum difference by which a known uptime is corrected; smaller ones are network delay.
 const UPTIME_NOISE: Duration = Duration::from_millis(50);
 
-/// Least difference of uptimes from which two starts of a name are two processes. A process that
-/// was taken for dead goes on under a new start with the same uptime, which others know to within
-/// the time that news of it took.
+/// Minimum difference in uptime for two starts of a name to be separate processes. A process that
+/// was wrongly declared dead continues under a new start with the same uptime, which others know
+/// only up to the delay of the rumor.
 const RESTART_UPTIME_GAP: Duration = Duration::from_secs(2);
 
-/// Peers looked at to tell whether any has run for long.
+/// Peers examined to decide whether any has a long uptime.
 const OLD_SAMPLE: usize = 32;
 
-/// One peer.
+/// A peer as this node knows it.
 #[derive(Debug, Clone)]
 pub struct Peer {
     /// Identity and addresses.
     pub node: Node,
-    /// What is believed.
+    /// Believed health.
     pub health: Health,
-    /// Highest incarnation heard.
+    /// Highest incarnation received.
     pub incarnation: u32,
-    /// Highest manifest known to be in force there.
+    /// Highest manifest number known to be in force there.
     pub manifest: u64,
-    /// Time that its process had run at `updated`.
+    /// Uptime of its process at `updated`.
     uptime: Duration,
     updated: Time,
-    /// When this health began.
+    /// When it entered this health.
     pub since: Time,
-    /// Independent suspicions heard.
+    /// Independent confirmations of the current suspicion.
     pub confirms: u32,
 }
 
 impl Peer {
-    /// Alive or only suspected.
+    /// Whether it is alive or only suspected.
     pub fn is_up(&self) -> bool {
         self.health <= Health::Suspect
     }
 
-    /// How long its process has run, as far as is known.
+    /// Uptime of its process, as far as known.
     pub fn uptime(&self, now: Time) -> Duration {
         self.uptime + now.since(self.updated)
     }
 
-    /// News of this peer.
+    /// The rumor that describes this peer.
     pub fn rumor(&self, now: Time) -> Rumor {
         Rumor {
             node: self.node.clone(),
@@ -71,22 +71,22 @@
 #[derive(Debug, Default)]
 pub struct Peers {
     map: BTreeMap<NodeId, Peer>,
-    /// Those that are up.
+    /// Peers that are up.
     live: SampleSet<NodeId>,
-    /// The same by what their hosts bear.
+    /// Peers that are up, by host capacity.
     by_capacity: BTreeMap<u8, SampleSet<NodeId>>,
     addresses: HashMap<SocketAddr, NodeId>,
     suspects: BTreeSet<NodeId>,
-    /// Since when each has been as it is; the latest news of a fleet is at the end.
+    /// All peers by the time of their last health change, the latest last.
     by_change: BTreeSet<(Time, NodeId)>,
-    /// Those that left or died, and when.
+    /// Peers that left or died, by time.
     departed: BTreeSet<(Time, NodeId)>,
-    /// Those of which something changed that others look at.
+    /// Peers with a change that `take_changed` has not returned yet.
     changed: BTreeSet<NodeId>,
     digest: u32,
 }
 
-/// One node's part in a digest of nodes.
+/// Contribution of one node to a digest of nodes.
 pub fn digest_of(id: &NodeId) -> u32 {
     hash::mix(hash::of(id.name.as_bytes()), id.start) as u32
 }
@@ -97,12 +97,12 @@
         self.live.len()
     }
 
-    /// Digest of the peers that are up; the same for all that agree.
+    /// Digest of the peers that are up, equal on nodes with equal views.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// One peer.
+    /// The peer with this identity, dead ones included.
     pub fn get(&self, id: &NodeId) -> Option<&Peer> {
         self.map.get(id)
     }
@@ -112,47 +112,47 @@
         self.map.values().filter(|p| p.is_up())
     }
 
-    /// Peers whose hosts bear most, with how much that is.
+    /// Highest host capacity among peers that are up, and the peers that have it.
     pub fn hubs(&self) -> Option<(u8, &SampleSet<NodeId>)> {
         self.by_capacity.last_key_value().map(|(capacity, hubs)| (*capacity, hubs))
     }
 
-    /// Up to `n` peers that are up but one, at random.
+    /// Up to `n` random peers that are up, excluding `except`.
     pub fn sample(&self, n: usize, except: &NodeId, rng: &mut Rng) -> Vec<&Peer> {
         let drawn = self.live.sample(n, Some(except), rng);
         drawn.into_iter().filter_map(|id| self.map.get(id)).collect()
     }
 
-    /// Whether a peer is up at an address.
+    /// Whether a peer at this address is up.
     pub fn has_address(&self, address: SocketAddr) -> bool {
         self.addresses.contains_key(&address)
     }
 
-    /// Addresses of peers that left or died within this time.
+    /// Addresses of peers that left or died less than `within` ago.
     pub fn departed_since(&self, now: Time, within: Duration) -> Vec<SocketAddr> {
         let gone = self.departed.iter().rev().take_while(|(at, _)| now.since(*at) < within);
         gone.filter_map(|(_, id)| self.map.get(id)).map(|p| p.node.address).collect()
     }
 
-    /// News of the peers whose health changed since this time, the latest first.
+    /// Rumors about the peers whose health changed at or after `since`, the latest first.
     pub fn rumors_since(&self, since: Time, now: Time) -> impl Iterator<Item = Rumor> {
         let recent = self.by_change.iter().rev().take_while(move |(at, _)| *at >= since);
         recent.filter_map(|(_, id)| self.map.get(id)).map(move |p| p.rumor(now))
     }
 
-    /// Whether a peer that is up has run for longer than this, as far as is known.
+    /// Whether any of a sample of the peers that are up has a longer uptime than `age`.
     pub fn has_older_than(&self, age: Duration, now: Time) -> bool {
-        // Where not all start together nearly everybody has.
+        // Unless the whole fleet started together, nearly all peers have.
         self.iter_up().take(OLD_SAMPLE).any(|p| p.uptime(now) > age)
     }
 
-    /// Peers that came, went, are doubted or no longer, or started at another time than was
-    /// known, since the last call.
+    /// Peers that joined, went down, changed health or had their uptime corrected since the last
+    /// call.
     pub fn take_changed(&mut self) -> BTreeSet<NodeId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Notes the manifest in force on a peer.
+    /// Records the manifest number in force on a peer.
     pub fn note_manifest(&mut self, id: &NodeId, number: u64) {
         if let Some(p) = self.map.get_mut(id) {
             p.manifest = p.manifest.max(number);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Takes news; returns whether it changed what is believed.
+    /// Applies a rumor; returns whether it changed this view.
     pub fn apply(&mut self, now: Time, r: &Rumor) -> bool {
         let id = &r.node.id;
         let Some(p) = self.map.get_mut(id) else {
@@ -205,20 +205,20 @@
         true
     }
 
-    /// Other starts of a node's name that are up.
+    /// Other starts of the same name that are up.
     fn other_starts(&self, id: &NodeId) -> impl Iterator<Item = &Peer> {
         let start = |start| NodeId { name: id.name.clone(), start };
         let all = self.map.range(start(0)..=start(u64::MAX)).map(|(_, p)| p);
         all.filter(move |p| p.is_up() && p.node.id.start != id.start)
     }
 
-    /// Whether a later start of the node of which this tells is known.
+    /// Whether a later start of the rumor's node is known.
     fn has_later_start(&self, now: Time, r: &Rumor) -> bool {
         let up = Duration::from_millis(r.up_ms);
         self.other_starts(&r.node.id).any(|p| p.uptime(now) + RESTART_UPTIME_GAP < up)
     }
 
-    /// Earlier starts of a peer, which are gone: a name runs once.
+    /// Earlier starts of a peer. They must have ended, since a name runs only once.
     pub fn earlier_starts(&self, id: &NodeId, now: Time) -> Vec<NodeId> {
         let Some(up) = self.map.get(id).map(|p| p.uptime(now)) else {
             return Vec::new();
@@ -227,7 +227,7 @@
         earlier.map(|p| p.node.id.clone()).collect()
     }
 
-    /// Takes a peer that was not known.
+    /// Adds a peer that was unknown.
     fn add(&mut self, now: Time, r: &Rumor) -> bool {
         let id = &r.node.id;
         let peer = Peer {
@@ -253,7 +253,7 @@
         true
     }
 
-    /// A known peer is not up any more.
+    /// Removes a peer that went down from the indexes of those that are up.
     fn mark_down(&mut self, now: Time, id: &NodeId) {
         let Some(p) = self.map.get(id) else {
             return;
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Forgets those buried long ago.
+    /// Forgets peers that left or died more than `DEAD_RETENTION` ago.
     pub fn purge_departed(&mut self, now: Time) {
         while let Some((at, id)) = self.departed.first().cloned() {
             if now.since(at) < DEAD_RETENTION {
@@ -280,13 +280,13 @@
             }
             self.departed.remove(&(at, id.clone()));
             self.by_change.remove(&(at, id.clone()));
-            // Not every program takes what changed.
+            // Not every program calls `take_changed`.
             self.changed.remove(&id);
             self.map.remove(&id);
         }
     }
 
-    /// Suspects whose time to refute is over.
+    /// Suspects that have exceeded their time to refute, as given by `wait`.
     pub fn expired(&self, now: Time, wait: impl Fn(&Peer) -> Duration) -> Vec<NodeId> {
         let is_expired =
             |id: &&NodeId| self.map.get(*id).is_some_and(|p| now.since(p.since) >= wait(p));
--- a/crates/decide/src/member/probes.rs
+++ b/crates/decide/src/member/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: direct, by helpers, and what a probe without an answer leads to.
+//! Direct and indirect probes, and the handling of failed ones.
 
 use std::net::SocketAddr;
 
@@ -65,8 +65,7 @@
         let Some(p) = self.probe.take() else {
             return;
         };
-        // One probe without an answer speaks against its target, several in a row
-        // against this node.
+        // A single unanswered probe counts against its target, consecutive ones against this node.
         self.health_score =
             (self.health_score + u32::from(self.last_probe_failed)).min(MAX_HEALTH_SCORE);
         self.last_probe_failed = true;
@@ -118,7 +117,7 @@
         if start != self.me.id.start {
             packet.rumors.insert(0, self.own_rumor());
         }
-        // A node that is suspected or was buried learns it from whom it probes.
+        // A node that is suspected or declared dead learns of it from the peers it probes.
         let suspected = self.peers.get(sender).filter(|p| p.health != Health::Alive);
         packet.rumors.extend(suspected.map(|p| p.rumor(self.now)));
         out.push(Action::Send(from, packet));
@@ -142,13 +141,13 @@
             self.record_round_trip(now);
             self.complete_probe(from, seq);
         } else if target.name == from.name {
-            // The name was started anew: its former self is gone.
+            // The name was restarted, so the probed start has ended.
             self.probe = None;
             self.declare(now, &target, Health::Dead, out);
         }
     }
 
-    /// The probe was answered by its target itself.
+    /// Records the round trip of a probe that its target answered directly.
     fn record_round_trip(&mut self, now: Time) {
         let Some(probe) = &self.probe else {
             return;
--- a/crates/decide/src/member/rumors.rs
+++ b/crates/decide/src/member/rumors.rs
@@ -1,28 +1,28 @@
-//! News waiting to ride on packets: the least repeated goes first, and each is
-//! dropped after a logarithm of the domain's size.
+//! Queue of gossip to piggyback on packets. The least transmitted entry goes first, and each
+//! is dropped after a number of transmissions logarithmic in the number of nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use model::member::{LoadRumor, NodeId, Rumor};
 
-/// Times a rumor is sent, per logarithm of the count of nodes.
+/// Transmissions of a rumor, as a multiple of the binary logarithm of the number of nodes.
 const RETRANSMIT_FACTOR: u32 = 3;
-/// Times a load is sent; the next change follows soon.
+/// Transmissions of a load; few suffice, since the next change follows soon.
 const LOAD_TRANSMITS: u32 = 2;
-/// Bit of [`LoadRumor::flags`] that lets `leaving` jump the queue.
+/// The `leaving` bit of [`LoadRumor::flags`]. Such loads are sent first.
 const LEAVING_FLAG: u8 = 2;
 
-/// Queues of rumors and loads.
+/// Rumors and loads that are still to be sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
     rumors: BTreeMap<NodeId, (u32, Rumor)>,
-    /// The same by how often each was sent.
+    /// Keys of `rumors` by number of transmissions so far.
     order: BTreeSet<(u32, NodeId)>,
     loads: BTreeMap<u32, (u32, LoadRumor)>,
 }
 
 impl Outbox {
-    /// Queues news about a node in place of older news.
+    /// Queues a rumor, replacing an older one about the same node.
     pub fn push(&mut self, rumor: Rumor) {
         let id = rumor.node.id.clone();
         if let Some((sent, _)) = self.rumors.insert(id.clone(), (0, rumor)) {
@@ -31,7 +31,7 @@
         self.order.insert((0, id));
     }
 
-    /// Queues a changed load in place of an older one.
+    /// Queues a changed load, replacing an older one of the same target.
     pub fn push_load(&mut self, load: LoadRumor) {
         self.loads.insert(load.target, (0, load));
     }
--- a/crates/decide/src/member/sample.rs
+++ b/crates/decide/src/member/sample.rs
@@ -1,10 +1,10 @@
-//! A set from which members are sampled at random without a pass over all.
+//! A set that supports random sampling without a pass over all members.
 
 use std::collections::BTreeMap;
 
 use crate::rng::Rng;
 
-/// A set whose members have numbers.
+/// A set whose members are indexed by consecutive numbers.
 #[derive(Debug, Clone)]
 pub(super) struct SampleSet<T> {
     members: Vec<T>,
@@ -43,11 +43,11 @@
         self.members.is_empty()
     }
 
-    /// Up to `n` different members but one, in random order.
+    /// Up to `n` distinct members in random order, excluding `except`.
     pub(super) fn sample(&self, n: usize, except: Option<&T>, rng: &mut Rng) -> Vec<&T> {
         let except = except.and_then(|member| self.numbers.get(member).copied());
         let count = n.min(self.len() - usize::from(except.is_some()));
-        // Robert Floyd's: as many draws as members are wanted.
+        // Robert Floyd's algorithm needs one draw per sampled member.
         let mut numbers: Vec<usize> = Vec::with_capacity(count);
         let others = self.len() - usize::from(except.is_some());
         for last in others - count..others {
@@ -55,7 +55,7 @@
             numbers.push(if numbers.contains(&drawn) { last } else { drawn });
         }
         rng.shuffle(&mut numbers);
-        // The last one has the number of the one that is left out.
+        // The last member takes the number of the excluded one.
         let number = |n: usize| if Some(n) == except { others } else { n };
         numbers.into_iter().map(|n| &self.members[number(n)]).collect()
     }
--- a/crates/decide/src/member/types.rs
+++ b/crates/decide/src/member/types.rs
@@ -1,31 +1,32 @@
-//! What the membership machine is tuned by, hears and wants done.
+//! Settings, events and actions of the membership state machine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use model::member::{LoadRumor, Packet, Rumor};
 
-/// Periods and patience.
+/// Intervals, timeouts and fanouts of the failure detector.
 #[derive(Debug, Clone, Copy)]
 pub struct Tuning {
-    /// One probe a period.
+    /// Interval between two probes.
     pub period: Duration,
-    /// Wait for a direct answer before others are asked.
+    /// Wait for a direct answer before indirect probes are requested.
     pub timeout: Duration,
-    /// Peers asked to probe for us.
+    /// Peers asked to probe indirectly.
     pub helpers: usize,
-    /// Shortest time to refute, once others confirm.
+    /// Minimum time to refute a suspicion, once others confirm it.
     pub min_suspicion: Duration,
-    /// Longest time to refute.
+    /// Maximum time to refute a suspicion.
     pub max_suspicion: Duration,
-    /// Confirmations that bring the shortest time.
+    /// Confirmations that reduce the time to refute to the minimum.
     pub confirms: u32,
-    /// How often seeds are tried while no peer is known.
+    /// Interval between attempts to reach a seed while no peer is known.
     pub seed_interval: Duration,
 }
 
 impl Tuning {
-    /// Of the nodes that serve customers: a lost peer is known within two seconds.
+    /// Settings of the nodes that serve customers, where a failed peer is detected within two
+    /// seconds.
     pub fn for_serving_nodes() -> Self {
         Tuning {
             period: Duration::from_millis(400),
@@ -52,9 +53,9 @@
     }
 }
 
-/// What the machine hears.
+/// Input of the state machine.
 #[derive(Debug, Clone, PartialEq)]
-#[expect(clippy::large_enum_variant, reason = "taken one by one, never held in numbers")]
+#[expect(clippy::large_enum_variant, reason = "handled one at a time, never stored in bulk")]
 pub enum Event {
     /// Time passed.
     Tick,
@@ -67,25 +68,25 @@
     },
     /// Addresses at which peers may be found.
     Seeds(Vec<SocketAddr>),
-    /// Addresses in other failure domains to tell the manifest number.
+    /// Addresses in other failure domains that are sent the manifest number.
     Links(Vec<SocketAddr>),
     /// A manifest is in force on this node.
     Applied(u64),
-    /// A load changed, or was heard.
+    /// A load changed here or was received from a peer.
     Load(LoadRumor),
-    /// This node stops as planned.
+    /// This node begins a planned shutdown.
     Leave,
 }
 
-/// What the machine wants done.
+/// Output of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send(SocketAddr, Packet),
-    /// A peer has this manifest in force, and this node has not.
+    /// The peer at this address has a newer manifest, of this number, in force.
     NewerManifest(u64, SocketAddr),
-    /// A peer came up, or its health changed.
+    /// A peer joined, or its health changed.
     Changed(Rumor),
-    /// A load was heard.
+    /// A load was received from a peer.
     Load(LoadRumor),
 }
