--- a/crates/decide/src/quarantine/gossip.rs
+++ b/crates/decide/src/quarantine/gossip.rs
@@ -44,7 +44,7 @@
     }
 
     /// The same, since another node told of it.
-    pub(super) fn heard(&mut self, now: Time) {
+    pub(super) fn mark_received(&mut self, now: Time) {
         self.version += 1;
         self.received = Some((self.version, now));
     }
--- a/crates/decide/src/quarantine/suspect.rs
+++ b/crates/decide/src/quarantine/suspect.rs
@@ -77,23 +77,23 @@
     }
 
     pub(super) fn hold(&self, now: Time) -> Option<Hold> {
-        let ends = self.active_crashes().count();
-        if ends < HOLD_THRESHOLD {
+        let crashes = self.active_crashes().count();
+        if crashes < HOLD_THRESHOLD {
             return None;
         }
-        let Some(time) = HOLD_DURATIONS.get(self.trials as usize) else {
-            return Some(Hold { crashes: ends, remaining: None });
+        let Some(duration) = HOLD_DURATIONS.get(self.trials as usize) else {
+            return Some(Hold { crashes, remaining: None });
         };
         let last = self.crashes.iter().filter(|e| !e.cleared).map(|e| e.at).max();
         let since = last.unwrap_or_default().max(self.last_trial);
-        let left = time.saturating_sub(now.since(since));
-        (!left.is_zero()).then_some(Hold { crashes: ends, remaining: Some(left) })
+        let remaining = duration.saturating_sub(now.since(since));
+        (!remaining.is_zero()).then_some(Hold { crashes, remaining: Some(remaining) })
     }
 
     /// When something was last known of it.
     pub(super) fn last_activity(&self) -> Time {
-        let ends = self.crashes.iter().map(|e| e.at).max().unwrap_or_default();
-        ends.max(self.last_arrival)
+        let last_crash = self.crashes.iter().map(|e| e.at).max().unwrap_or_default();
+        last_crash.max(self.last_arrival)
     }
 
     pub(super) fn record_arrival(&mut self, now: Time) {
@@ -182,7 +182,7 @@
         }
         self.last_arrival = self.last_arrival.max(ago(news.came_ms));
         if is_new {
-            self.gossip.heard(now);
+            self.gossip.mark_received(now);
         }
         is_new
     }
--- a/crates/decide/src/roster/mod.rs
+++ b/crates/decide/src/roster/mod.rs
@@ -293,7 +293,7 @@
     }
 
     /// Uptime from which on a node counts as settled: it would take no work from others.
-    fn settled_from(&self, now: Time) -> Duration {
+    fn settled_uptime(&self, now: Time) -> Duration {
         let oldest = self.longest_uptime(now).unwrap_or_default().max(now.since(Time::ZERO));
         SETTLED_AFTER.min(oldest.saturating_sub(SAME_START_WINDOW))
     }
--- a/crates/decide/src/roster/role_key.rs
+++ b/crates/decide/src/roster/role_key.rs
@@ -74,7 +74,7 @@
     ) -> impl Iterator<Item = (Rank, &'s PeerView)> + use<'s> {
         let all = || self.up.values().map(|p| &p.node);
         let order = self.rankings.borrow_mut().get(key.service, key.domain, all);
-        let settled = self.settled_from(now);
+        let settled = self.settled_uptime(now);
         let region: Option<Name> = key.region.map(Into::into);
         let has_region = region.is_some();
         // Four passes over a standing order; mostly the first peers of the first one answer.
@@ -149,7 +149,7 @@
         }
         Rank {
             in_region: self.is_in_region(&self.domain, key),
-            is_settled: now.since(Time::ZERO) >= self.settled_from(now),
+            is_settled: now.since(Time::ZERO) >= self.settled_uptime(now),
             capacity: self.capacity,
             score: score(key.service, &self.me),
         }
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -20,61 +20,61 @@
     Node { id, address: address(i), entry: address(i), domain: "a".into(), capacity: 0 }
 }
 
-struct Net {
+struct Network {
     rng: Rng,
     nodes: BTreeMap<usize, Member>,
     /// When each process started: its time counts from there.
-    born: BTreeMap<usize, Time>,
-    paused: BTreeMap<usize, Time>,
-    wire: BTreeMap<(Time, u64), (SocketAddr, usize, Packet)>,
+    started: BTreeMap<usize, Time>,
+    paused_until: BTreeMap<usize, Time>,
+    in_flight: BTreeMap<(Time, u64), (SocketAddr, usize, Packet)>,
     seq: u64,
     now: Time,
-    loss: usize,
-    cut: Option<usize>,
-    heard: BTreeMap<usize, (u64, Time)>,
+    loss_percent: usize,
+    partition: Option<usize>,
+    fetching: BTreeMap<usize, (u64, Time)>,
     loads: BTreeMap<usize, LoadRumor>,
     /// Datagrams sent by each node.
     sent: BTreeMap<usize, usize>,
 }
 
-impl Net {
-    fn new(n: usize, loss: usize, seed: u64) -> Self {
-        let mut net = Net {
+impl Network {
+    fn new(n: usize, loss_percent: usize, seed: u64) -> Self {
+        let mut network = Network {
             rng: Rng::new(seed),
             nodes: BTreeMap::new(),
-            born: BTreeMap::new(),
-            paused: BTreeMap::new(),
-            wire: BTreeMap::new(),
+            started: BTreeMap::new(),
+            paused_until: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             seq: 0,
             now: Time::ZERO,
-            loss,
-            cut: None,
-            heard: BTreeMap::new(),
+            loss_percent,
+            partition: None,
+            fetching: BTreeMap::new(),
             loads: BTreeMap::new(),
             sent: BTreeMap::new(),
         };
         for i in 0..n {
-            net.start(i);
+            network.start(i);
         }
-        net
+        network
     }
 
     fn start(&mut self, i: usize) {
-        self.start_on(i, 0);
+        self.start_with_capacity(i, 0);
     }
 
     /// Starts a node on a host that bears this much.
-    fn start_on(&mut self, i: usize, capacity: u8) {
+    fn start_with_capacity(&mut self, i: usize, capacity: u8) {
         let start = self.rng.draw().max(1);
         let me = Node { capacity, ..node(i, start) };
         let mut m = Member::new(me, Tuning::default(), self.rng.draw());
-        self.born.insert(i, self.now);
+        self.started.insert(i, self.now);
         m.handle_event(Time::ZERO, Event::Seeds(vec![address(0), address(1), address(2)]));
         self.nodes.insert(i, m);
     }
 
-    fn feed(&mut self, i: usize, event: Event) {
-        let now = self.own_time(i);
+    fn deliver(&mut self, i: usize, event: Event) {
+        let now = self.local_time(i);
         let Some(m) = self.nodes.get_mut(&i) else {
             return;
         };
@@ -83,11 +83,11 @@
                 Action::Send(to, packet) => self.send(i, to, packet),
                 Action::NewerManifest(number, _) => {
                     // The fetch takes a little while; then it is in force here.
-                    self.heard.insert(i, (number, self.now + Duration::from_millis(10)));
+                    self.fetching.insert(i, (number, self.now + Duration::from_millis(10)));
                 }
                 Action::Load(load) => {
                     if self.loads.insert(i, load) != Some(load) {
-                        self.feed(i, Event::Load(load));
+                        self.deliver(i, Event::Load(load));
                     }
                 }
                 Action::Changed(_) => {}
@@ -95,8 +95,8 @@
         }
     }
 
-    fn own_time(&self, i: usize) -> Time {
-        Time::ZERO + self.born.get(&i).map_or(Duration::ZERO, |born| self.now.since(*born))
+    fn local_time(&self, i: usize) -> Time {
+        Time::ZERO + self.started.get(&i).map_or(Duration::ZERO, |started| self.now.since(*started))
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, packet: Packet) {
@@ -106,48 +106,48 @@
         let [.., high, low] = ip.octets();
         let to = usize::from(u16::from_be_bytes([high, low]));
         *self.sent.entry(from).or_default() += 1;
-        let parted = self.cut.is_some_and(|c| (from < c) != (to < c));
-        if parted || self.rng.below(100) < self.loss {
+        let is_partitioned = self.partition.is_some_and(|c| (from < c) != (to < c));
+        if is_partitioned || self.rng.below(100) < self.loss_percent {
             return;
         }
         self.seq += 1;
         let at = self.now + Duration::from_micros(300 + self.rng.below(2000) as u64);
-        self.wire.insert((at, self.seq), (address(from), to, packet));
+        self.in_flight.insert((at, self.seq), (address(from), to, packet));
     }
 
     fn run(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
             self.now = self.now + Duration::from_millis(1);
-            let later = self.wire.split_off(&(self.now, u64::MAX));
-            for (_, (from, to, packet)) in std::mem::replace(&mut self.wire, later) {
-                if self.paused.get(&to).is_none_or(|until| *until <= self.now) {
-                    self.feed(to, Event::Packet { from, packet });
+            let later = self.in_flight.split_off(&(self.now, u64::MAX));
+            for (_, (from, to, packet)) in std::mem::replace(&mut self.in_flight, later) {
+                if self.paused_until.get(&to).is_none_or(|until| *until <= self.now) {
+                    self.deliver(to, Event::Packet { from, packet });
                 }
             }
-            for (i, (number, at)) in self.heard.clone() {
+            for (i, (number, at)) in self.fetching.clone() {
                 if at <= self.now {
-                    self.heard.remove(&i);
-                    self.feed(i, Event::Applied(number));
+                    self.fetching.remove(&i);
+                    self.deliver(i, Event::Applied(number));
                 }
             }
             let due: Vec<usize> = self
                 .nodes
                 .iter()
                 .filter(|(i, m)| {
-                    m.next_tick() <= self.own_time(**i)
-                        && self.paused.get(i).is_none_or(|until| *until <= self.now)
+                    m.next_tick() <= self.local_time(**i)
+                        && self.paused_until.get(i).is_none_or(|until| *until <= self.now)
                 })
                 .map(|(i, _)| *i)
                 .collect();
             for i in due {
-                self.feed(i, Event::Tick);
+                self.deliver(i, Event::Tick);
             }
         }
     }
 
     /// How many nodes see how many up.
-    fn views(&self) -> Vec<usize> {
+    fn counts(&self) -> Vec<usize> {
         self.nodes.values().map(Member::count).collect()
     }
 
@@ -157,60 +157,64 @@
 }
 
 #[test]
-fn all_find_each_other_from_seeds() {
-    for loss in [0, 5] {
-        let mut net = Net::new(20, loss, 1);
-        net.run(8_000);
-        assert!(net.views().iter().all(|n| *n == 20), "loss {loss}: {:?}", net.views());
+fn all_nodes_discover_each_other_from_seeds() {
+    for loss_percent in [0, 5] {
+        let mut network = Network::new(20, loss_percent, 1);
+        network.run(8_000);
+        assert!(
+            network.counts().iter().all(|n| *n == 20),
+            "loss {loss_percent}: {:?}",
+            network.counts()
+        );
     }
 }
 
 /// Starts nodes in any order within 300 ms; every twentieth is on a host that bears this
 /// much, the seeds are not.
-fn herd(n: usize, capacity: u8) -> Net {
-    let mut net = Net::new(0, 1, 6);
+fn start_together(n: usize, capacity: u8) -> Network {
+    let mut network = Network::new(0, 1, 6);
     let mut order: Vec<usize> = (0..n).collect();
-    net.rng.shuffle(&mut order);
+    network.rng.shuffle(&mut order);
     for started in order.chunks(n.div_ceil(100)) {
         for i in started {
-            net.start_on(*i, if i % 20 == 7 { capacity } else { 0 });
+            network.start_with_capacity(*i, if i % 20 == 7 { capacity } else { 0 });
         }
-        net.run(3);
+        network.run(3);
     }
-    net
+    network
 }
 
 /// Share of their peers that nodes know, in the mean.
-fn known(net: &Net) -> f64 {
-    let views = net.views();
-    views.iter().sum::<usize>() as f64 / (views.len() * views.len()) as f64
+fn mean_known_share(network: &Network) -> f64 {
+    let counts = network.counts();
+    counts.iter().sum::<usize>() as f64 / (counts.len() * counts.len()) as f64
 }
 
 #[test]
-fn hundreds_that_start_together_soon_know_each_other_and_small_seeds_bear_little_of_it() {
-    let mut net = herd(295, 2);
-    net.run(300);
-    assert!(known(&net) > 0.99, "{:.3} after 300 ms", known(&net));
-    net.run(1_000);
-    assert!(net.views().iter().all(|n| *n == 295), "{:?}", net.views());
-    let by_seeds = (0..3).map(|i| net.sent[&i]).max().unwrap_or(0);
+fn simultaneous_start_converges_fast_with_little_load_on_small_seeds() {
+    let mut network = start_together(295, 2);
+    network.run(300);
+    assert!(mean_known_share(&network) > 0.99, "{:.3} after 300 ms", mean_known_share(&network));
+    network.run(1_000);
+    assert!(network.counts().iter().all(|n| *n == 295), "{:?}", network.counts());
+    let by_seeds = (0..3).map(|i| network.sent[&i]).max().unwrap_or(0);
     assert!(by_seeds <= 600, "{by_seeds} datagrams from one small seed");
-    let most = net.sent.values().max().copied().unwrap_or(0);
+    let most = network.sent.values().max().copied().unwrap_or(0);
     assert!(most <= 3_000, "{most} datagrams from one host");
 }
 
 #[test]
-fn hundreds_of_like_hosts_that_start_together_know_each_other_within_two_seconds() {
-    let mut net = herd(295, 0);
-    net.run(500);
-    assert!(known(&net) > 0.9, "{:.3} after 500 ms", known(&net));
-    net.run(1_500);
-    assert!(net.views().iter().all(|n| *n == 295), "{:?}", net.views());
+fn simultaneous_start_on_equal_hosts_converges_within_two_seconds() {
+    let mut network = start_together(295, 0);
+    network.run(500);
+    assert!(mean_known_share(&network) > 0.9, "{:.3} after 500 ms", mean_known_share(&network));
+    network.run(1_500);
+    assert!(network.counts().iter().all(|n| *n == 295), "{:?}", network.counts());
 }
 
 /// A node that knows one start of a peer and hears of another, each of a process that ran for
 /// this long; the starts that it takes for up.
-fn known_after(first_up_ms: u64, second_up_ms: u64) -> Vec<u64> {
+fn live_starts_after(first_up_ms: u64, second_up_ms: u64) -> Vec<u64> {
     let mut m = Member::new(node(1, 1), Tuning::default(), 1);
     for (start, up_ms) in [(10, first_up_ms), (20, second_up_ms)] {
         let rumor =
@@ -231,162 +235,162 @@
 }
 
 #[test]
-fn a_restart_ends_the_start_before_and_a_new_identity_of_one_process_does_not() {
-    assert_eq!(known_after(60_000, 300), [20], "the name was started again");
-    assert_eq!(known_after(300, 60_000), [10], "old news of the start before");
+fn restart_replaces_previous_start_but_new_identity_of_same_process_does_not() {
+    assert_eq!(live_starts_after(60_000, 300), [20], "the name was started again");
+    assert_eq!(live_starts_after(300, 60_000), [10], "old news of the start before");
     // Taken for dead, a process goes on under a new start; news of either may be late.
-    assert_eq!(known_after(60_000, 60_400), [10, 20]);
-    assert_eq!(known_after(60_400, 60_000), [10, 20]);
+    assert_eq!(live_starts_after(60_000, 60_400), [10, 20]);
+    assert_eq!(live_starts_after(60_400, 60_000), [10, 20]);
 }
 
 /// Where somebody comes or goes all the time no two lists are alike, and after each probe a node
 /// told all that it knew: as much as the fleet is large.
 #[test]
-fn what_a_node_tells_while_others_restart_does_not_grow_with_the_fleet() {
-    let told = |n: usize| {
-        let mut net = herd(n, 5);
-        net.run(20_000);
-        let before: usize = net.sent.values().sum();
+fn gossip_per_node_under_churn_does_not_grow_with_the_fleet() {
+    let send_rate = |n: usize| {
+        let mut network = start_together(n, 5);
+        network.run(20_000);
+        let before: usize = network.sent.values().sum();
         for i in 20..30 {
-            net.nodes.remove(&i);
-            net.run(300);
-            net.start_on(i, 0);
-            net.run(700);
+            network.nodes.remove(&i);
+            network.run(300);
+            network.start_with_capacity(i, 0);
+            network.run(700);
         }
-        let sent = net.sent.values().sum::<usize>() - before;
-        net.run(10_000);
-        assert!(net.views().iter().all(|known| *known == n), "{n}: {:?}", net.views());
+        let sent = network.sent.values().sum::<usize>() - before;
+        network.run(10_000);
+        assert!(network.counts().iter().all(|count| *count == n), "{n}: {:?}", network.counts());
         sent as f64 / n as f64 / 10.0
     };
-    let (small, large) = (told(60), told(300));
+    let (small, large) = (send_rate(60), send_rate(300));
     // Rumors are repeated as often as the logarithm of the fleet says.
     let growth = 300_f64.ln() / 60_f64.ln();
     assert!(large <= small * growth, "{small} datagrams a node and second at 60, {large} at 300");
 }
 
 #[test]
-fn a_dead_node_is_found_by_all_within_bound() {
-    let mut net = Net::new(20, 1, 2);
-    net.run(10_000);
-    net.nodes.remove(&7);
-    let killed = net.now;
-    while net.nodes.keys().any(|i| net.sees(*i, 7)) {
-        net.run(100);
-        let took = net.now.since(killed);
+fn all_nodes_detect_a_dead_node_within_eight_seconds() {
+    let mut network = Network::new(20, 1, 2);
+    network.run(10_000);
+    network.nodes.remove(&7);
+    let killed = network.now;
+    while network.nodes.keys().any(|i| network.sees(*i, 7)) {
+        network.run(100);
+        let took = network.now.since(killed);
         assert!(took < Duration::from_secs(8), "still seen after {took:?}");
     }
 }
 
 #[test]
-fn nobody_is_taken_for_dead_without_cause() {
-    let mut net = Net::new(20, 2, 3);
-    net.run(10_000);
+fn packet_loss_causes_no_false_deaths() {
+    let mut network = Network::new(20, 2, 3);
+    network.run(10_000);
     for _ in 0..60 {
-        net.run(1_000);
-        assert!(net.views().iter().all(|n| *n == 20), "{:?}", net.views());
+        network.run(1_000);
+        assert!(network.counts().iter().all(|n| *n == 20), "{:?}", network.counts());
     }
 }
 
 #[test]
-fn a_paused_node_comes_back_as_a_new_member() {
-    let mut net = Net::new(12, 0, 4);
-    net.run(8_000);
-    net.paused.insert(5, net.now + Duration::from_secs(20));
-    net.run(15_000);
-    assert!(net.nodes.keys().filter(|i| **i != 5).all(|i| !net.sees(*i, 5)));
-    net.run(20_000);
-    assert!(net.views().iter().all(|n| *n == 12), "{:?}", net.views());
+fn a_paused_node_rejoins_as_a_new_member() {
+    let mut network = Network::new(12, 0, 4);
+    network.run(8_000);
+    network.paused_until.insert(5, network.now + Duration::from_secs(20));
+    network.run(15_000);
+    assert!(network.nodes.keys().filter(|i| **i != 5).all(|i| !network.sees(*i, 5)));
+    network.run(20_000);
+    assert!(network.counts().iter().all(|n| *n == 12), "{:?}", network.counts());
 }
 
 #[test]
-fn a_restart_at_the_same_address_buries_the_former_self() {
-    let mut net = Net::new(12, 0, 5);
-    net.run(8_000);
-    let former = net.nodes[&4].me().id.clone();
-    net.start(4);
-    net.run(12_000);
-    assert!(net.views().iter().all(|n| *n == 12), "{:?}", net.views());
-    let still = net.nodes.values().any(|m| m.peers().any(|p| p.node.id == former));
-    assert!(!still, "the former self is gone");
+fn a_restart_at_the_same_address_replaces_the_previous_identity() {
+    let mut network = Network::new(12, 0, 5);
+    network.run(8_000);
+    let previous = network.nodes[&4].me().id.clone();
+    network.start(4);
+    network.run(12_000);
+    assert!(network.counts().iter().all(|n| *n == 12), "{:?}", network.counts());
+    let is_still_up = network.nodes.values().any(|m| m.peers().any(|p| p.node.id == previous));
+    assert!(!is_still_up, "the former self is gone");
 }
 
 #[test]
-fn a_partition_heals() {
-    let mut net = Net::new(12, 0, 6);
-    net.run(8_000);
-    net.cut = Some(6);
-    net.run(30_000);
-    assert!(net.views().iter().all(|n| *n == 6), "{:?}", net.views());
-    net.cut = None;
-    net.run(60_000);
-    assert!(net.views().iter().all(|n| *n == 12), "{:?}", net.views());
+fn views_converge_after_a_partition_heals() {
+    let mut network = Network::new(12, 0, 6);
+    network.run(8_000);
+    network.partition = Some(6);
+    network.run(30_000);
+    assert!(network.counts().iter().all(|n| *n == 6), "{:?}", network.counts());
+    network.partition = None;
+    network.run(60_000);
+    assert!(network.counts().iter().all(|n| *n == 12), "{:?}", network.counts());
 }
 
 #[test]
-fn nodes_that_restart_while_their_seeds_are_down_are_found_by_those_that_knew_them() {
+fn nodes_that_restart_while_seeds_are_down_are_rediscovered_at_their_old_addresses() {
     for seed in 0..20 {
-        let mut net = Net::new(7, 0, seed);
-        net.run(5000);
+        let mut network = Network::new(7, 0, seed);
+        network.run(5000);
         // Nodes 0 to 2 are everybody's seeds; only 5 and 6 stay up all the time.
         for i in 0..5 {
-            net.feed(i, Event::Leave);
-            net.nodes.remove(&i);
+            network.deliver(i, Event::Leave);
+            network.nodes.remove(&i);
         }
-        net.run(3000);
-        net.start(3);
-        net.start(4);
-        net.run(4000);
-        assert_eq!(net.views(), [4; 4], "seed {seed}");
+        network.run(3000);
+        network.start(3);
+        network.start(4);
+        network.run(4000);
+        assert_eq!(network.counts(), [4; 4], "seed {seed}");
     }
 }
 
 #[test]
-fn a_node_that_leaves_is_known_at_once() {
-    let mut net = Net::new(12, 0, 7);
-    net.run(8_000);
-    net.feed(3, Event::Leave);
-    assert_eq!(net.nodes[&3].next_tick(), Time::NEVER, "it has nothing more to do");
-    net.nodes.remove(&3);
-    net.run(50);
-    assert!(net.nodes.keys().all(|i| !net.sees(*i, 3)));
+fn a_planned_leave_reaches_all_nodes_at_once() {
+    let mut network = Network::new(12, 0, 7);
+    network.run(8_000);
+    network.deliver(3, Event::Leave);
+    assert_eq!(network.nodes[&3].next_tick(), Time::NEVER, "it has nothing more to do");
+    network.nodes.remove(&3);
+    network.run(50);
+    assert!(network.nodes.keys().all(|i| !network.sees(*i, 3)));
 }
 
 #[test]
-fn a_manifest_is_known_to_all_within_a_second() {
-    let mut net = Net::new(57, 1, 8);
-    net.run(12_000);
-    net.feed(11, Event::Applied(42));
-    net.run(1_000);
-    let have = net.nodes.values().filter(|m| m.applied() == 42).count();
-    assert_eq!(have, 57);
+fn a_manifest_reaches_all_nodes_within_a_second() {
+    let mut network = Network::new(57, 1, 8);
+    network.run(12_000);
+    network.deliver(11, Event::Applied(42));
+    network.run(1_000);
+    let applied = network.nodes.values().filter(|m| m.applied() == 42).count();
+    assert_eq!(applied, 57);
     // And soon everybody that may report on the domain knows it of everybody.
-    net.run(5_000);
-    let relays = net.nodes[&0].relays();
-    for m in net.nodes.values().filter(|m| relays.contains(&m.me().id.name)) {
+    network.run(5_000);
+    let relays = network.nodes[&0].relays();
+    for m in network.nodes.values().filter(|m| relays.contains(&m.me().id.name)) {
         assert_eq!(m.manifest_progress(42), (57, 57, 42), "{}", m.me().id.name);
     }
 }
 
 #[test]
-fn leaving_reaches_all_within_a_few_periods() {
-    let mut net = Net::new(57, 1, 9);
-    net.run(12_000);
+fn a_leaving_load_reaches_all_nodes_within_a_few_periods() {
+    let mut network = Network::new(57, 1, 9);
+    network.run(12_000);
     let load = LoadRumor { target: 77, wait: 0, seq: 1, flags: 3 };
-    net.loads.insert(2, load);
-    net.feed(2, Event::Load(load));
-    net.run(7_000);
-    assert_eq!(net.loads.len(), 57);
+    network.loads.insert(2, load);
+    network.deliver(2, Event::Load(load));
+    network.run(7_000);
+    assert_eq!(network.loads.len(), 57);
 }
 
 #[test]
-fn a_node_that_pauses_for_a_moment_is_suspected_and_refutes() {
-    let mut net = Net::new(20, 0, 10);
-    net.run(10_000);
+fn a_briefly_paused_node_refutes_its_suspicion() {
+    let mut network = Network::new(20, 0, 10);
+    network.run(10_000);
     for i in 3..9 {
-        let start = net.nodes[&i].me().id.start;
-        net.paused.insert(i, net.now + Duration::from_millis(1300));
-        net.run(8_000);
-        assert_eq!(net.nodes[&i].me().id.start, start, "node {i} was buried");
-        assert!(net.views().iter().all(|n| *n == 20), "{:?}", net.views());
+        let start = network.nodes[&i].me().id.start;
+        network.paused_until.insert(i, network.now + Duration::from_millis(1300));
+        network.run(8_000);
+        assert_eq!(network.nodes[&i].me().id.start, start, "node {i} was buried");
+        assert!(network.counts().iter().all(|n| *n == 20), "{:?}", network.counts());
     }
 }
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -23,7 +23,7 @@
     NodeId { name: "peer".into(), start: 1 }
 }
 
-fn ends(q: &mut Quarantine, targets: std::ops::Range<u32>, requests: &[u8], now: Time) {
+fn crash(q: &mut Quarantine, targets: std::ops::Range<u32>, requests: &[u8], now: Time) {
     let requests: Vec<Fingerprint> = requests.iter().map(|n| request(*n)).collect();
     for n in targets {
         q.record_crash(&target(n), &"plain".into(), &requests, now);
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn three_targets_ending_hold_a_request_and_one_seen_thrice_does_not() {
+fn three_crashed_targets_hold_a_request_but_one_seen_three_times_does_not() {
     let mut q = Quarantine::default();
     for _ in 0..3 {
-        ends(&mut q, 0..2, &[1], at(1));
+        crash(&mut q, 0..2, &[1], at(1));
     }
     assert!(!is_held(&q, 1, at(1)));
     let changes = q.record_crash(&target(2), &"plain".into(), &[request(1)], at(2));
@@ -49,91 +49,91 @@
 }
 
 #[test]
-fn a_held_request_is_let_through_once_at_a_time_and_twice_in_all() {
+fn a_held_request_gets_one_trial_at_a_time_and_two_in_total() {
     let mut q = Quarantine::default();
     // What was under way when it was held does not make it worse.
-    ends(&mut q, 10..13, &[1], at(0));
-    ends(&mut q, 0..1, &[1], at(0));
+    crash(&mut q, 10..13, &[1], at(0));
+    crash(&mut q, 0..1, &[1], at(0));
     assert!(q.try_send(request(1), at(59)).is_err());
     assert!(q.try_send(request(1), at(60)).is_ok());
     assert!(q.try_send(request(1), at(60)).is_err(), "it is under way");
-    ends(&mut q, 3..4, &[1], at(61));
+    crash(&mut q, 3..4, &[1], at(61));
     assert!(q.try_send(request(1), at(660)).is_err());
     assert!(q.try_send(request(1), at(661)).is_ok());
-    ends(&mut q, 4..5, &[1], at(662));
+    crash(&mut q, 4..5, &[1], at(662));
     assert_eq!(q.hold(request(1), at(4000)), Some(Hold { crashes: 6, remaining: None }));
     assert!(q.release(request(1)), "an operator may");
     assert!(!is_held(&q, 1, at(4000)));
 }
 
 #[test]
-fn a_whole_answer_clears_before_and_after() {
+fn a_complete_answer_clears_earlier_and_later_crashes() {
     let mut q = Quarantine::default();
     q.record_answer(request(1), at(0));
-    ends(&mut q, 0..4, &[1], at(20));
+    crash(&mut q, 0..4, &[1], at(20));
     assert!(!is_held(&q, 1, at(20)), "it was answered a moment before");
-    ends(&mut q, 0..3, &[2], at(20));
+    crash(&mut q, 0..3, &[2], at(20));
     assert_eq!(q.record_answer(request(2), at(21)), Some(Change::Released("answered")));
     assert!(!is_held(&q, 2, at(21)));
-    ends(&mut q, 4..7, &[1], at(100));
+    crash(&mut q, 4..7, &[1], at(100));
     assert!(is_held(&q, 1, at(100)), "an answer of long ago says nothing");
 }
 
 #[test]
-fn what_ran_beside_a_held_request_is_cleared_and_what_is_held_is_not() {
+fn a_held_request_clears_suspects_on_the_same_targets_but_not_held_ones() {
     let mut q = Quarantine::default();
-    ends(&mut q, 0..2, &[1, 2, 3], at(1));
-    ends(&mut q, 2..3, &[1], at(2));
+    crash(&mut q, 0..2, &[1, 2, 3], at(1));
+    crash(&mut q, 2..3, &[1], at(2));
     assert!(is_held(&q, 1, at(2)));
-    ends(&mut q, 3..4, &[2], at(3));
+    crash(&mut q, 3..4, &[2], at(3));
     assert!(!is_held(&q, 2, at(3)), "two of its three ends were another's");
-    ends(&mut q, 4..7, &[3], at(4));
+    crash(&mut q, 4..7, &[3], at(4));
     assert!(is_held(&q, 3, at(4)), "three were its own");
     assert!(is_held(&q, 1, at(4)));
 }
 
 #[test]
-fn nodes_come_to_know_the_same_whatever_they_hear_first_and_how_often() {
+fn reports_converge_in_any_order_and_with_repeats() {
     let mut a = Quarantine::default();
     let mut b = Quarantine::default();
-    ends(&mut a, 0..2, &[1], at(1));
-    ends(&mut b, 1..3, &[1], at(1));
-    let of_a = a.missing_from(&[empty(1)], at(1));
-    let of_b = b.missing_from(&[empty(1)], at(1));
+    crash(&mut a, 0..2, &[1], at(1));
+    crash(&mut b, 1..3, &[1], at(1));
+    let from_a = a.missing_from(&[empty_report(1)], at(1));
+    let from_b = b.missing_from(&[empty_report(1)], at(1));
     for _ in 0..2 {
-        a.merge(Some(&peer()), &of_b, at(2));
-        b.merge(Some(&peer()), &of_a, at(2));
+        a.merge(Some(&peer()), &from_b, at(2));
+        b.merge(Some(&peer()), &from_a, at(2));
     }
     assert!(is_held(&a, 1, at(2)) && is_held(&b, 1, at(2)));
     assert!(
-        a.missing_from(&of_all(&b), at(2)).is_empty()
-            && b.missing_from(&of_all(&a), at(2)).is_empty()
+        a.missing_from(&report_of(&b), at(2)).is_empty()
+            && b.missing_from(&report_of(&a), at(2)).is_empty()
     );
     let cleared = {
         b.record_answer(request(1), at(3));
-        of_all(&b)
+        report_of(&b)
     };
     let changes = a.merge(Some(&peer()), &cleared, at(3));
     assert_eq!(changes, [(request(1), Change::Released("answered elsewhere"))]);
-    a.merge(Some(&peer()), &of_a, at(4));
+    a.merge(Some(&peer()), &from_a, at(4));
     assert!(!is_held(&a, 1, at(4)), "old news does not hold it again");
 }
 
 #[test]
-fn a_node_that_answered_a_request_clears_what_others_tell_of_it() {
+fn a_node_that_answered_a_request_clears_reported_crashes() {
     let mut a = Quarantine::default();
-    ends(&mut a, 0..3, &[1], at(1));
+    crash(&mut a, 0..3, &[1], at(1));
     let mut b = Quarantine::default();
     b.record_answer(request(1), at(1));
-    b.merge(Some(&peer()), &of_all(&a), at(2));
+    b.merge(Some(&peer()), &report_of(&a), at(2));
     assert!(!is_held(&b, 1, at(2)));
-    assert!(!b.missing_from(&of_all(&a), at(2)).is_empty(), "and tells so");
+    assert!(!b.missing_from(&report_of(&a), at(2)).is_empty(), "and tells so");
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_the_held_stay() {
+fn suspects_are_bounded_and_held_ones_are_retained() {
     let mut q = Quarantine::default();
-    ends(&mut q, 0..3, &[1], at(1));
+    crash(&mut q, 0..3, &[1], at(1));
     let many: Vec<Fingerprint> =
         (0..10_000u32).map(|n| Fingerprint::of(&[&n.to_le_bytes()])).collect();
     q.record_crash(&target(9), &"plain".into(), &many, at(2));
@@ -147,7 +147,7 @@
     assert!(q.is_empty());
 }
 
-fn empty(n: u8) -> model::forward::SuspectNews {
+fn empty_report(n: u8) -> model::forward::SuspectNews {
     model::forward::SuspectNews {
         request: request(n),
         service: "plain".into(),
@@ -158,25 +158,25 @@
     }
 }
 
-fn of_all(q: &Quarantine) -> Vec<model::forward::SuspectNews> {
-    q.missing_from(&[empty(1)], at(2))
+fn report_of(q: &Quarantine) -> Vec<model::forward::SuspectNews> {
+    q.missing_from(&[empty_report(1)], at(2))
 }
 
 #[test]
-fn a_record_of_the_store_holds_what_is_not_known_to_be_cleared() {
+fn a_stored_record_holds_a_request_unless_it_was_cleared() {
     let mut a = Quarantine::default();
-    ends(&mut a, 0..3, &[1], at(1));
+    crash(&mut a, 0..3, &[1], at(1));
     let me = "me".into();
     let record = a.unstored_records(&me, &[], 5_000).remove(0);
     a.mark_stored(request(1));
     assert!(a.unstored_records(&me, &[], 5_000).is_empty(), "once");
     // Another node knows one end by now; it was too few for it.
     let mut b = Quarantine::default();
-    ends(&mut b, 7..8, &[1], at(100));
-    let (changes, is_over) = b.merge_record(&record, 65_000, at(100));
-    assert!(matches!(changes[..], [(_, Change::Held(_))]) && !is_over);
+    crash(&mut b, 7..8, &[1], at(100));
+    let (changes, is_released) = b.merge_record(&record, 65_000, at(100));
+    assert!(matches!(changes[..], [(_, Change::Held(_))]) && !is_released);
     assert!(b.unstored_records(&me, &[], 65_000).is_empty(), "the store has it");
     b.record_answer(request(1), at(101));
-    let (changes, is_over) = b.merge_record(&record, 66_000, at(102));
-    assert!(changes.is_empty() && is_over, "its record is to go");
+    let (changes, is_released) = b.merge_record(&record, 66_000, at(102));
+    assert!(changes.is_empty() && is_released, "its record is to go");
 }
--- a/crates/decide/tests/quarantine_ends.rs
+++ b/crates/decide/tests/quarantine_ends.rs
@@ -5,7 +5,7 @@
 use decide::quarantine::{Verdict, judge};
 
 #[test]
-fn a_broken_connection_alone_is_no_end() {
+fn a_broken_connection_alone_is_no_crash() {
     let cases = [
         (Here, Accepted, Verdict::Undecided),
         (Here, NoResponse, Verdict::Undecided),
--- a/crates/decide/tests/quarantine_spread.rs
+++ b/crates/decide/tests/quarantine_spread.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 
 /// Time between two looks of a node at what is unsent.
-const LOOK: Duration = Duration::from_millis(250);
+const STEP: Duration = Duration::from_millis(250);
 
 fn node(n: usize) -> Node {
     let address = "127.0.0.1:1".parse().expect("an address");
@@ -28,34 +28,34 @@
     format!("i-{n}").as_str().into()
 }
 
-struct World {
+struct Cluster {
     nodes: Vec<(Node, Quarantine)>,
     up: BTreeSet<usize>,
     /// Nodes on this side of a cut reach no others.
     cut: BTreeSet<usize>,
     /// Nodes of an older build.
-    old: BTreeSet<usize>,
+    unsupported: BTreeSet<usize>,
     now: Time,
-    lost: f64,
+    loss: f64,
     rng: Rng,
     messages: usize,
 }
 
-impl World {
-    fn new(count: usize, lost: f64, seed: u64) -> Self {
-        World {
+impl Cluster {
+    fn new(count: usize, loss: f64, seed: u64) -> Self {
+        Cluster {
             nodes: (0..count).map(|n| (node(n), Quarantine::default())).collect(),
             up: (0..count).collect(),
             cut: BTreeSet::new(),
-            old: BTreeSet::new(),
+            unsupported: BTreeSet::new(),
             now: Time::from_millis(1000),
-            lost,
+            loss,
             rng: Rng::new(seed),
             messages: 0,
         }
     }
 
-    fn ends(&mut self, at: usize, target_number: usize) {
+    fn crash(&mut self, at: usize, target_number: usize) {
         let now = self.now;
         self.nodes[at].1.record_crash(&target(target_number), &"s".into(), &[request()], now);
     }
@@ -65,29 +65,29 @@
     }
 
     fn step(&mut self) {
-        self.now = self.now + LOOK;
+        self.now = self.now + STEP;
         for from in self.up.clone() {
             let peers: Vec<usize> =
                 (0..self.nodes.len()).filter(|n| *n != from && self.reaches(from, *n)).collect();
             let peers: Vec<Node> = peers.into_iter().map(|n| self.nodes[n].0.clone()).collect();
             let (me, now) = (self.nodes[from].0.id.clone(), self.now);
-            for Outgoing { peer, news, versions: told } in
+            for Outgoing { peer, news, versions } in
                 self.nodes[from].1.outgoing(&me.name, &peers, |_| true, now)
             {
                 self.messages += 1;
-                let is_lost = (self.rng.below(1000) as f64) < self.lost * 1000.0;
+                let is_lost = (self.rng.below(1000) as f64) < self.loss * 1000.0;
                 if is_lost {
                     continue;
                 }
                 let to = self.nodes.iter().position(|(n, _)| n.id == peer.id).expect("a node");
-                if self.old.contains(&to) {
+                if self.unsupported.contains(&to) {
                     self.nodes[from].1.mark_unsupported(&peer.id);
                     continue;
                 }
                 self.nodes[to].1.merge(Some(&me), &news, now);
-                let beyond = self.nodes[to].1.missing_from(&news, now);
-                self.nodes[from].1.merge(Some(&peer.id), &beyond, now);
-                self.nodes[from].1.acknowledge(&peer.id, &told);
+                let reply = self.nodes[to].1.missing_from(&news, now);
+                self.nodes[from].1.merge(Some(&peer.id), &reply, now);
+                self.nodes[from].1.acknowledge(&peer.id, &versions);
             }
         }
     }
@@ -98,7 +98,7 @@
     }
 
     /// Looks until all that are up hold the request.
-    fn until_held(&mut self) -> usize {
+    fn steps_until_held(&mut self) -> usize {
         (1..=40)
             .find(|_| {
                 self.step();
@@ -109,99 +109,99 @@
 }
 
 #[test]
-fn three_ends_at_three_of_many_nodes_are_known_to_all_within_a_second() {
+fn three_crashes_at_three_nodes_reach_all_nodes_within_a_second() {
     for seed in 0..5 {
-        let mut w = World::new(340, 0.0, seed);
+        let mut cluster = Cluster::new(340, 0.0, seed);
         for n in 0..3 {
-            let at = w.rng.below(340);
-            w.ends(at, n);
+            let at = cluster.rng.below(340);
+            cluster.crash(at, n);
         }
-        let looks = w.until_held();
-        assert!(LOOK * looks as u32 <= Duration::from_secs(1), "{looks} looks");
+        let steps = cluster.steps_until_held();
+        assert!(STEP * steps as u32 <= Duration::from_secs(1), "{steps} looks");
         // Afterwards nothing more is said.
-        (0..8).for_each(|_| w.step());
-        let before = w.messages;
-        (0..8).for_each(|_| w.step());
-        assert_eq!(w.messages, before);
+        (0..8).for_each(|_| cluster.step());
+        let before = cluster.messages;
+        (0..8).for_each(|_| cluster.step());
+        assert_eq!(cluster.messages, before);
         assert!(before <= 340 * 6, "{before} messages");
     }
 }
 
 /// Half of the nodes are of a build that knows no such messages, and may be any keepers.
 #[test]
-fn nodes_of_an_older_build_are_done_without() {
+fn nodes_of_an_older_build_are_skipped() {
     for seed in 0..20 {
-        let mut w = World::new(12, 0.0, seed);
-        w.old = (0..6).collect();
+        let mut cluster = Cluster::new(12, 0.0, seed);
+        cluster.unsupported = (0..6).collect();
         for n in 0..3 {
-            w.ends(6 + n, n);
+            cluster.crash(6 + n, n);
         }
         for _ in 0..8 {
-            w.step();
+            cluster.step();
         }
-        assert_eq!(w.holders(), 6, "all of the newer build");
-        let before = w.messages;
-        (0..8).for_each(|_| w.step());
-        assert_eq!(w.messages, before, "and nobody is told for nothing");
+        assert_eq!(cluster.holders(), 6, "all of the newer build");
+        let before = cluster.messages;
+        (0..8).for_each(|_| cluster.step());
+        assert_eq!(cluster.messages, before, "and nobody is told for nothing");
     }
 }
 
 #[test]
-fn ends_of_a_racks_loss_cost_a_few_messages_each() {
-    let mut w = World::new(100, 0.0, 7);
+fn crashes_of_a_rack_failure_cost_a_few_messages_each() {
+    let mut cluster = Cluster::new(100, 0.0, 7);
     let many: Vec<Fingerprint> =
         (0..500u32).map(|n| Fingerprint::of(&[&n.to_le_bytes()])).collect();
-    for (n, one) in many.iter().enumerate() {
-        let now = w.now;
-        w.nodes[n % 100].1.record_crash(&target(n % 10), &"s".into(), &[*one], now);
+    for (n, item) in many.iter().enumerate() {
+        let now = cluster.now;
+        cluster.nodes[n % 100].1.record_crash(&target(n % 10), &"s".into(), &[*item], now);
     }
-    (0..8).for_each(|_| w.step());
-    assert!(w.messages <= 500 * 3, "{} messages", w.messages);
+    (0..8).for_each(|_| cluster.step());
+    assert!(cluster.messages <= 500 * 3, "{} messages", cluster.messages);
 }
 
 proptest! {
     #[test]
-    fn all_in_touch_hold_it_whatever_is_lost_and_whoever_goes(
+    fn all_connected_nodes_hold_the_request_despite_loss_and_churn(
         count in 2usize..40,
-        lost in 0.0..0.5f64,
+        loss in 0.0..0.5f64,
         seed in any::<u64>(),
         witnesses in prop::collection::vec(any::<usize>(), 3),
         gone in prop::collection::vec(any::<usize>(), 0..4),
     ) {
-        let mut w = World::new(count, lost, seed);
+        let mut cluster = Cluster::new(count, loss, seed);
         for (n, witness) in witnesses.iter().enumerate() {
-            w.ends(witness % count, n);
+            cluster.crash(witness % count, n);
         }
         // Nodes that saw no end go once those that did have told the keepers.
-        w.step();
-        for one in gone {
-            let one = one % count;
-            let is_witness = witnesses.iter().any(|w| w % count == one);
-            if !is_witness && w.up.len() > 1 {
-                w.up.remove(&one);
+        cluster.step();
+        for item in gone {
+            let item = item % count;
+            let is_witness = witnesses.iter().any(|witness| witness % count == item);
+            if !is_witness && cluster.up.len() > 1 {
+                cluster.up.remove(&item);
             }
         }
-        w.until_held();
+        cluster.steps_until_held();
         // One that starts anew knows nothing, and hears of it.
-        w.nodes.push((node(count), Quarantine::default()));
-        w.up.insert(count);
-        w.until_held();
+        cluster.nodes.push((node(count), Quarantine::default()));
+        cluster.up.insert(count);
+        cluster.steps_until_held();
     }
 
     #[test]
-    fn a_domain_that_was_cut_off_hears_of_it_and_tells_its_own(
+    fn a_partitioned_domain_exchanges_crashes_after_it_heals(
         seed in any::<u64>(),
         cut in 1usize..8,
         inside in 0usize..4,
     ) {
-        let mut w = World::new(12, 0.1, seed);
-        w.cut = (0..cut).collect();
+        let mut cluster = Cluster::new(12, 0.1, seed);
+        cluster.cut = (0..cut).collect();
         for n in 0..3 {
             let at = if n < inside { n % cut } else { cut + n % (12 - cut) };
-            w.ends(at, n);
+            cluster.crash(at, n);
         }
-        (0..12).for_each(|_| w.step());
-        w.cut.clear();
-        w.until_held();
+        (0..12).for_each(|_| cluster.step());
+        cluster.cut.clear();
+        cluster.steps_until_held();
     }
 }
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -39,7 +39,7 @@
 const STARTS: [(u64, u64); 4] = [(17, 18), (18, 17), (0, 17), (17, 0)];
 
 #[test]
-fn nothing_that_was_believed_of_the_start_before_holds_for_the_next() {
+fn a_new_start_inherits_no_state_from_the_previous_start() {
     for (before, after) in STARTS {
         let mut fleet = fleet(vec![Target { cold_ms: 9000, ..entry(before, 5) }]);
         let limit = ColdLimit { lasts: Duration::from_secs(9), gap: Some(Duration::from_secs(1)) };
@@ -51,19 +51,19 @@
 
         assert!(fleet.upsert(entry(after, 6), at(40)));
         let new = id(after);
-        let b = fleet.get(&new).expect("the later start is known");
-        assert!(!b.is_ejected(at(40)) && !fleet.is_cold(b, limit, at(40)));
-        let pace = (b.next_start, b.cold);
+        let belief = fleet.get(&new).expect("the later start is known");
+        assert!(!belief.is_ejected(at(40)) && !fleet.is_cold(belief, limit, at(40)));
+        let pace = (belief.next_start, belief.cold);
         assert_eq!(pace, (at(0), at(40)));
-        assert_eq!((b.outstanding, b.prefill), (0, 0));
-        assert_eq!((b.answer_ms(at(40)), b.failing(at(40))), (None, 0.0));
+        assert_eq!((belief.outstanding, belief.prefill), (0, 0));
+        assert_eq!((belief.answer_ms(at(40)), belief.failing(at(40))), (None, 0.0));
         assert!(fleet.get(&old).is_none(), "the start before is nobody's");
         assert!(!fleet.is_usable(&old, Terms::ANY, at(40)));
     }
 }
 
 #[test]
-fn what_still_comes_of_the_start_before_changes_nothing_of_the_next() {
+fn late_events_of_the_previous_start_do_not_affect_the_new_start() {
     for (before, after) in STARTS {
         let mut fleet = fleet(vec![entry(before, 5)]);
         fleet.sent(&id(before), 700);
@@ -77,28 +77,28 @@
         for end in ends {
             assert!(!fleet.observe(&id(before), end, at(50)), "{end:?}");
         }
-        let b = fleet.get(&id(after)).expect("known");
-        assert_eq!((b.outstanding, b.prefill, b.failing(at(40))), (1, 300, 0.0));
-        assert!(!b.is_ejected(at(50)) && b.next_start == at(0));
+        let belief = fleet.get(&id(after)).expect("known");
+        assert_eq!((belief.outstanding, belief.prefill, belief.failing(at(40))), (1, 300, 0.0));
+        assert!(!belief.is_ejected(at(50)) && belief.next_start == at(0));
     }
 }
 
 #[test]
-fn the_same_entry_seen_again_is_no_restart() {
+fn repeated_entry_is_not_a_restart() {
     let mut fleet = fleet(vec![entry(17, 5)]);
     fleet.sent(&id(17), 700);
     assert!(!fleet.upsert(entry(17, 5), at(10)));
     assert!(!fleet.upsert(entry(17, 0), at(10)), "from a node that tells no revision");
     fleet.replace(vec![entry(17, 5)], None, at(20));
-    let news = vec![TargetChange::Gone("t".into()), TargetChange::Now(entry(17, 5))];
-    take(&mut fleet, news);
+    let changes = vec![TargetChange::Gone("t".into()), TargetChange::Now(entry(17, 5))];
+    apply(&mut fleet, changes);
     fleet.upsert(Target { version: "v2".into(), slots: 9, ..entry(17, 6) }, at(30));
-    let b = fleet.get(&id(17)).expect("known");
-    assert_eq!((b.outstanding, b.prefill, b.target.slots), (1, 700, 9));
+    let belief = fleet.get(&id(17)).expect("known");
+    assert_eq!((belief.outstanding, belief.prefill, belief.target.slots), (1, 700, 9));
 }
 
 #[test]
-fn a_start_in_another_service_and_place_is_found_there_alone() {
+fn a_start_in_another_service_and_domain_is_indexed_only_there() {
     let mut fleet = fleet(vec![entry(17, 5), target("u", "a")]);
     let moved = Target {
         service: "encode".into(),
@@ -109,7 +109,7 @@
     fleet.upsert(moved, at(10));
     let names = |service: &str| -> Vec<(Name, Name)> {
         let of = fleet.usable(service, Terms::ANY, at(10));
-        of.map(|b| (b.target.id.name.clone(), b.target.domain.clone())).collect()
+        of.map(|belief| (belief.target.id.name.clone(), belief.target.domain.clone())).collect()
     };
     assert_eq!(names("engine"), [("u".into(), "a".into())]);
     assert_eq!(names("encode"), [("t".into(), "b".into())]);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_request_that_failed_at_the_start_before_may_try_the_next() {
+fn a_request_that_failed_at_the_previous_start_may_try_the_new_start() {
     let mut fleet = fleet(vec![entry(17, 5)]);
     let tried = [id(17)];
     let mut rng = Rng::new(1);
@@ -129,8 +129,8 @@
 }
 
 /// Takes news as a node does.
-fn take(fleet: &mut Fleet, news: Vec<TargetChange>) {
-    for change in still_true(news) {
+fn apply(fleet: &mut Fleet, changes: Vec<TargetChange>) {
+    for change in still_true(changes) {
         match change {
             TargetChange::Now(target) => {
                 fleet.upsert(target, at(0));
@@ -144,31 +144,31 @@
 }
 
 #[test]
-fn a_source_that_is_behind_brings_no_earlier_start_back() {
+fn a_stale_source_does_not_restore_an_earlier_start() {
     let mut fleet = fleet(vec![entry(18, 7)]);
     fleet.sent(&id(18), 700);
     assert!(!fleet.upsert(entry(17, 5), at(10)), "older, also where its start is later");
     assert!(!fleet.upsert(entry(19, 6), at(10)));
     // A source that is further on tells of changes that are known, an end among them.
     let earlier = [TargetChange::Now(entry(17, 4)), TargetChange::Gone("t".into())];
-    let news = [&earlier[..], &[TargetChange::Now(entry(18, 7))]].concat();
-    take(&mut fleet, news);
+    let changes = [&earlier[..], &[TargetChange::Now(entry(18, 7))]].concat();
+    apply(&mut fleet, changes);
     assert_eq!(fleet.get(&id(18)).expect("known").outstanding, 1);
     fleet.replace(vec![entry(17, 3)], None, at(20));
     assert!(fleet.get(&id(17)).is_some(), "a whole list is the last word");
 }
 
 #[test]
-fn an_entry_that_drained_before_its_end_is_not_kept_in_doubt() {
+fn a_removal_after_draining_is_kept_as_a_removal() {
     let drains = TargetChange::Now(Target { draining: true, ..entry(17, 6) });
-    let news = vec![drains, TargetChange::Gone("t".into())];
-    assert_eq!(still_true(news.clone()), news);
+    let changes = vec![drains, TargetChange::Gone("t".into())];
+    assert_eq!(still_true(changes.clone()), changes);
 }
 
 proptest! {
     /// The starts before the latest come again from sources that are behind, in any order.
     #[test]
-    fn whatever_the_order_of_the_news_the_latest_entry_stands(
+    fn the_latest_revision_wins_in_any_delivery_order(
         starts in prop::collection::vec(0..4_u64, 1..6),
         order in prop::collection::vec(any::<prop::sample::Index>(), 1..30),
     ) {
@@ -179,17 +179,17 @@
         let mut sent = 0;
         for index in order {
             let next = index.get(&entries).clone();
-            let is_news = newest.as_ref().is_none_or(|n| next.revision > n.revision);
+            let is_newer = newest.as_ref().is_none_or(|n| next.revision > n.revision);
             let is_restart = newest.as_ref().is_none_or(|n| next.id != n.id);
             fleet.upsert(next.clone(), at(0));
-            if is_news {
+            if is_newer {
                 sent = if is_restart { 0 } else { sent };
                 newest = Some(next);
             }
             let known = newest.as_ref().expect("one came");
-            let b = fleet.get(&known.id).expect("the newest is known");
-            prop_assert_eq!(&b.target, known);
-            prop_assert_eq!(b.outstanding, sent);
+            let belief = fleet.get(&known.id).expect("the newest is known");
+            prop_assert_eq!(&belief.target, known);
+            prop_assert_eq!(belief.outstanding, sent);
             fleet.sent(&known.id, 1);
             sent += 1;
         }
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_target_whose_entry_becomes_unreadable_gets_nothing_new_and_keeps_what_it_has() {
+fn a_target_with_an_unreadable_entry_gets_no_new_work_but_keeps_its_current_work() {
     let name: Name = "t".into();
     let doubt = Some(at(9000));
     let mut fleet = fleet(vec![entry(17, 5)]);
@@ -220,7 +220,7 @@
     assert!(!third.is_usable(&id(17), Terms::ANY, at(10)));
     other.replace(list, doubt, at(10));
     assert!(!other.is_usable(&id(17), Terms::ANY, at(10)), "not kept as one that vanished");
-    assert!(other.get(&id(17)).is_some_and(|b| b.missing.is_none()), "and not gone");
+    assert!(other.get(&id(17)).is_some_and(|belief| belief.missing.is_none()), "and not gone");
     other.expire(at(20_000));
     assert!(other.get(&id(17)).is_some());
 
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_missing_target_whose_entry_comes_back_unreadable_gets_nothing_new() {
+fn a_missing_target_whose_entry_returns_unreadable_gets_no_new_work() {
     let mut fleet = fleet(vec![entry(17, 5)]);
     fleet.vanish(&"t".into(), Some(at(9000)), at(0));
     assert!(fleet.is_usable(&id(17), Terms::ANY, at(10)), "most likely it lives");
@@ -245,7 +245,7 @@
 }
 
 /// Makers of one name and these starts.
-fn makers(starts: &[u64], domain: &str) -> Event {
+fn makers_event(starts: &[u64], domain: &str) -> Event {
     let info = |start: &u64| MakerInfo {
         id: id(*start),
         domain: domain.into(),
@@ -258,19 +258,19 @@
 }
 
 /// A coordinator with a call at the start 17 of its only maker, which then starts as 18.
-fn restarted() -> (Coordinator, Call) {
+fn restarted_maker() -> (Coordinator, Call) {
     let mut c = Coordinator::new(batch::pool(), Policy::default());
-    c.on(at(0), makers(&[17], "a"));
+    c.on(at(0), makers_event(&[17], "a"));
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r1", 1) };
     let first = batch::calls(&c.on(at(0), batch::placed(1, large)));
     assert_eq!(first[0].maker, id(17));
-    c.on(at(10), makers(&[18], "a"));
+    c.on(at(10), makers_event(&[18], "a"));
     (c, first[0].clone())
 }
 
 #[test]
-fn a_maker_that_starts_again_has_its_slots_and_its_room() {
-    let (mut c, old) = restarted();
+fn a_restarted_maker_has_all_its_slots_and_result_capacity() {
+    let (mut c, old) = restarted_maker();
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
     let next = batch::calls(&c.on(at(20), batch::placed(2, large.clone())));
     assert_eq!(next.len(), 1, "the slot of the start before is not its own");
@@ -285,10 +285,10 @@
 }
 
 #[test]
-fn an_end_of_the_start_before_neither_leaves_the_next_out_nor_narrows_its_room() {
+fn a_call_end_of_the_previous_start_neither_ejects_nor_limits_the_new_start() {
     let no_room = |call: &Call| CallEnd::Answered(vec![PieceResult::NoRoom; call.pieces.len()]);
     for end in [None, Some(CallEnd::Failed), Some(CallEnd::Full)] {
-        let (mut c, old) = restarted();
+        let (mut c, old) = restarted_maker();
         let end = end.unwrap_or_else(|| no_room(&old));
         let mut actions = c.on(at(20), Event::Ended(old.number, end.clone()));
         actions.extend(c.on(at(21), Event::Probed(id(17), false)));
@@ -302,7 +302,7 @@
     }
 }
 
-fn ask(attempt: &str) -> PrefillAsk {
+fn prefill_ask(attempt: &str) -> PrefillAsk {
     PrefillAsk {
         service: "pool".into(),
         domain: "d".into(),
@@ -318,10 +318,10 @@
 }
 
 #[test]
-fn an_engine_that_starts_again_has_nothing_to_read_and_keeps_nothing() {
+fn a_restarted_engine_has_an_empty_prefill_queue_and_cache() {
     let mut scheduler = Scheduler::new(at(0));
-    scheduler.place(&ask("p1"), &[id(17)], at(20_000)).expect("an engine");
-    let placed = scheduler.place(&ask("p2"), &[id(18)], at(20_100)).expect("an engine");
+    scheduler.place(&prefill_ask("p1"), &[id(17)], at(20_000)).expect("an engine");
+    let placed = scheduler.place(&prefill_ask("p2"), &[id(18)], at(20_100)).expect("an engine");
     assert_eq!((placed.engine, placed.ahead, placed.kept), (id(18), 0, false));
     assert_eq!(scheduler.waiting(&id(18)), 17_000);
     scheduler.read(&id(17), &"p2".into(), at(20_200));
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn all_nodes_find_the_same_coordinator_whatever_their_ages() {
+fn all_nodes_agree_on_a_coordinator_regardless_of_uptime() {
     let cases: [&[u64]; 4] = [
         &[60_000, 60_000, 60_000, 60_000, 60_000],
         &[200, 300, 250, 500, 400],
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_node_that_just_came_takes_nothing_from_those_that_were_there() {
+fn a_new_node_takes_no_roles_until_settled() {
     let up = [60_000, 60_000, 60_000, 1_000];
     for service in SERVICES {
         assert_ne!(first(&roster(0, &up, 60_000), 0, service, 60_000), name(3));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn nodes_that_started_together_keep_their_coordinator_as_they_grow_older() {
+fn a_simultaneous_start_keeps_its_coordinators_as_uptime_grows() {
     let started = [0, 90, 340, 430, 460];
     for service in SERVICES {
         let firsts = |at_ms: u64| {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn suspects_and_silent_and_stopping_nodes_do_not_coordinate() {
+fn suspected_silent_and_stopping_nodes_do_not_coordinate() {
     let up = [60_000; 5];
     for service in SERVICES {
         let all = roster(0, &up, 60_000);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_node_that_stops_coordinates_only_if_nobody_else_can() {
+fn a_stopping_node_coordinates_only_as_a_last_resort() {
     let mut alone = Roster::new(name(0).into(), "d".into(), 0);
     alone.stop();
     assert!(alone.coordinates("a", at(9_000)));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_peer_is_asked_once_and_no_more_often_than_its_answer_holds() {
+fn a_peer_is_checked_once_per_answer_lifetime() {
     let mut roster = roster(0, &[60_000; 2], 60_000);
     let id = view(1, 0, 0).node.id;
     let ask = |r: &mut Roster, ms| r.reachability(&id, at(ms));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn nodes_that_started_together_gather_and_a_restarted_one_does_not() {
+fn only_a_simultaneous_start_counts_as_cluster_forming() {
     assert!(Roster::new(name(0).into(), "d".into(), 0).is_cluster_forming(at(100)));
     assert!(roster(0, &[300, 300], 300).is_cluster_forming(at(300)));
     assert!(!roster(0, &[300, 300], 900).is_cluster_forming(at(900)));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn nodes_gather_until_no_more_come() {
+fn cluster_forms_until_no_new_peers_appear() {
     let mut roster = Roster::new(name(0).into(), "d".into(), 0);
     for (ms, peers) in [(50, 1), (120, 4), (200, 9)] {
         roster.update((1..=peers).map(|i| view(i, ms, ms)).collect(), at(ms));
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn nodes_do_not_wait_for_hosts_that_bear_less_than_others() {
+fn cluster_forming_does_not_wait_for_low_capacity_hosts() {
     let mut roster = Roster::new(name(0).into(), "d".into(), 0);
     let peers = |small: usize, ms| {
         let mut views: Vec<PeerView> = (1..=small + 2).map(|i| view(i, ms, ms)).collect();
@@ -196,7 +196,7 @@
 
 /// What a small host that has just started knows of its relays, among peers that bear this
 /// much, all of its failure domain.
-fn forming(peers: &[u8]) -> decide::relay::Relays {
+fn relays_of_starting_node(peers: &[u8]) -> decide::relay::Relays {
     let mut roster = Roster::new("small".into(), "d".into(), 0);
     let peer = |(i, capacity): (usize, &u8)| {
         let mut view = view(i, 60_000, 100);
@@ -208,38 +208,44 @@
 }
 
 #[test]
-fn a_small_host_that_starts_asks_hosts_that_bear_more_and_not_the_store() {
-    let alone = forming(&[]);
+fn a_starting_small_host_asks_larger_hosts_instead_of_the_store() {
+    let alone = relays_of_starting_node(&[]);
     assert_eq!((alone.role, alone.peers.len()), (Role::Unknown, 0));
-    let found = forming(&[0, 0, 2, 0, 2, 2]);
-    assert_eq!(found.role, Role::Unknown, "though it knows few peers, it is no relay");
-    let asked: Vec<&str> = found.peers.iter().map(|p| &*p.id.name).collect();
+    let sources = relays_of_starting_node(&[0, 0, 2, 0, 2, 2]);
+    assert_eq!(sources.role, Role::Unknown, "though it knows few peers, it is no relay");
+    let asked: Vec<&str> = sources.peers.iter().map(|p| &*p.id.name).collect();
     assert_eq!(asked.len(), 2);
     assert!(asked.iter().all(|n| ["node-2", "node-4", "node-5"].contains(n)), "{asked:?}");
 }
 
 #[test]
-fn among_small_hosts_a_few_read_the_store_at_once_and_all_know_which() {
-    let found = forming(&[0; 60]);
-    assert!(!found.peers.is_empty());
-    let reads_at =
+fn among_small_hosts_a_few_agreed_ones_read_the_store_early() {
+    let sources = relays_of_starting_node(&[0; 60]);
+    assert!(!sources.peers.is_empty());
+    let reads_store_at =
         |n: &str, ms| Roster::new(n.into(), "d".into(), 0).relays(at(ms)).role == Role::Relay;
-    let reads = |n: &str| reads_at(n, 310);
-    assert!(found.peers.iter().all(|p| reads(&p.id.name)), "those that are asked do read it");
-    let early = (0..600).filter(|i| reads(&name(*i))).count();
+    let reads_store = |n: &str| reads_store_at(n, 310);
+    assert!(
+        sources.peers.iter().all(|p| reads_store(&p.id.name)),
+        "those that are asked do read it"
+    );
+    let early = (0..600).filter(|i| reads_store(&name(*i))).count();
     assert!((15..=60).contains(&early), "{early} of 600 read it before they know others");
-    assert!(!(0..600).any(|i| reads_at(&name(i), 290)), "a host that bears more may be there");
+    assert!(
+        !(0..600).any(|i| reads_store_at(&name(i), 290)),
+        "a host that bears more may be there"
+    );
 }
 
 #[test]
-fn a_node_that_finds_nobody_in_time_reads_the_store() {
+fn a_node_without_peers_reads_the_store_after_discovery() {
     let alone = Roster::new("small".into(), "d".into(), 0);
     assert_eq!(alone.relays(at(700)).role, Role::Unknown);
     assert_eq!(alone.relays(at(800)).role, Role::Relay);
 }
 
 #[test]
-fn what_is_known_of_peers_that_are_gone_is_forgotten() {
+fn state_of_departed_peers_is_purged() {
     let mut roster = roster(0, &[60_000; 2], 60_000);
     let id = view(1, 0, 0).node.id;
     roster.note_stopping(&id, at(60_000));
@@ -255,7 +261,7 @@
 }
 
 /// The roster of node `me` among `n` nodes of which every third is in the same domain.
-fn spread(me: usize, n: usize, silent: &[usize]) -> Roster {
+fn multi_domain_roster(me: usize, n: usize, silent: &[usize]) -> Roster {
     let mut roster = Roster::new(name(me).into(), domain(me).into(), 0);
     let others = (0..n).filter(|i| *i != me).map(|i| {
         let mut view = view(i, 60_000, 60_000);
@@ -274,53 +280,58 @@
 }
 
 /// Nodes that take themselves for relays.
-fn own_relays(n: usize, silent: &[usize]) -> Vec<usize> {
+fn self_appointed_relays(n: usize, silent: &[usize]) -> Vec<usize> {
     let up = (0..n).filter(|i| !silent.contains(i));
-    up.filter(|i| spread(*i, n, silent).relays(at(60_001)).role == Role::Relay).collect()
+    up.filter(|i| multi_domain_roster(*i, n, silent).relays(at(60_001)).role == Role::Relay)
+        .collect()
 }
 
 #[test]
-fn one_node_of_each_domain_relays_another_stands_by_and_the_others_ask_these() {
+fn each_domain_has_one_relay_one_standby_and_followers() {
     let n = 60;
     let of_role = |role| -> Vec<usize> {
-        let found = |i: &usize| spread(*i, n, &[]).relays(at(60_001)).role == role;
-        (0..n).filter(found).collect()
+        let has_role = |i: &usize| multi_domain_roster(*i, n, &[]).relays(at(60_001)).role == role;
+        (0..n).filter(has_role).collect()
     };
     let (relays, standbys) = (of_role(Role::Relay), of_role(Role::Standby));
     assert_eq!((relays.len(), standbys.len()), (3, 3), "{relays:?} {standbys:?}");
     let is_among = |names: &[usize], p: &Node| names.iter().any(|i| name(*i) == *p.id.name);
     for me in of_role(Role::Follower) {
-        let found = spread(me, n, &[]).relays(at(60_001));
-        assert!(is_among(&relays, &found.peers[0]), "all agree on the relay");
-        assert!(is_among(&standbys, &found.peers[1]), "and on its standby");
-        assert!(found.peers[..2].iter().all(|p| *p.domain == *domain(me)));
-        assert_eq!(found.peers.len(), 4, "and one of each other domain");
+        let sources = multi_domain_roster(me, n, &[]).relays(at(60_001));
+        assert!(is_among(&relays, &sources.peers[0]), "all agree on the relay");
+        assert!(is_among(&standbys, &sources.peers[1]), "and on its standby");
+        assert!(sources.peers[..2].iter().all(|p| *p.domain == *domain(me)));
+        assert_eq!(sources.peers.len(), 4, "and one of each other domain");
     }
     for me in standbys {
-        let found = spread(me, n, &[]).relays(at(60_001));
-        assert!(found.peers.iter().all(|p| is_among(&relays, p)), "it asks relays alone");
-        assert_eq!(*found.peers[0].domain, *domain(me), "its own first");
+        let sources = multi_domain_roster(me, n, &[]).relays(at(60_001));
+        assert!(sources.peers.iter().all(|p| is_among(&relays, p)), "it asks relays alone");
+        assert_eq!(*sources.peers[0].domain, *domain(me), "its own first");
     }
 }
 
 #[test]
-fn where_relays_fall_silent_others_take_their_place() {
+fn silent_relays_are_replaced() {
     let n = 60;
-    let before = own_relays(n, &[]);
-    let after = own_relays(n, &before[..2]);
+    let before = self_appointed_relays(n, &[]);
+    let after = self_appointed_relays(n, &before[..2]);
     assert_eq!(after.len(), 3);
     assert!(before[..2].iter().all(|gone| !after.contains(gone)));
     assert!(before[2..].iter().all(|kept| after.contains(kept)), "the other stays");
 }
 
 #[test]
-fn a_small_domain_has_a_relay_and_a_standby_too() {
+fn a_small_domain_also_has_a_relay_and_a_standby() {
     let mut roles: Vec<Role> = Vec::new();
     for me in 0..9 {
-        let found = spread(me, 9, &[]).relays(at(60_001));
-        let whom = if found.role == Role::Follower { 4 } else { 3 };
-        assert_eq!(found.peers.len(), whom, "{me}: whom it asks while the store turns it away");
-        roles.push(found.role);
+        let sources = multi_domain_roster(me, 9, &[]).relays(at(60_001));
+        let expected_peers = if sources.role == Role::Follower { 4 } else { 3 };
+        assert_eq!(
+            sources.peers.len(),
+            expected_peers,
+            "{me}: whom it asks while the store turns it away"
+        );
+        roles.push(sources.role);
     }
     for role in [Role::Relay, Role::Standby, Role::Follower] {
         assert_eq!(roles.iter().filter(|r| **r == role).count(), 3, "{role:?}: one a domain");
@@ -328,18 +339,18 @@
 }
 
 #[test]
-fn a_node_alone_in_its_domain_reads_the_store() {
-    let found = spread(0, 3, &[]).relays(at(60_001));
-    assert_eq!(found.role, Role::Relay);
-    assert_eq!(found.peers.len(), 2, "the relays of the others");
+fn the_only_node_of_a_domain_reads_the_store() {
+    let sources = multi_domain_roster(0, 3, &[]).relays(at(60_001));
+    assert_eq!(sources.role, Role::Relay);
+    assert_eq!(sources.peers.len(), 2, "the relays of the others");
 }
 
 #[test]
-fn two_silent_peers_of_a_domain_pass_for_a_cut_until_one_of_it_answers() {
+fn two_silent_peers_mark_a_domain_as_cut_until_one_of_its_peers_answers() {
     let (n, now) = (30, at(60_100));
     let me = 0;
     let others: Vec<usize> = (0..n).filter(|i| i % 3 == 1).collect();
-    let mut roster = spread(me, n, &others[..1]);
+    let mut roster = multi_domain_roster(me, n, &others[..1]);
     let of_domain = |r: &Roster| {
         let order = r.coordinators("a", now);
         order.flatten().filter(|p| *p.domain == *domain(1)).count()
@@ -353,37 +364,37 @@
 }
 
 #[test]
-fn nodes_that_know_different_things_agree_once_told_whom_the_other_skipped() {
+fn nodes_with_different_views_agree_after_exchanging_skipped_peers() {
     let (n, now) = (30, at(60_100));
     for service in SERVICES {
-        let first = spread(0, n, &[]).coordinators(service, now).next();
+        let first = multi_domain_roster(0, n, &[]).coordinators(service, now).next();
         let Some(Some(lost)) = &first else {
             continue;
         };
-        let mut asker = spread(0, n, &[]);
-        asker.mark_silent(&lost.id, now);
-        let Some(Some(next)) = asker.coordinators(service, now).next() else {
+        let mut requester = multi_domain_roster(0, n, &[]);
+        requester.mark_silent(&lost.id, now);
+        let Some(Some(next)) = requester.coordinators(service, now).next() else {
             continue;
         };
-        let skipped = asker.skipped(service, now);
+        let skipped = requester.skipped(service, now);
         assert_eq!(skipped, std::slice::from_ref(&lost.id));
         let i = (0..n).find(|i| name(*i) == *next.id.name).expect("one of the nodes");
-        let mut asked = spread(i, n, &[]);
-        assert!(!asked.coordinates(service, now), "it knows of no loss");
+        let mut responder = multi_domain_roster(i, n, &[]);
+        assert!(!responder.coordinates(service, now), "it knows of no loss");
         assert_eq!(
-            asked.eligible_among(&skipped),
+            responder.eligible_among(&skipped),
             std::slice::from_ref(lost),
             "so it asks that one"
         );
-        asked.mark_silent(&lost.id, now);
-        assert!(asked.coordinates(service, now));
-        assert!(asked.eligible_among(&skipped).is_empty(), "and asks no more");
+        responder.mark_silent(&lost.id, now);
+        assert!(responder.coordinates(service, now));
+        assert!(responder.eligible_among(&skipped).is_empty(), "and asks no more");
     }
 }
 
 #[test]
-fn a_survey_asks_some_of_each_domain_and_none_that_is_silent() {
-    let roster = spread(0, 30, &[1, 2, 3, 5]);
+fn a_survey_covers_each_domain_and_excludes_silent_peers() {
+    let roster = multi_domain_roster(0, 30, &[1, 2, 3, 5]);
     let mut seen = std::collections::BTreeMap::new();
     for p in roster.survey("some service", at(60_100)) {
         assert!(!["node-1", "node-2", "node-3", "node-5"].contains(&&*p.id.name));
@@ -393,7 +404,7 @@
 }
 
 #[test]
-fn hosts_that_bear_more_come_first_and_all_agree_on_them() {
+fn all_nodes_rank_high_capacity_hosts_first() {
     let n = 30;
     let is_large = |i: usize| i >= 27;
     for service in SERVICES {
@@ -415,7 +426,7 @@
 }
 
 #[test]
-fn changes_of_the_view_within_a_moment_are_told_together() {
+fn view_changes_within_the_gather_window_are_reported_together() {
     let mut changes = PendingChanges::default();
     assert_eq!(changes.take_due(at(900)), None);
     for i in 0..100 {
@@ -426,8 +437,8 @@
     changes.note(&"new".into(), Health::Alive, at(1_170));
     changes.note(&"gone".into(), Health::Left, at(1_180));
     assert_eq!(changes.take_due(at(1_249)), None, "more may come");
-    let told = changes.take_due(at(1_250)).expect("it is due");
-    let ViewChange { alive, suspected, dead, left, names } = told;
+    let summary = changes.take_due(at(1_250)).expect("it is due");
+    let ViewChange { alive, suspected, dead, left, names } = summary;
     assert_eq!((alive, suspected, dead, left), (2, 98, 1, 1), "each by its latest health");
     assert_eq!(names.len(), 6, "a bounded part by name");
     assert_eq!(*names[0], *name(7), "those that failed first");
@@ -435,7 +446,7 @@
 }
 
 #[test]
-fn each_target_is_owned_by_one_node_and_they_share_them_out() {
+fn each_target_has_one_owner_and_ownership_is_distributed() {
     let up = [60_000; 6];
     let rosters: Vec<Roster> = (0..up.len()).map(|me| roster(me, &up, 60_000)).collect();
     let mut owned = [0; 6];
@@ -458,7 +469,7 @@
 }
 
 /// A peer in one of three failure domains, on a host that may bear more.
-fn placed(i: usize, up_ms: u64, now: u64) -> PeerView {
+fn view_in_domain(i: usize, up_ms: u64, now: u64) -> PeerView {
     let view = view(i, up_ms, now);
     let capacity = u8::from(i.is_multiple_of(7));
     let node = Node { domain: domain(i % 3).into(), capacity, ..view.node };
@@ -468,35 +479,42 @@
 /// Whatever came, went and came again at other times, a roster that was told each change by itself
 /// answers as one that was told the peers that are up now.
 #[test]
-fn changes_of_peers_come_to_the_same_as_whole_views() {
+fn incremental_updates_equal_full_updates() {
     let mut rng = Rng::new(3);
     for _ in 0..20 {
-        let mut told = Roster::new("node-0".into(), domain(0).into(), 0);
+        let mut incremental = Roster::new("node-0".into(), domain(0).into(), 0);
         let mut up: BTreeMap<usize, u64> = BTreeMap::new();
         // Orders are kept from the first question on.
-        told.coordinators("a", at(60_000)).count();
+        incremental.coordinators("a", at(60_000)).count();
         for ms in (60_000..64_000).step_by(50) {
             let i = 1 + rng.below(30);
             if rng.below(3) == 0 {
                 up.remove(&i);
-                told.remove(&placed(i, 0, 0).node.id);
+                incremental.remove(&view_in_domain(i, 0, 0).node.id);
             } else {
                 let up_ms = [40, 5_000, 60_000][rng.below(3)];
                 up.insert(i, ms - up_ms.min(ms));
-                told.put(placed(i, up_ms, ms), at(ms));
+                incremental.put(view_in_domain(i, up_ms, ms), at(ms));
             }
             let mut fresh = Roster::new("node-0".into(), domain(0).into(), 0);
-            fresh.update(up.iter().map(|(i, born)| placed(*i, ms - born, ms)).collect(), at(ms));
+            fresh.update(
+                up.iter().map(|(i, born)| view_in_domain(*i, ms - born, ms)).collect(),
+                at(ms),
+            );
             for service in SERVICES {
                 let order = |r: &Roster| r.coordinators(service, at(ms)).collect::<Vec<_>>();
-                assert_eq!(order(&told), order(&fresh), "{service} at {ms} ms");
+                assert_eq!(order(&incremental), order(&fresh), "{service} at {ms} ms");
                 for d in 0..3 {
                     let scheduler = |r: &Roster| r.scheduler(service, &domain(d), at(ms));
-                    assert_eq!(scheduler(&told), scheduler(&fresh), "{service} in {d} at {ms} ms");
+                    assert_eq!(
+                        scheduler(&incremental),
+                        scheduler(&fresh),
+                        "{service} in {d} at {ms} ms"
+                    );
                 }
             }
-            assert_eq!(told.relays(at(ms)).peers, fresh.relays(at(ms)).peers);
-            assert_eq!(told.count(), fresh.count());
+            assert_eq!(incremental.relays(at(ms)).peers, fresh.relays(at(ms)).peers);
+            assert_eq!(incremental.count(), fresh.count());
         }
     }
 }
