--- a/crates/decide/src/quarantine/answered.rs
+++ b/crates/decide/src/quarantine/answered.rs
@@ -1,4 +1,4 @@
-//! Requests that were answered whole a while ago.
+//! Requests that recently received a complete answer.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -6,12 +6,13 @@
 use model::Time;
 use model::forward::Fingerprint;
 
-/// Time after which the older half is forgotten: what is common is answered more often.
+/// Interval between rotations, which drop the older generation. Common requests are answered more
+/// often than this.
 const GENERATION_PERIOD: Duration = Duration::from_secs(30);
-/// Requests in one half at most: 150 KB.
+/// Maximum requests in a generation, which take about 150 KB.
 const MAX_GENERATION: usize = 4096;
 
-/// Two halves, the newer of which grows.
+/// A set in two generations. Only the newer one grows.
 #[derive(Debug, Default)]
 pub(super) struct Answered {
     newer: HashSet<Fingerprint>,
@@ -20,13 +21,14 @@
 }
 
 impl Answered {
-    /// A request was answered whole.
+    /// Records that a request received a complete answer.
     pub(super) fn note(&mut self, request: Fingerprint, now: Time) {
         self.rotate(now);
         self.newer.insert(request);
     }
 
-    /// Whether a request was answered whole in the last 30 s, or up to 60 s ago.
+    /// Whether a request received a complete answer in the last 30 s. Answers up to 60 s old may
+    /// still count.
     pub(super) fn has(&mut self, request: Fingerprint, now: Time) -> bool {
         self.rotate(now);
         self.newer.contains(&request) || self.older.contains(&request)
--- a/crates/decide/src/quarantine/gossip.rs
+++ b/crates/decide/src/quarantine/gossip.rs
@@ -1,9 +1,10 @@
-//! Who is to be told of what.
+//! Which peers are sent which reports.
 //!
-//! Every end goes to a few nodes, the keepers of its request, which are the same for all nodes
-//! that agree on who is up; there ends seen by different nodes come together. A request that is
-//! held, or was, goes to every node. So ends of common and innocent requests, of which a rack's
-//! loss brings thousands, cost three messages each, and none where nothing ends.
+//! Every crash goes to a few nodes, the replicas of its request, where crashes seen by different
+//! nodes are combined. Nodes that agree on the membership agree on the replicas. A request that is
+//! or was held goes to every node. Crashes of common, harmless requests, of which the loss of a
+//! rack causes thousands, thus cost three messages each, and no messages are sent if nothing
+//! crashes.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -15,68 +16,70 @@
 
 use super::{Quarantine, Suspect};
 
-/// Keepers of a request. The first may be down without anybody knowing, and the second cut off.
+/// Replicas per request. The first may be down undetected, and the second partitioned.
 const REPLICAS: usize = 3;
-/// Time that a node which only heard of a request leaves to its keepers before it tells them
-/// itself: they tell everybody, and most likely told this node.
+/// Time for which a node that only received reports of a request waits before it sends them to
+/// the replicas itself. The replicas notify all nodes and most likely sent these reports.
 const REPLICA_GRACE: Duration = Duration::from_secs(1);
-/// Requests in one message: 2 KB to 100 KB.
+/// Maximum requests in one message, which makes 2 KB to 100 KB.
 const MAX_MESSAGE: usize = 64;
 
-/// What of one request was told to whom: its state by a number that rises.
+/// Which version of a request's state each peer has acknowledged.
 #[derive(Debug, Default)]
 pub(super) struct GossipState {
+    /// Incremented with every change.
     version: u64,
-    /// The last state that this node brought about; 0 if it only heard of the request.
+    /// Version of the last change that this node observed itself; 0 if it only received reports.
     own_version: u64,
     acked: HashMap<NodeId, u64>,
-    /// The state that another node told of, and when.
+    /// Version after the last report merged from another node, and when that was.
     received: Option<(u64, Time)>,
-    /// All have been told who are to know, as of this state and these peers.
+    /// Version and digest of the peers for which nothing is left to send.
     settled_at: Option<(u64, u64)>,
 }
 
 impl GossipState {
-    /// This node knows something new: all are to be told.
+    /// Records a change observed by this node.
     pub(super) fn mark_changed(&mut self) {
         self.version += 1;
         self.own_version = self.version;
     }
 
-    /// The same, since another node told of it.
+    /// Records a change received from another node.
     pub(super) fn mark_received(&mut self, now: Time) {
         self.version += 1;
         self.received = Some((self.version, now));
     }
 
-    /// A peer knows what is known here.
+    /// Records that a peer has the current version.
     pub(super) fn mark_acked(&mut self, peer: &NodeId) {
         self.acked.insert(peer.clone(), self.version);
     }
 
-    /// Whether its keepers, who may have told of it, are left time to tell the others.
+    /// Whether its replicas, which may have sent the last change, still have time to notify the
+    /// other nodes.
     fn defers_to_replicas(&self, now: Time) -> bool {
         let is_recent = |(version, at)| version == self.version && now.since(at) < REPLICA_GRACE;
         self.received.is_some_and(is_recent)
     }
 
-    /// State that listeners are to know. Of a request that concerns its keepers alone each
-    /// witness tells them what it saw, and they need not tell each other.
+    /// Version that the recipients need. If only the replicas need to know of the request, each
+    /// node sends them what it observed, and the replicas need not update each other.
     fn target_version(&self, is_global: bool) -> u64 {
         if is_global { self.version } else { self.own_version }
     }
 
-    /// Whether a peer was told of this state.
+    /// Whether a peer has acknowledged this version or a later one.
     fn is_acked(&self, peer: &NodeId, version: u64) -> bool {
         self.acked.get(peer).is_some_and(|acked| *acked >= version)
     }
 
-    /// All of these peers know what they are to know.
+    /// Records that nothing is left to send to these peers.
     fn settle(&mut self, peer_set: u64) {
         self.settled_at = Some((self.version, peer_set));
     }
 
-    /// Whether there is nothing to tell, as of these peers.
+    /// Whether nothing is left to send to these peers.
     fn is_settled(&self, is_global: bool, peer_set: u64) -> bool {
         match self.settled_at {
             Some(settled) if settled == (self.version, peer_set) => true,
@@ -86,14 +89,14 @@
     }
 }
 
-/// A message that a peer is to have.
+/// A message to be sent to a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outgoing {
-    /// The peer.
+    /// Recipient.
     pub peer: Node,
-    /// What it is to know.
+    /// Reports of requests.
     pub news: Vec<SuspectNews>,
-    /// What it was told, for when it has answered.
+    /// Versions to pass to [`Quarantine::acknowledge`] once the peer has answered.
     pub versions: SentVersions,
 }
 
@@ -103,12 +106,12 @@
     }
 }
 
-/// Requests of which a peer was told, and their states.
+/// Requests in a message and the versions of their state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SentVersions(Vec<(Fingerprint, u64)>);
 
 impl Quarantine {
-    /// Messages to peers that `may` be told now; `me` is this node.
+    /// Messages due to peers for which `may_send` holds; `me` is this node.
     pub fn outgoing(
         &mut self,
         me: &Name,
@@ -142,8 +145,8 @@
         messages.into_values().collect()
     }
 
-    /// Peers that understand such messages, as far as is known. The others keep nothing and are
-    /// told nothing, so that requests whose keepers they would be are kept by those that do.
+    /// Peers that support quarantine messages, as far as known. The others are neither replicas nor
+    /// recipients, so supporting peers replace them as replicas.
     pub(super) fn supporting<'a>(&self, peers: &'a [Node]) -> Cow<'a, [Node]> {
         if self.unsupported.is_empty() {
             return Cow::Borrowed(peers);
@@ -152,12 +155,12 @@
         Cow::Owned(known.cloned().collect())
     }
 
-    /// A peer does not understand such messages.
+    /// Records that a peer does not support quarantine messages.
     pub fn mark_unsupported(&mut self, peer: &NodeId) {
         self.unsupported.insert(peer.clone());
     }
 
-    /// A peer took what it was told.
+    /// Records that a peer has accepted a message.
     pub fn acknowledge(&mut self, peer: &NodeId, versions: &SentVersions) {
         for (request, version) in &versions.0 {
             if let Some(suspect) = self.suspects.get_mut(request) {
@@ -166,7 +169,7 @@
         }
     }
 
-    /// What this node knows beyond what it was told by a peer.
+    /// Reports on those of a peer's requests of which this node knows more than the peer.
     pub fn missing_from(&self, news: &[SuspectNews], now: Time) -> Vec<SuspectNews> {
         let known = news.iter().filter_map(|n| Some((n, self.suspects.get(&n.request)?)));
         let newer = known.filter(|(n, suspect)| suspect.is_ahead_of(n));
@@ -174,8 +177,8 @@
     }
 }
 
-/// Peers that are to know of a request by now, and the state that they are to know; `None` if
-/// there is nothing to tell.
+/// Peers that must know of a request by now, and the version that they need; `None` if there is
+/// nothing to send.
 fn recipients<'a>(
     request: Fingerprint,
     suspect: &mut Suspect,
@@ -203,7 +206,7 @@
     Some((replicas.into_iter().flatten().collect(), target))
 }
 
-/// Keepers of a request; `None` is this node.
+/// Replicas of a request by rendezvous hashing; `None` is this node.
 pub(super) fn replicas<'a>(
     request: Fingerprint,
     me: &Name,
@@ -218,7 +221,7 @@
     all.into_iter().map(|(_, node)| node).collect()
 }
 
-/// Tells apart sets of peers.
+/// Digest of a set of peers, used to detect changes.
 fn digest(peers: &[Node]) -> u64 {
     let of = |p: &Node| hash::mix(hash::of(p.id.name.as_bytes()), p.id.start);
     peers.iter().map(of).fold(0, |all, one| all ^ one)
--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -1,13 +1,14 @@
-//! Requests that end the targets which run them are held back by all nodes.
+//! Quarantine of requests that crash the targets running them, on all nodes.
 //!
-//! A target that ended, and did not say before that it would, speaks against every request that
-//! it ran. After [`HOLD_THRESHOLD`] such ends a request is held: what ends whatever runs it would
-//! take the work of all others with it, target by target. What is known of a request is a set of
-//! ends that only grows and is cleared end by end, so that nodes may hear of it in any order, and
-//! any number of times.
+//! A crash, the end of a target that did not announce it, counts against every request that the
+//! target was running. After [`HOLD_THRESHOLD`] crashes a request is held, since it would destroy
+//! the work of all other requests, target by target. The state of a request is a set of crashes
+//! that only grows and whose entries are cleared one by one, so nodes may merge reports in any
+//! order and any number of times.
 //!
-//! A whole answer, anywhere, clears a request of all its ends: one that ends its targets never
-//! gets one. So does another request that is held and ran at the same targets.
+//! A complete answer on any node clears a request of all its crashes, because a request that
+//! crashes its targets never gets one. A held request also clears all requests that are not held
+//! of the crashes that they share with it.
 
 mod answered;
 mod gossip;
@@ -29,67 +30,68 @@
 pub use suspect::Hold;
 pub use verdict::{ConnectOutcome, Verdict, judge};
 
-/// Ends from which on a request is held. One may be chance, and two still are where targets end
-/// for a reason of their own.
+/// Number of crashes from which a request is held. One may be a coincidence, and so may two if
+/// targets crash for unrelated reasons.
 pub const HOLD_THRESHOLD: usize = 3;
-/// Requests remembered at most: 300 B each.
+/// Maximum requests remembered, at about 300 B each.
 const MAX_SUSPECTS: usize = 4096;
-/// Time for which a request that is not held is remembered after its last end.
+/// Time for which a request that is not held is remembered after its last activity.
 const SUSPECT_TTL: Duration = Duration::from_secs(10 * 60);
-/// Time for which a held one is remembered after it last came.
+/// Time for which a held request is remembered after its last activity.
 const HELD_TTL: Duration = Duration::from_secs(60 * 60);
 
 /// What changed about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It is held from now on, or for longer.
+    /// It is now held, or held for longer.
     Held(Hold),
-    /// It is held no more, and why.
+    /// It is no longer held, for this reason.
     Released(&'static str),
 }
 
 /// Changes by request.
 pub type Changes = Vec<(Fingerprint, Change)>;
 
-/// Requests under which targets ended, as one node knows them.
+/// Suspected requests, as known to one node.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
     answered: Answered,
-    /// Peers whose build knows no such messages.
+    /// Peers whose build does not support quarantine messages.
     unsupported: BTreeSet<NodeId>,
 }
 
 impl Quarantine {
-    /// Whether nothing is known of any request.
+    /// Whether no request is suspected.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Count of requests of which anything is known.
+    /// Number of suspected requests, including held ones.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Count of requests that are held.
+    /// Number of requests held at `now`.
     pub fn count_held(&self, now: Time) -> usize {
         self.suspects.values().filter(|c| c.hold(now).is_some()).count()
     }
 
-    /// Why a request is not to be sent; `None` if it may be.
+    /// Why a request must not be sent; `None` if it may be.
     pub fn hold(&self, request: Fingerprint, now: Time) -> Option<Hold> {
         self.suspects.get(&request)?.hold(now)
     }
 
-    /// A request came and is refused, if it is held.
+    /// Records the arrival of a request; returns why it is refused if it is held.
     pub fn record_arrival(&mut self, request: Fingerprint, now: Time) -> Option<Hold> {
         let suspect = self.suspects.get_mut(&request)?;
         suspect.record_arrival(now);
         suspect.hold(now)
     }
 
-    /// A request is about to be sent. One that was held for long enough is let through, and held
-    /// on until it shows how that ends. Returns whether it is such a one.
+    /// Records that a request is about to be sent. If its hold time has passed this is a trial, and
+    /// the request is held again until the outcome is known. Returns whether it is a trial, or
+    /// the hold if the request must not be sent.
     pub fn try_send(&mut self, request: Fingerprint, now: Time) -> Result<bool, Hold> {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return Ok(false);
@@ -100,14 +102,14 @@
         }
     }
 
-    /// Targets whose ends speak against a request, so many at most.
+    /// Up to `limit` targets whose crashes count against a request.
     pub fn crashed_targets(&self, request: Fingerprint, limit: usize) -> Vec<Name> {
         let suspect = self.suspects.get(&request);
         let crashed = suspect.into_iter().flat_map(Suspect::active_crashes);
         crashed.take(limit).map(|target| target.name.clone()).collect()
     }
 
-    /// A target answered a request whole.
+    /// Records a complete answer, which clears the request.
     pub fn record_answer(&mut self, request: Fingerprint, now: Time) -> Option<Change> {
         self.answered.note(request, now);
         let suspect = self.suspects.get_mut(&request)?;
@@ -116,7 +118,7 @@
         was_held.then_some(Change::Released("answered"))
     }
 
-    /// A target ended under these requests.
+    /// Records that a target crashed while running these requests.
     pub fn record_crash(
         &mut self,
         target: &TargetId,
@@ -139,7 +141,7 @@
         self.update_holds(updated, now)
     }
 
-    /// Takes what another node knows, or the store if it is none; returns what changed.
+    /// Merges reports of another node, or of the store if `from` is `None`; returns what changed.
     pub fn merge(&mut self, from: Option<&NodeId>, news: &[SuspectNews], now: Time) -> Changes {
         let mut changes = Vec::new();
         let mut updated = Vec::new();
@@ -167,7 +169,7 @@
         changes
     }
 
-    /// An operator lets a request through again; returns whether it was held.
+    /// Releases a request on behalf of an operator; returns whether it was held.
     pub fn release(&mut self, request: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return false;
@@ -177,8 +179,8 @@
         was_held
     }
 
-    /// Forgets what has not come for long. What was held is released first, so that it goes from
-    /// the store too.
+    /// Forgets requests without recent activity. Held ones are released first, so that their
+    /// records are removed from the store too.
     pub fn expire(&mut self, now: Time) -> Changes {
         let mut changes = Vec::new();
         for (request, suspect) in &mut self.suspects {
@@ -192,7 +194,8 @@
         changes
     }
 
-    /// Those whose ends grew may be held by now, which clears others that ran at the same targets.
+    /// Reports which requests with new crashes are now held, and clears requests that are not held
+    /// of the crashes that these account for.
     fn update_holds(&mut self, updated: Vec<Fingerprint>, now: Time) -> Changes {
         let mut changes = Vec::new();
         for request in updated {
@@ -209,7 +212,7 @@
         changes
     }
 
-    /// The case of a request; `None` if no more of them can be remembered.
+    /// The state of a request, created if missing; `None` if the limit is reached and all are held.
     fn suspect_mut(
         &mut self,
         request: Fingerprint,
--- a/crates/decide/src/quarantine/record.rs
+++ b/crates/decide/src/quarantine/record.rs
@@ -1,5 +1,5 @@
-//! What the store keeps of requests that are held, so that they stay so when all nodes start
-//! again. Operators see there what is held, and release it by deleting its object.
+//! Records of held requests in the store, which preserve the holds when all nodes restart.
+//! Operators can see there which requests are held, and release one by deleting its object.
 
 use model::forward::{EndNews, Fingerprint, HeldRecord, SuspectNews};
 use model::member::Node;
@@ -9,7 +9,8 @@
 use super::{Changes, HELD_TTL, Quarantine};
 
 impl Quarantine {
-    /// Requests that this node is to write to the store: those held whose first keeper it is.
+    /// Records that this node must write to the store: those of the held requests whose first
+    /// replica it is and that the store lacks.
     pub fn unstored_records(&self, me: &Name, peers: &[Node], unix_ms: u64) -> Vec<HeldRecord> {
         let peers = &self.supporting(peers)[..];
         let unstored = self.suspects.iter().filter(|(_, c)| c.is_held() && !c.is_stored);
@@ -19,27 +20,27 @@
         assigned.map(|(request, suspect)| suspect.to_record(*request, unix_ms)).collect()
     }
 
-    /// The store has a request.
+    /// Records that the store has a request, if it is still held.
     pub fn mark_stored(&mut self, request: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.is_stored = suspect.is_held();
         }
     }
 
-    /// The store came back from an older copy: what was written there since is gone.
+    /// Marks all requests as missing from the store, because it was restored from an older backup.
     pub fn clear_stored(&mut self) {
         self.suspects.values_mut().for_each(|suspect| suspect.is_stored = false);
     }
 
-    /// Takes a record of the store; returns what changed, and whether the request has been
-    /// released since, so that the record is to go.
+    /// Merges a record of the store; returns what changed, and whether the request has been
+    /// released since, so that the record must be deleted.
     pub fn merge_record(
         &mut self,
         record: &HeldRecord,
         unix_ms: u64,
         now: Time,
     ) -> (Changes, bool) {
-        // No record is believed to be older than one is kept: its writer's clock may be off.
+        // The writer's clock may be off, so the age is capped at the time a held request is kept.
         let age_ms = unix_ms.saturating_sub(record.since).min(HELD_TTL.as_millis() as u64);
         let end = |target: &_| EndNews { target: Clone::clone(target), age_ms, cleared: false };
         let news = SuspectNews {
@@ -50,7 +51,7 @@
             tried_ms: 0,
             came_ms: 0,
         };
-        // What is known as cleared stays so.
+        // Crashes already known as cleared stay cleared.
         let changes = self.merge(None, &[news], now);
         self.mark_stored(record.request);
         let is_released = self.suspects.get(&record.request).is_some_and(|c| !c.is_held());
--- a/crates/decide/src/quarantine/suspect.rs
+++ b/crates/decide/src/quarantine/suspect.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! State of one suspected request.
 
 use std::time::Duration;
 
@@ -8,32 +8,34 @@
 use super::HOLD_THRESHOLD;
 use super::gossip::GossipState;
 
-/// Times for which a request is held before it is let through the first time and the second: what
-/// ended the targets may have been mended, or may not have been the request. After these it is
-/// held until an operator releases it or it has not come for an hour.
+/// How long a request is held before its first and its second trial. The cause of the crashes may
+/// have been fixed, or may not have been the request. After both trials it is held until an
+/// operator releases it or it has not arrived for an hour.
 const HOLD_DURATIONS: [Duration; 2] = [Duration::from_secs(60), Duration::from_secs(600)];
-/// Ends remembered of one request.
+/// Maximum crashes remembered per request.
 const MAX_CRASHES: usize = 16;
-/// Time after which others are told again that a held request still comes.
+/// Interval at which peers are reminded that a held request still arrives.
 const REANNOUNCE_INTERVAL: Duration = Duration::from_secs(10 * 60);
 
 /// Why a request is not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
-    /// Targets that ended under it.
+    /// Number of targets that crashed while running it.
     pub crashes: usize,
-    /// Time after which it is let through once more; `None` if only an operator releases it.
+    /// Time until its next trial; `None` if only an operator can release it.
     pub remaining: Option<Duration>,
 }
 
+/// A target that ended without announcing it while running the request.
 #[derive(Debug, Clone)]
 struct Crash {
     target: TargetId,
     at: Time,
+    /// The request is not the cause.
     cleared: bool,
 }
 
-/// One request.
+/// A request under which targets crashed.
 #[derive(Debug)]
 pub(super) struct Suspect {
     service: Name,
@@ -42,7 +44,7 @@
     last_trial: Time,
     last_arrival: Time,
     announced: Time,
-    /// The store has it.
+    /// Whether the store has a record of it.
     pub(super) is_stored: bool,
     pub(super) gossip: GossipState,
 }
@@ -61,17 +63,17 @@
         }
     }
 
-    /// Targets whose ends speak against it.
+    /// Targets whose crashes count against it.
     pub(super) fn active_crashes(&self) -> impl Iterator<Item = &TargetId> {
         self.crashes.iter().filter(|e| !e.cleared).map(|e| &e.target)
     }
 
-    /// Whether it is held, or was until it may be let through once more.
+    /// Whether enough crashes count against it to hold it, even if its next trial is due.
     pub(super) fn is_held(&self) -> bool {
         self.active_crashes().count() >= HOLD_THRESHOLD
     }
 
-    /// Whether every node is to know: it is held, or was and some may hold it still.
+    /// Whether all nodes must know of it: it is held, or was and some nodes may still hold it.
     pub(super) fn is_global(&self) -> bool {
         self.crashes.len() >= HOLD_THRESHOLD
     }
@@ -90,7 +92,7 @@
         (!remaining.is_zero()).then_some(Hold { crashes, remaining: Some(remaining) })
     }
 
-    /// When something was last known of it.
+    /// Time of its last crash or arrival.
     pub(super) fn last_activity(&self) -> Time {
         let last_crash = self.crashes.iter().map(|e| e.at).max().unwrap_or_default();
         last_crash.max(self.last_arrival)
@@ -104,8 +106,8 @@
         }
     }
 
-    /// It is sent; if it had been held the others hear at once that it is let through. Returns
-    /// whether it had been.
+    /// Records that it is sent. If it was held this is a trial, which is gossiped immediately.
+    /// Returns whether it was held.
     pub(super) fn record_send(&mut self, now: Time) -> bool {
         self.last_arrival = now;
         let was_held = self.is_held();
@@ -117,7 +119,7 @@
         was_held
     }
 
-    /// A target ended under it; returns whether that is new.
+    /// Records that a target crashed while running it; returns whether that is new.
     pub(super) fn record_crash(&mut self, target: &TargetId, now: Time) -> bool {
         let is_new = self.add(target, now, false);
         if is_new {
@@ -142,7 +144,7 @@
         true
     }
 
-    /// It is not to blame for the ends of these targets.
+    /// Clears it of the crashes of these targets.
     pub(super) fn clear(&mut self, targets: &[TargetId]) {
         let mut has_changed = false;
         for end in self.crashes.iter_mut().filter(|e| !e.cleared && targets.contains(&e.target)) {
@@ -155,20 +157,20 @@
         }
     }
 
-    /// It is not to blame for any end so far.
+    /// Clears it of all crashes so far and resets its trials.
     pub(super) fn clear_all(&mut self) {
         self.trials = 0;
         let all: Vec<TargetId> = self.active_crashes().cloned().collect();
         self.clear(&all);
     }
 
-    /// As the store is to keep it, held since so many milliseconds of Unix time.
+    /// Its record for the store; `since` is the Unix time in milliseconds from which it is held.
     pub(super) fn to_record(&self, request: Fingerprint, since: u64) -> HeldRecord {
         let targets = self.active_crashes().cloned().collect();
         HeldRecord { request, service: self.service.clone(), targets, since }
     }
 
-    /// Takes what another node knows of it; returns whether anything was new.
+    /// Merges the report of another node; returns whether anything was new.
     pub(super) fn merge(&mut self, news: &SuspectNews, now: Time) -> bool {
         let ago = |ms: u64| now - Duration::from_millis(ms);
         let mut is_new = false;
@@ -187,7 +189,7 @@
         is_new
     }
 
-    /// What this node knows of it.
+    /// The report of what this node knows of it.
     pub(super) fn to_news(&self, request: Fingerprint, now: Time) -> SuspectNews {
         let age = |at: Time| now.since(at).as_millis() as u64;
         let end =
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Whether this node knows more of it than another one that told this.
+    /// Whether this node knows anything that a report lacks.
     pub(super) fn is_ahead_of(&self, news: &SuspectNews) -> bool {
         let is_missing = |e: &Crash| {
             let known = news.ends.iter().find(|n| n.target == e.target);
--- a/crates/decide/src/quarantine/verdict.rs
+++ b/crates/decide/src/quarantine/verdict.rs
@@ -1,39 +1,39 @@
-//! Whether a target ended under the requests that it ran.
+//! Whether a target crashed while running requests.
 //!
-//! A connection that breaks tells of the connection alone. Whether its target ended shows in
-//! whether that takes connections, and in what discovery says of it.
+//! A broken connection alone is no evidence: whether its target crashed is decided by whether
+//! the target accepts connections and by its state in discovery.
 
 use crate::fleet::Presence;
 
-/// What a new connection to a target's address showed.
+/// Result of a new connection to a target's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectOutcome {
-    /// Nobody listens there.
+    /// The connection was refused: nothing listens there.
     Refused,
-    /// Somebody listens there.
+    /// Something listens there.
     Accepted,
-    /// Nothing came back: the way may be cut.
+    /// The attempt timed out, perhaps because the network is partitioned.
     NoResponse,
 }
 
-/// What is to be believed of a target under which a connection broke.
+/// What became of a target whose connection broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It ended; how that shows.
+    /// It crashed; the value names the evidence.
     Crashed(&'static str),
-    /// It leaves as it was told to.
+    /// It is shutting down as planned.
     Planned,
-    /// Nothing shows yet that it ended.
+    /// No evidence of a crash yet.
     Undecided,
 }
 
-/// Judges by what discovery says and by the last connection.
+/// Decides by the target's presence in discovery and the last connection attempt.
 pub fn judge(presence: Presence, contact: ConnectOutcome) -> Verdict {
     match (presence, contact) {
         (Presence::Leaving, _) => Verdict::Planned,
         (Presence::StartedAgain, _) => Verdict::Crashed("started_again"),
         (_, ConnectOutcome::Refused) => Verdict::Crashed("refused"),
-        // Somebody else has its address.
+        // Another process listens at its address.
         (Presence::Gone, ConnectOutcome::Accepted) => Verdict::Crashed("replaced"),
         (Presence::Gone | Presence::Here, ConnectOutcome::NoResponse) => Verdict::Undecided,
         (Presence::Here, ConnectOutcome::Accepted) => Verdict::Undecided,
