--- a/crates/decide/src/roster/changes.rs
+++ b/crates/decide/src/roster/changes.rs
@@ -1,5 +1,5 @@
-//! Gathers what changes in a node's view of its peers, so that one line of the log tells of
-//! a cut or a restart of hundreds of them.
+//! Batches changes in a node's view of its peers, so that a partition or a restart of hundreds of
+//! peers produces a single log line.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,41 +7,41 @@
 use model::member::Health;
 use model::{Name, Time};
 
-/// Time for changes to gather after the first one.
+/// Time for which changes are collected after the first one.
 const GATHER_WINDOW: Duration = Duration::from_millis(250);
-/// Peers that one line names.
+/// Maximum peers named in one log line.
 const MAX_NAMED: usize = 6;
 
-/// Changes that no line tells of yet; the latest health of each peer counts.
+/// Changes not reported yet, as the latest health of each changed peer.
 #[derive(Debug, Default)]
 pub struct PendingChanges {
     since: Option<Time>,
     latest: BTreeMap<Name, Health>,
 }
 
-/// What one line tells.
+/// Summary of a batch of changes, reported in one log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ViewChange {
-    /// Peers that came, or that no longer are suspected.
+    /// Number of peers that joined or are no longer suspected.
     pub alive: usize,
-    /// Peers suspected.
+    /// Number of peers now suspected.
     pub suspected: usize,
-    /// Peers that failed.
+    /// Number of peers that failed.
     pub dead: usize,
-    /// Peers that stopped as planned.
+    /// Number of peers that shut down as planned.
     pub left: usize,
-    /// Names of some: those that failed, then those suspected, that left and that came.
+    /// Names of some of them: failed peers first, then suspected, left and alive ones.
     pub names: Vec<Name>,
 }
 
 impl PendingChanges {
-    /// A peer's health changed.
+    /// Records a change of a peer's health.
     pub fn note(&mut self, name: &Name, health: Health, now: Time) {
         self.since.get_or_insert(now);
         self.latest.insert(name.clone(), health);
     }
 
-    /// What a line is to tell by now; `None` while changes gather or there are none.
+    /// The summary to report now; `None` if there are no changes or they are still collected.
     pub fn take_due(&mut self, now: Time) -> Option<ViewChange> {
         self.since.filter(|since| now.since(*since) >= GATHER_WINDOW)?;
         self.since = None;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Place of a health in the order in which peers are named.
+/// Sort key by which peers are named.
 fn naming_order(health: Health) -> u8 {
     match health {
         Health::Dead => 0,
--- a/crates/decide/src/roster/contact.rs
+++ b/crates/decide/src/roster/contact.rs
@@ -1,4 +1,4 @@
-//! Which peers answer and which are silent, and which failure domains are cut off.
+//! Which peers answer, which are silent, and which failure domains are partitioned off.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,22 +6,22 @@
 use model::member::NodeId;
 use model::{Name, Time};
 
-/// Time for which an answer of a peer is taken to hold. Orders that wait at a peer behind a
-/// cut are late by this, a look, and the time for a ping and for a survey.
+/// Time for which an answer proves that a peer is reachable. Orders that wait at a peer behind a
+/// partition are delayed by this, one polling interval, a ping timeout and a survey timeout.
 const ANSWER_TTL: Duration = Duration::from_millis(120);
-/// Time after which a silent peer is asked for a sign of life again.
+/// Interval between liveness checks of a silent peer.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Silent peers of one failure domain, none of which answered since, that speak for a cut.
+/// Silent peers of one failure domain, with no answer from there since, that indicate a partition.
 const CUT_THRESHOLD: usize = 2;
 
-/// What is known of a peer's answers.
+/// Reachability of a peer, judged by its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It answered a moment ago, or is being asked.
+    /// It answered recently, or is being checked.
     Responsive,
-    /// It did not answer a moment ago.
+    /// It did not answer its last check.
     Silent,
-    /// Nothing is known: it is to be asked.
+    /// There is no recent answer: it must be checked.
     Unknown,
 }
 
@@ -33,16 +33,16 @@
     checking: bool,
 }
 
-/// What is known of all peers' answers. A silent peer stays silent until it answers.
+/// Reachability of all peers. A silent peer stays silent until it answers.
 #[derive(Debug, Default)]
 pub(super) struct PeerLiveness {
     peers: BTreeMap<NodeId, Liveness>,
-    /// Peers of a failure domain that fell silent since the last answer from there.
+    /// Peers of each failure domain that fell silent since the last answer from there.
     silent_by_domain: BTreeMap<Name, BTreeSet<NodeId>>,
 }
 
 impl PeerLiveness {
-    /// Forgets a peer of a failure domain.
+    /// Removes a peer of a failure domain.
     pub(super) fn remove(&mut self, id: &NodeId, domain: &Name) {
         self.peers.remove(id);
         if let Some(silent) = self.silent_by_domain.get_mut(domain) {
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Count of peers of which something is known.
+    /// Number of peers with a recorded state.
     pub(super) fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Forgets all peers but these.
+    /// Removes all peers except those for which `is_kept` holds.
     pub(super) fn retain(&mut self, is_kept: impl Fn(&NodeId) -> bool) {
         self.peers.retain(|id, _| is_kept(id));
         for silent in self.silent_by_domain.values_mut() {
@@ -84,24 +84,26 @@
         self.peers.get(id).is_some_and(|h| h.is_silent)
     }
 
-    /// Whether nobody in a failure domain seems to answer any more.
+    /// Whether a failure domain appears to be partitioned off.
     pub(super) fn is_cut(&self, domain: &Name) -> bool {
         self.silent_by_domain.get(domain).is_some_and(|s| s.len() >= CUT_THRESHOLD)
     }
 
-    /// Whether a peer may be asked for a sign of life by now.
+    /// Whether a peer is due for a liveness check.
     pub(super) fn is_check_due(&self, id: &NodeId, now: Time) -> bool {
         self.peers.get(id).is_none_or(|h| !h.checking && now.since(h.checked) >= RECHECK_INTERVAL)
     }
 
-    /// A wait for a peer begins: until an answer could be there it counts as answering.
+    /// Records that a wait for a peer begins. The peer counts as responsive until an answer could
+    /// have arrived.
     pub(super) fn begin_wait(&mut self, id: &NodeId, now: Time) {
         let initial =
             Liveness { last_answer: now, is_silent: false, checked: now, checking: false };
         self.peers.entry(id.clone()).or_insert(initial);
     }
 
-    /// What is known of a peer; if nothing is, it counts as being asked from now on.
+    /// Reachability of a peer. `Unknown` also marks it as being checked, which the caller must then
+    /// do.
     pub(super) fn reachability(&mut self, id: &NodeId, now: Time) -> Reachability {
         let unchecked =
             Liveness { last_answer: Time::ZERO, is_silent: false, checked: now, checking: false };
--- a/crates/decide/src/roster/mod.rs
+++ b/crates/decide/src/roster/mod.rs
@@ -1,8 +1,8 @@
-//! What a node believes of its peers, and in which order nodes coordinate a service.
+//! A node's view of its peers, and the roles that follow from it.
 //!
-//! Membership says who is up; answers of peers, or their silence, say more and sooner. Here is
-//! what is known of them; who does what follows from it (`role_key`), and who is asked for the store's
-//! state (`sources`).
+//! Membership says which nodes are up; answers of peers, or their absence, reveal more and sooner.
+//! This view determines which node holds which role (`role_key`) and which peers are asked for the
+//! store's state (`sources`).
 
 mod changes;
 mod contact;
@@ -29,17 +29,17 @@
 use ranking::Rankings;
 pub use role_key::RoleKey;
 
-/// Longest time in which nodes that started together find each other.
+/// Maximum time in which nodes that start together discover each other.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time without a new peer on a host that bears as much as any, after which they have found
-/// each other. News of a peer goes from node to node within some tens of milliseconds.
+/// Time without a new peer on a host of the highest capacity after which discovery is complete.
+/// Gossip about a peer takes some tens of milliseconds from node to node.
 const DISCOVERY_QUIET: Duration = Duration::from_millis(100);
-/// Time after which a node that came counts as settled.
+/// Uptime after which a node counts as settled.
 const SETTLED_AFTER: Duration = Duration::from_secs(3);
-/// Nodes that started within this time of the oldest one came together with it: there is
-/// no work yet that could move to them. Restarts after a loss of power lie 0.5 s apart.
+/// Nodes that started within this time of the oldest one count as started together with it: there
+/// is no work yet that could move to them. Restarts after a power loss lie 0.5 s apart.
 const SAME_START_WINDOW: Duration = Duration::from_millis(1500);
-/// Time for which a peer that stopped is remembered.
+/// Time for which a peer that began to stop is remembered.
 const STOPPED_TTL: Duration = Duration::from_secs(60);
 
 /// A peer that is up.
@@ -47,9 +47,9 @@
 pub struct PeerView {
     /// Identity and addresses.
     pub node: Node,
-    /// A probe of it failed.
+    /// Whether it is suspected of having failed.
     pub suspect: bool,
-    /// How long its process had run at `at`.
+    /// Uptime of its process at `at`.
     pub up: Duration,
     /// When this view was taken.
     pub at: Time,
@@ -60,15 +60,15 @@
         self.up + now.since(self.at)
     }
 
-    /// Start of its process in microseconds on this node's clock, on which it may lie before
-    /// this node's own.
+    /// Start of its process in microseconds on this node's clock; negative if it started before
+    /// this node.
     fn started_us(&self) -> i64 {
         let at = i64::try_from(self.at.0).unwrap_or(i64::MAX);
         at.saturating_sub(i64::try_from(self.up.as_micros()).unwrap_or(i64::MAX))
     }
 }
 
-/// Peers as one node sees them. Times count from the node's own start.
+/// Peers as seen by one node. Times count from the node's own start.
 #[derive(Debug)]
 pub struct Roster {
     me: Name,
@@ -78,23 +78,24 @@
     is_stopping: bool,
     up: BTreeMap<NodeId, PeerView>,
     addresses: HashMap<SocketAddr, NodeId>,
-    /// Peers of each failure domain.
+    /// Number of peers in each failure domain.
     domains: Tally<Name>,
-    /// Peers on hosts that bear this much.
+    /// Number of peers at each host capacity.
     capacities: Tally<u8>,
-    /// Starts of the peers' processes.
+    /// Peers by the start of their process, the oldest first.
     starts: BTreeSet<(i64, NodeId)>,
     rankings: RefCell<Rankings>,
     visited: Cell<u64>,
     liveness: PeerLiveness,
     stopping: BTreeMap<NodeId, Time>,
     max_up: usize,
-    /// When the hosts that bear most last became more: others coordinate and relay nothing.
+    /// When the number of hosts of the highest capacity last grew. Other hosts coordinate and relay
+    /// nothing.
     hubs_grown: Time,
 }
 
 impl Roster {
-    /// The node `me` of a failure domain, which knows nobody yet.
+    /// The node `me` of a failure domain, which knows no peers yet.
     pub fn new(me: Name, domain: Name, capacity: u8) -> Self {
         Roster {
             me,
@@ -116,22 +117,22 @@
         }
     }
 
-    /// Takes where failure domains lie.
+    /// Sets the regions of failure domains.
     pub fn set_regions(&mut self, regions: Regions) {
         self.map = Arc::new(Map::new(self.domain.clone(), regions));
     }
 
-    /// How far regions lie apart.
+    /// Regions and the distances between them.
     pub fn map(&self) -> Arc<Map> {
         self.map.clone()
     }
 
-    /// A probe of a node in a failure domain was answered after this time.
+    /// Records the round-trip time of a probe to a node in a failure domain.
     pub fn record_rtt(&mut self, domain: &Name, took: Duration) {
         Arc::make_mut(&mut self.map).measured(domain, took);
     }
 
-    /// Takes the peers that are up, and forgets what concerns others.
+    /// Replaces the peers that are up and forgets state of all others.
     pub fn update(&mut self, up: Vec<PeerView>, now: Time) {
         let present: BTreeSet<&NodeId> = up.iter().map(|p| &p.node.id).collect();
         let absent: Vec<NodeId> =
@@ -145,7 +146,7 @@
         self.purge_departed(now);
     }
 
-    /// Takes one peer that is up, as it is now.
+    /// Adds or updates a peer that is up.
     pub fn put(&mut self, view: PeerView, now: Time) {
         let hubs = self.hubs();
         let previous = self.up.get(&view.node.id);
@@ -171,7 +172,7 @@
         }
     }
 
-    /// A peer is not up any more.
+    /// Removes a peer that is no longer up.
     pub fn remove(&mut self, id: &NodeId) {
         let Some(view) = self.up.remove(id) else {
             return;
@@ -189,7 +190,7 @@
         self.liveness.remove(id, &node.domain);
     }
 
-    /// Forgets peers that stopped long ago, and what was heard of peers after they were gone.
+    /// Forgets peers that stopped long ago, and the reachability of peers that are no longer up.
     pub fn purge_departed(&mut self, now: Time) {
         self.stopping.retain(|_, since| now.since(*since) < STOPPED_TTL);
         if self.liveness.len() > self.up.len() {
@@ -197,7 +198,7 @@
         }
     }
 
-    /// The most that a host bears, and how many hosts bear that.
+    /// Highest host capacity, and the number of nodes that have it, this one included.
     fn hubs(&self) -> (u8, usize) {
         let known = self.capacities.keys().next_back().copied().unwrap_or(0);
         let max_capacity = known.max(self.capacity);
@@ -207,33 +208,33 @@
         )
     }
 
-    /// Peers looked at so far for questions of who does something.
+    /// Number of peers visited so far by role lookups, as a measure of their cost.
     pub fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    /// This node stops.
+    /// Records that this node is stopping.
     pub fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// Nodes up, this one included.
+    /// Number of nodes that are up, this one included.
     pub fn count(&self) -> usize {
         self.up.len() + 1
     }
 
-    /// Most nodes seen up together, this one included.
+    /// Maximum number of nodes seen up at the same time, this one included.
     pub fn max_seen(&self) -> usize {
         self.max_up
     }
 
-    /// A peer told that it stops and coordinates no more.
+    /// Records that a peer announced that it is stopping and no longer coordinates.
     pub fn note_stopping(&mut self, id: &NodeId, now: Time) {
         self.stopping.entry(id.clone()).or_insert(now);
     }
 
-    /// Whether this start of a peer can be waited for: it is up and not suspected,
-    /// or stops as planned and ends what it has begun.
+    /// Whether work at this start of a peer is worth waiting for: it is up and not suspected, or it
+    /// is stopping as planned and completes what it has begun.
     pub fn is_awaitable(&self, id: &NodeId) -> bool {
         let is_trusted = self.up.get(id).is_some_and(|p| !p.suspect);
         is_trusted || self.stopping.contains_key(id)
@@ -243,31 +244,31 @@
         self.up.get(id).map(|p| p.node.domain.clone())
     }
 
-    /// Failure domain of the peer at an address, if it is up.
+    /// Failure domain of the peer at an address, if one is up there.
     pub fn domain_at(&self, address: SocketAddr) -> Option<&Name> {
         let id = self.addresses.get(&address)?;
         self.up.get(id).map(|p| &p.node.domain)
     }
 
-    /// A peer answered.
+    /// Records that a peer answered.
     pub fn mark_answered(&mut self, id: &NodeId, now: Time) {
         let domain = self.domain_of(id);
         self.liveness.mark_answered(id, domain.as_ref(), now);
     }
 
-    /// A peer did not answer. It counts as silent until it does.
+    /// Records that a peer did not answer. It counts as silent until it does.
     pub fn mark_silent(&mut self, id: &NodeId, now: Time) {
         let domain = self.domain_of(id);
         self.liveness.mark_silent(id, domain.as_ref(), now);
     }
 
-    /// An order begins to wait at a peer of which nothing may be known yet.
+    /// Records that an order begins to wait at a peer, whose reachability may not be known yet.
     pub fn begin_wait(&mut self, id: &NodeId, now: Time) {
         self.liveness.begin_wait(id, now);
     }
 
-    /// What is known of a peer's answers; if nothing is, the peer counts as being asked
-    /// from now on.
+    /// Reachability of a peer. `Unknown` also marks it as being checked, which the caller must then
+    /// do.
     pub fn reachability(&mut self, id: &NodeId, now: Time) -> Reachability {
         self.liveness.reachability(id, now)
     }
@@ -277,7 +278,7 @@
         self.liveness.is_silent(id)
     }
 
-    /// Whether a peer may coordinate, as far as this node knows.
+    /// Whether a peer may hold a role, as far as this node knows.
     fn is_eligible(&self, p: &PeerView) -> bool {
         let id = &p.node.id;
         let domain = &p.node.domain;
@@ -286,36 +287,36 @@
         !p.suspect && !self.stopping.contains_key(id) && reachable
     }
 
-    /// Longest time that a peer has run.
+    /// Uptime of the peer that has run longest.
     fn longest_uptime(&self, now: Time) -> Option<Duration> {
         let (_, id) = self.starts.first()?;
         self.up.get(id).map(|p| p.uptime(now))
     }
 
-    /// Uptime from which on a node counts as settled: it would take no work from others.
+    /// Uptime from which a node counts as settled, so that giving it a role moves no running work.
     fn settled_uptime(&self, now: Time) -> Duration {
         let oldest = self.longest_uptime(now).unwrap_or_default().max(now.since(Time::ZERO));
         SETTLED_AFTER.min(oldest.saturating_sub(SAME_START_WINDOW))
     }
 
-    /// Nodes that are up as far as is known, but for this one: suspected and stopping ones too.
+    /// Peers that are up as far as known, including suspected and stopping ones.
     pub fn ids(&self) -> Vec<NodeId> {
         self.up.keys().cloned().collect()
     }
 
-    /// The same with their addresses.
+    /// The same peers with their addresses.
     pub fn peers(&self) -> Vec<Node> {
         self.up.values().map(|p| p.node.clone()).collect()
     }
 
-    /// Whether this node has just started and does not know all of its peers yet.
+    /// Whether this node has just started and may not know all of its peers yet.
     fn is_discovering(&self, now: Time) -> bool {
         let is_quiet = !self.up.is_empty() && now.since(self.hubs_grown) >= DISCOVERY_QUIET;
         now.since(Time::ZERO) < DISCOVERY_TIMEOUT && !is_quiet
     }
 
-    /// Whether the nodes that are up may still be finding each other: this one has just
-    /// started, and knows none that has been up for longer.
+    /// Whether the cluster may still be forming: this node is discovering its peers and knows none
+    /// that is settled.
     pub fn is_cluster_forming(&self, now: Time) -> bool {
         self.is_discovering(now) && self.longest_uptime(now).is_none_or(|up| up < SETTLED_AFTER)
     }
--- a/crates/decide/src/roster/ranking.rs
+++ b/crates/decide/src/roster/ranking.rs
@@ -1,8 +1,8 @@
-//! Rendezvous orders of peers, kept as peers come and go.
+//! Cached rendezvous orders of peers, updated as peers join and leave.
 //!
-//! Each question of who does something starts at the head of an order that stands, and mostly
-//! ends there. An order is made once for a service, or for a service in one failure domain, and
-//! costs a few comparisons a change of the peers then.
+//! A role lookup starts at the head of a cached order and mostly ends there. An order is built once
+//! per service, or per service and failure domain, and then costs a few comparisons per membership
+//! change.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,7 @@
 use model::member::{Node, NodeId};
 use model::{Name, hash};
 
-/// Orders that are kept: services, and schedulers and relays of each failure domain.
+/// Maximum cached orders: one per service, and per failure domain one for each scheduler and relay.
 const MAX_ORDERS: usize = 64;
 
 /// Rendezvous score of a node for a service.
@@ -20,7 +20,7 @@
     hash::mix(hash::of(service.as_bytes()), hash::of(name.as_bytes()))
 }
 
-/// A peer in an order: hosts that bear more come first.
+/// A peer in an order, which starts with the hosts of highest capacity.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ranked {
     pub(super) capacity: Reverse<u8>,
@@ -44,10 +44,10 @@
     used: u64,
 }
 
-/// Service, and failure domain if the order is that of its peers alone.
+/// Service, and the failure domain if the order is restricted to one.
 type Key = (String, Option<Name>);
 
-/// Orders that were asked for last.
+/// The most recently used orders.
 #[derive(Debug, Default)]
 pub(super) struct Rankings {
     orders: BTreeMap<Key, Ranking>,
@@ -55,8 +55,8 @@
 }
 
 impl Rankings {
-    /// The order for a service, of all peers or those of a failure domain; `all` gives the peers
-    /// if it is not kept.
+    /// The order for a service, of all peers or those of a failure domain; `peers` lists all peers
+    /// if the order is not cached.
     pub(super) fn get<'a, I>(
         &mut self,
         service: &str,
@@ -74,7 +74,7 @@
             let order = Rc::new(members.map(|node| Ranked::new(service, node)).collect());
             self.orders.insert(key.clone(), Ranking { order, used: 0 });
         }
-        let ranking = self.orders.get_mut(&key).expect("it is kept by now");
+        let ranking = self.orders.get_mut(&key).expect("the order was inserted above");
         ranking.used = self.uses;
         RankedPeers { order: ranking.order.clone(), last: None }
     }
@@ -87,14 +87,14 @@
         oldest.and_then(|key| self.orders.remove(&key));
     }
 
-    /// A peer came.
+    /// Inserts a peer into the orders that include it.
     pub(super) fn insert(&mut self, node: &Node) {
         for (key, ranking) in self.orders.iter_mut().filter(|(key, _)| matches_key(key, node)) {
             Rc::make_mut(&mut ranking.order).insert(Ranked::new(&key.0, node));
         }
     }
 
-    /// A peer went.
+    /// Removes a peer from the orders that include it.
     pub(super) fn remove(&mut self, node: &Node) {
         for (key, ranking) in self.orders.iter_mut().filter(|(key, _)| matches_key(key, node)) {
             Rc::make_mut(&mut ranking.order).remove(&Ranked::new(&key.0, node));
@@ -106,7 +106,7 @@
     domain.as_ref().is_none_or(|domain| *domain == node.domain)
 }
 
-/// Peers in one order.
+/// Iterator over the peers of one order.
 #[derive(Debug, Clone)]
 pub(super) struct RankedPeers {
     order: Rc<BTreeSet<Ranked>>,
--- a/crates/decide/src/roster/role_key.rs
+++ b/crates/decide/src/roster/role_key.rs
@@ -1,8 +1,8 @@
-//! Which node does what for all: coordinates a service, schedules prompts, starts cold targets,
-//! keeps the sum of a limit.
+//! Assignment of roles to nodes: coordinating a service, scheduling prompts, starting cold targets,
+//! keeping the total of a limit.
 //!
-//! The order is a rendezvous order, so that all nodes that agree on the members agree on the first
-//! one without a message. Being wrong about it only costs batches.
+//! Nodes are ranked by rendezvous hashing, so all nodes that agree on the membership agree on the
+//! first one without exchanging messages. A disagreement only costs batches.
 
 use std::collections::BTreeMap;
 
@@ -13,27 +13,27 @@
 use super::ranking::score;
 use super::{PeerView, Roster};
 
-/// Silent peers asked for a sign of life together.
+/// Maximum silent peers whose liveness is checked at once.
 const MAX_CHECKS: usize = 3;
-/// Peers asked together whether they are there once one has fallen silent: this many in
-/// the order, and this many of each failure domain.
+/// Peers checked at once after one has fallen silent: this many by rank, and this many of each
+/// failure domain.
 const SURVEY_PEERS: usize = 3;
-/// Skipped peers that an order names at most.
+/// Maximum skipped peers named in an order.
 const MAX_SKIPPED: usize = 8;
 
-/// What nodes take their order for: a service, or its makers in one region.
+/// Role for which nodes are ranked: a service, or its makers in one region.
 #[derive(Debug, Clone, Copy)]
 pub struct RoleKey<'a> {
-    /// Service.
+    /// Service, or another string that the role is hashed by.
     pub service: &'a str,
-    /// Region whose nodes come first.
+    /// Region whose nodes rank first.
     pub region: Option<&'a str>,
-    /// Failure domain of which alone nodes are asked for.
+    /// Failure domain to which the ranking is restricted.
     domain: Option<&'a Name>,
 }
 
 impl<'a> RoleKey<'a> {
-    /// A service's in one failure domain.
+    /// The role of a service in one failure domain.
     pub(super) fn within(domain: &'a Name, service: &'a str) -> Self {
         RoleKey { service, region: None, domain: Some(domain) }
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Place of a node in the order of a service; the highest comes first.
+/// Rank of a node for a role; the highest comes first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     in_region: bool,
@@ -61,12 +61,12 @@
 }
 
 impl Roster {
-    /// Whether a failure domain lies in the region that a duty names.
+    /// Whether a failure domain lies in the region of a role, if it names one.
     fn is_in_region(&self, domain: &Name, key: RoleKey<'_>) -> bool {
         key.region.is_none_or(|r| *self.map.region_of(domain) == *r)
     }
 
-    /// All peers in the order of a duty, the unwanted included, with their places.
+    /// All peers by rank for a role, including ineligible ones.
     fn ranked<'s>(
         &'s self,
         key: RoleKey<'_>,
@@ -77,7 +77,7 @@
         let settled = self.settled_uptime(now);
         let region: Option<Name> = key.region.map(Into::into);
         let has_region = region.is_some();
-        // Four passes over a standing order; mostly the first peers of the first one answer.
+        // Four lazy passes over a cached order; the first peers of the first pass usually suffice.
         let pass = move |in_region: bool, is_settled: bool| {
             let region = region.clone();
             let matches = move |p: &PeerView| {
@@ -97,7 +97,7 @@
         local.chain(remote.into_iter().flatten())
     }
 
-    /// All peers that come before this node for a duty, the unwanted included.
+    /// All peers that rank above this node for a role, including ineligible ones.
     fn ranked_above_self<'s>(
         &'s self,
         key: RoleKey<'_>,
@@ -107,29 +107,28 @@
         self.ranked(key, now).take_while(move |(rank, _)| *rank > own).map(|(_, p)| p)
     }
 
-    /// Peers that would come first for a duty but are passed over; whoever is asked
-    /// in their place learns from these why.
+    /// Peers that rank first for a role but are ineligible. They are named to the node that is
+    /// asked instead, so that it learns why it was chosen.
     pub fn skipped<'a>(&self, key: impl Into<RoleKey<'a>>, now: Time) -> Vec<NodeId> {
         let skipped = self.ranked_above_self(key.into(), now).take_while(|p| !self.is_eligible(p));
         skipped.take(MAX_SKIPPED).map(|p| p.node.id.clone()).collect()
     }
 
-    /// Peers with these identities that this node would still ask itself.
+    /// Those of these peers that this node still considers eligible.
     pub fn eligible_among(&self, ids: &[NodeId]) -> Vec<Node> {
         let peers = ids.iter().filter_map(|id| self.up.get(id)).filter(|p| self.is_eligible(p));
         peers.map(|p| p.node.clone()).collect()
     }
 
-    /// Silent peers that would come first for a duty, and are to be asked for a sign of
-    /// life by now.
+    /// Silent peers that rank first for a role and are due for a liveness check.
     pub fn checks_due<'a>(&self, key: impl Into<RoleKey<'a>>, now: Time) -> Vec<Node> {
         let skipped = self.ranked_above_self(key.into(), now).take_while(|p| !self.is_eligible(p));
         let due = skipped.filter(|p| self.liveness.is_check_due(&p.node.id, now));
         due.take(MAX_CHECKS).map(|p| p.node.clone()).collect()
     }
 
-    /// Peers to ask whether they are there after one has fallen silent: those next in the
-    /// order, and some of each failure domain, so that a cut shows at once.
+    /// Peers to check after one has fallen silent: the next by rank, and some of each failure
+    /// domain, so that a partition is detected immediately.
     pub fn survey<'a>(&self, key: impl Into<RoleKey<'a>>, now: Time) -> Vec<Node> {
         let mut of_domain: BTreeMap<&Name, usize> = BTreeMap::new();
         let mut chosen = Vec::new();
@@ -155,15 +154,13 @@
         }
     }
 
-    /// Nodes in the order in which they coordinate a service, or its makers in one region;
-    /// `None` is this node.
+    /// Nodes by rank for a role, first the one that holds it; `None` is this node.
     ///
-    /// Nodes of the region go first: their way to its makers is short, and both go on together
-    /// when the region is cut off.
-    /// Hosts that bear more go first: a coordinator's link and processor carry the work of
-    /// all. Nodes that have just come go behind those that have not, so that a restart moves
-    /// the work once and not twice; one that stops goes last; silent ones, and those of a
-    /// failure domain that seems cut off, are left out.
+    /// Nodes of the role's region rank first: they are close to its makers, and both stay connected
+    /// if the region is partitioned off. Hosts of higher capacity rank first, since a coordinator's
+    /// network link and CPU carry the work of all nodes. Recently started nodes rank below settled
+    /// ones, so that a restart moves the work once instead of twice. A stopping node ranks last.
+    /// Silent nodes, and those of a failure domain that appears partitioned off, are left out.
     pub fn coordinators<'s, 'a>(
         &'s self,
         key: impl Into<RoleKey<'a>>,
@@ -176,16 +173,16 @@
         merged(includes_self.then_some(own), eligible)
     }
 
-    /// Who schedules the prompts of a service in a failure domain: a node there, so that
-    /// both go on together when it is cut off. `Some(None)` is this node; `None` if no node
-    /// there is known to answer.
+    /// The node that schedules the prompts of a service in a failure domain. It is in that domain,
+    /// so that both stay connected if the domain is partitioned off. `Some(None)` is this node;
+    /// `None` means that no node there is known to answer.
     pub fn scheduler(&self, service: &str, domain: &str, now: Time) -> Option<Option<Node>> {
         self.coordinators(RoleKey::within(&domain.into(), service), now).next()
     }
 
-    /// Whether this node is the one that starts requests at a target that bears few: the
-    /// first by rendezvous among the nodes that are up, so that targets are shared out. Nodes
-    /// that are still finding each other own none: each would take itself for the first.
+    /// Whether this node is the one that starts requests at a target that takes few: the first by
+    /// rendezvous hashing among the nodes that are up, which distributes the targets. During peer
+    /// discovery nodes own none, since each would consider itself the first.
     pub fn owns(&self, target: &str, now: Time) -> bool {
         if self.is_discovering(now) {
             return false;
@@ -195,10 +192,10 @@
         !self.is_stopping && !self.up.values().any(is_before)
     }
 
-    /// Who keeps the sum of what all nodes send to a target that names a limit: a node of the
-    /// target's failure domain if one is up, so that both go on together when it is cut off.
-    /// `Some(None)` is this node; `None` while nodes are still finding each other. Peers whose
-    /// build keeps no limits are passed over.
+    /// The node that keeps the total of what all nodes send to a target with a limit: one of the
+    /// target's failure domain if any is up, so that both stay connected if the domain is
+    /// partitioned off. `Some(None)` is this node; `None` is returned during peer discovery. Peers
+    /// whose build does not support limits are skipped.
     pub fn keeper(
         &self,
         target: &str,
@@ -216,13 +213,13 @@
         local.next().or_else(|| self.coordinators(target, now).find(supports_limits))
     }
 
-    /// Whether this node comes first among the coordinators of a duty.
+    /// Whether this node ranks first for a role.
     pub fn coordinates<'a>(&self, key: impl Into<RoleKey<'a>>, now: Time) -> bool {
         self.coordinators(key, now).next().is_none_or(|n| n.is_none())
     }
 }
 
-/// Peers in the order of their places, with this node, which is `None`, at its own if it has one.
+/// Peers by rank, with this node inserted as `None` if it has a rank.
 fn merged<'a>(
     own: Option<Rank>,
     peers: impl Iterator<Item = (Rank, &'a PeerView)>,
--- a/crates/decide/src/roster/sources.rs
+++ b/crates/decide/src/roster/sources.rs
@@ -1,4 +1,4 @@
-//! Whom a node asks for the store's state.
+//! Which peers a node asks for the store's state.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 use super::role_key::RoleKey;
 use crate::relay::{Relays, Role};
 
-/// Nodes of each failure domain that its followers ask: the relay, which reads the store,
-/// and its standby. If both fail others take their place.
+/// Nodes that the followers of a failure domain ask: the relay, which reads the store, and its
+/// standby. If both fail, others replace them.
 const RELAYS_PER_DOMAIN: usize = 2;
-/// What relays are ordered by.
+/// Key by which relays are ranked.
 const RELAY_KEY: &str = "relay of the store";
-/// Of the hosts that bear least, one in this many reads the store before it knows its peers:
-/// a failure domain of such hosts alone has a source then as soon as its members meet.
+/// Among hosts of the lowest capacity, one in this many reads the store before it knows its peers.
+/// A failure domain of only such hosts thus has a source as soon as its nodes discover each other.
 const EARLY_READER_RATIO: u64 = 16;
-/// Time for which it waits for word of a host that bears more and has read the store.
+/// Time for which such a host waits to learn of a larger host that has read the store.
 const EARLY_WAIT: Duration = Duration::from_millis(300);
 
 impl Roster {
-    /// Who relays the store's state to this node: the first of its failure domain, the second
-    /// as its standby, and the first of each other domain in case those fail.
+    /// The peers that relay the store's state to this node: the first of its failure domain, the
+    /// second as standby, and the first of each other domain in case those fail.
     ///
-    /// A node that has just started knows only some of its peers, and may take itself for a
-    /// relay that it is not. Until it knows them all it asks those that read the store from
-    /// their start on, as their names and hosts tell.
+    /// A newly started node knows only some of its peers and may wrongly consider itself a relay.
+    /// During peer discovery it asks the early readers, which read the store from their start on
+    /// and are identified by name and host capacity.
     pub fn relays(&self, now: Time) -> Relays {
         if self.is_discovering(now) {
             return self.early_relays(now);
@@ -47,12 +47,12 @@
         Relays { role, followers: self.domain_peers(), peers }
     }
 
-    /// Peers in this node's failure domain.
+    /// Number of peers in this node's failure domain.
     fn domain_peers(&self) -> usize {
         self.domains.count(&self.domain)
     }
 
-    /// Sources while this node does not know yet who the relays are.
+    /// Sources during peer discovery, when the relays are not known yet.
     fn early_relays(&self, now: Time) -> Relays {
         let local = self.coordinators(RoleKey::within(&self.domain, RELAY_KEY), now).flatten();
         let early = local.filter(|n| is_early_reader(&n.id.name, n.capacity));
@@ -65,7 +65,7 @@
         Relays { role, followers: self.domain_peers() + 1, peers }
     }
 
-    /// Followers share the relays out among themselves.
+    /// Rotates the relays by a hash of this node's name, which spreads followers over them.
     fn rotated_by_name(&self, mut relays: Vec<Node>) -> Vec<Node> {
         if !relays.is_empty() {
             let offset = hash::of(self.me.as_bytes()) as usize % relays.len();
@@ -75,8 +75,8 @@
     }
 }
 
-/// Whether a node reads the store before it knows its peers: hosts that bear more, and a few of
-/// the others.
+/// Whether a node reads the store before it knows its peers: all hosts above the lowest capacity,
+/// and a few of the others.
 fn is_early_reader(name: &Name, capacity: u8) -> bool {
     capacity > 0 || hash::of(name.as_bytes()).is_multiple_of(EARLY_READER_RATIO)
 }
