--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -1,5 +1,5 @@
-//! Membership over a network that loses and delays datagrams: joins, deaths,
-//! pauses, restarts, partitions, and how fast news of a manifest spreads.
+//! Membership over a network that loses and delays datagrams: joins, failures,
+//! pauses, restarts, partitions, and how fast a manifest number spreads.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 struct Network {
     rng: Rng,
     nodes: BTreeMap<usize, Member>,
-    /// When each process started: its time counts from there.
+    /// Start of each process, from which its local time counts.
     started: BTreeMap<usize, Time>,
     paused_until: BTreeMap<usize, Time>,
     in_flight: BTreeMap<(Time, u64), (SocketAddr, usize, Packet)>,
@@ -63,7 +63,7 @@
         self.start_with_capacity(i, 0);
     }
 
-    /// Starts a node on a host that bears this much.
+    /// Starts a node on a host of this capacity.
     fn start_with_capacity(&mut self, i: usize, capacity: u8) {
         let start = self.rng.draw().max(1);
         let me = Node { capacity, ..node(i, start) };
@@ -82,7 +82,7 @@
             match action {
                 Action::Send(to, packet) => self.send(i, to, packet),
                 Action::NewerManifest(number, _) => {
-                    // The fetch takes a little while; then it is in force here.
+                    // The manifest is in force here once it has been fetched, which takes 10 ms.
                     self.fetching.insert(i, (number, self.now + Duration::from_millis(10)));
                 }
                 Action::Load(load) => {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// How many nodes see how many up.
+    /// Number of nodes that each node considers up.
     fn counts(&self) -> Vec<usize> {
         self.nodes.values().map(Member::count).collect()
     }
@@ -169,8 +169,8 @@
     }
 }
 
-/// Starts nodes in any order within 300 ms; every twentieth is on a host that bears this
-/// much, the seeds are not.
+/// Starts nodes in random order within 300 ms. Every twentieth is on a host of this capacity; the
+/// seeds are not.
 fn start_together(n: usize, capacity: u8) -> Network {
     let mut network = Network::new(0, 1, 6);
     let mut order: Vec<usize> = (0..n).collect();
@@ -184,7 +184,7 @@
     network
 }
 
-/// Share of their peers that nodes know, in the mean.
+/// Mean share of all nodes that a node knows.
 fn mean_known_share(network: &Network) -> f64 {
     let counts = network.counts();
     counts.iter().sum::<usize>() as f64 / (counts.len() * counts.len()) as f64
@@ -212,8 +212,8 @@
     assert!(network.counts().iter().all(|n| *n == 295), "{:?}", network.counts());
 }
 
-/// A node that knows one start of a peer and hears of another, each of a process that ran for
-/// this long; the starts that it takes for up.
+/// The starts of a peer that a node considers up after rumors of two of them, each with the given
+/// uptime of its process.
 fn live_starts_after(first_up_ms: u64, second_up_ms: u64) -> Vec<u64> {
     let mut m = Member::new(node(1, 1), Tuning::default(), 1);
     for (start, up_ms) in [(10, first_up_ms), (20, second_up_ms)] {
@@ -236,15 +236,15 @@
 
 #[test]
 fn restart_replaces_previous_start_but_new_identity_of_same_process_does_not() {
-    assert_eq!(live_starts_after(60_000, 300), [20], "the name was started again");
-    assert_eq!(live_starts_after(300, 60_000), [10], "old news of the start before");
-    // Taken for dead, a process goes on under a new start; news of either may be late.
+    assert_eq!(live_starts_after(60_000, 300), [20], "the name was restarted");
+    assert_eq!(live_starts_after(300, 60_000), [10], "stale rumor of the previous start");
+    // A process wrongly declared dead continues under a new start; rumors of either may be late.
     assert_eq!(live_starts_after(60_000, 60_400), [10, 20]);
     assert_eq!(live_starts_after(60_400, 60_000), [10, 20]);
 }
 
-/// Where somebody comes or goes all the time no two lists are alike, and after each probe a node
-/// told all that it knew: as much as the fleet is large.
+/// Guards against full list exchanges after each probe. Under constant churn no two digests match,
+/// so every node sent traffic proportional to the fleet size.
 #[test]
 fn gossip_per_node_under_churn_does_not_grow_with_the_fleet() {
     let send_rate = |n: usize| {
@@ -263,9 +263,9 @@
         sent as f64 / n as f64 / 10.0
     };
     let (small, large) = (send_rate(60), send_rate(300));
-    // Rumors are repeated as often as the logarithm of the fleet says.
+    // The number of transmissions per rumor grows with the logarithm of the fleet size.
     let growth = 300_f64.ln() / 60_f64.ln();
-    assert!(large <= small * growth, "{small} datagrams a node and second at 60, {large} at 300");
+    assert!(large <= small * growth, "{small} datagrams per node and second at 60, {large} at 300");
 }
 
 #[test]
@@ -311,7 +311,7 @@
     network.run(12_000);
     assert!(network.counts().iter().all(|n| *n == 12), "{:?}", network.counts());
     let is_still_up = network.nodes.values().any(|m| m.peers().any(|p| p.node.id == previous));
-    assert!(!is_still_up, "the former self is gone");
+    assert!(!is_still_up, "the previous identity is still up");
 }
 
 #[test]
@@ -331,7 +331,7 @@
     for seed in 0..20 {
         let mut network = Network::new(7, 0, seed);
         network.run(5000);
-        // Nodes 0 to 2 are everybody's seeds; only 5 and 6 stay up all the time.
+        // Nodes 0 to 2 are the seeds of all; only 5 and 6 stay up throughout.
         for i in 0..5 {
             network.deliver(i, Event::Leave);
             network.nodes.remove(&i);
@@ -349,7 +349,7 @@
     let mut network = Network::new(12, 0, 7);
     network.run(8_000);
     network.deliver(3, Event::Leave);
-    assert_eq!(network.nodes[&3].next_tick(), Time::NEVER, "it has nothing more to do");
+    assert_eq!(network.nodes[&3].next_tick(), Time::NEVER, "no further ticks are due");
     network.nodes.remove(&3);
     network.run(50);
     assert!(network.nodes.keys().all(|i| !network.sees(*i, 3)));
@@ -363,7 +363,7 @@
     network.run(1_000);
     let applied = network.nodes.values().filter(|m| m.applied() == 42).count();
     assert_eq!(applied, 57);
-    // And soon everybody that may report on the domain knows it of everybody.
+    // Soon afterwards all nodes that may report on the domain know it of every node.
     network.run(5_000);
     let relays = network.nodes[&0].relays();
     for m in network.nodes.values().filter(|m| relays.contains(&m.me().id.name)) {
@@ -390,7 +390,7 @@
         let start = network.nodes[&i].me().id.start;
         network.paused_until.insert(i, network.now + Duration::from_millis(1300));
         network.run(8_000);
-        assert_eq!(network.nodes[&i].me().id.start, start, "node {i} was buried");
+        assert_eq!(network.nodes[&i].me().id.start, start, "node {i} was declared dead");
         assert!(network.counts().iter().all(|n| *n == 20), "{:?}", network.counts());
     }
 }
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which targets ended: who is held, for how long, and what clears them.
+//! Requests under which targets crashed: which are held, for how long, and what clears them.
 
 use std::time::Duration;
 
@@ -45,24 +45,24 @@
     let hold = Hold { crashes: 3, remaining: Some(Duration::from_secs(60)) };
     assert_eq!(changes, [(request(1), Change::Held(hold))]);
     assert_eq!(q.try_send(request(1), at(3)).expect_err("held").crashes, 3);
-    assert!(q.try_send(request(2), at(3)).is_ok(), "others are not");
+    assert!(q.try_send(request(2), at(3)).is_ok(), "other requests are not held");
 }
 
 #[test]
 fn a_held_request_gets_one_trial_at_a_time_and_two_in_total() {
     let mut q = Quarantine::default();
-    // What was under way when it was held does not make it worse.
+    // A crash of work in progress when it was held does not extend the hold.
     crash(&mut q, 10..13, &[1], at(0));
     crash(&mut q, 0..1, &[1], at(0));
     assert!(q.try_send(request(1), at(59)).is_err());
     assert!(q.try_send(request(1), at(60)).is_ok());
-    assert!(q.try_send(request(1), at(60)).is_err(), "it is under way");
+    assert!(q.try_send(request(1), at(60)).is_err(), "a trial is in progress");
     crash(&mut q, 3..4, &[1], at(61));
     assert!(q.try_send(request(1), at(660)).is_err());
     assert!(q.try_send(request(1), at(661)).is_ok());
     crash(&mut q, 4..5, &[1], at(662));
     assert_eq!(q.hold(request(1), at(4000)), Some(Hold { crashes: 6, remaining: None }));
-    assert!(q.release(request(1)), "an operator may");
+    assert!(q.release(request(1)), "an operator can release it");
     assert!(!is_held(&q, 1, at(4000)));
 }
 
@@ -71,12 +71,12 @@
     let mut q = Quarantine::default();
     q.record_answer(request(1), at(0));
     crash(&mut q, 0..4, &[1], at(20));
-    assert!(!is_held(&q, 1, at(20)), "it was answered a moment before");
+    assert!(!is_held(&q, 1, at(20)), "it was answered shortly before");
     crash(&mut q, 0..3, &[2], at(20));
     assert_eq!(q.record_answer(request(2), at(21)), Some(Change::Released("answered")));
     assert!(!is_held(&q, 2, at(21)));
     crash(&mut q, 4..7, &[1], at(100));
-    assert!(is_held(&q, 1, at(100)), "an answer of long ago says nothing");
+    assert!(is_held(&q, 1, at(100)), "the answer is too old to count");
 }
 
 #[test]
@@ -86,9 +86,9 @@
     crash(&mut q, 2..3, &[1], at(2));
     assert!(is_held(&q, 1, at(2)));
     crash(&mut q, 3..4, &[2], at(3));
-    assert!(!is_held(&q, 2, at(3)), "two of its three ends were another's");
+    assert!(!is_held(&q, 2, at(3)), "two of its three crashes are attributed to the held request");
     crash(&mut q, 4..7, &[3], at(4));
-    assert!(is_held(&q, 3, at(4)), "three were its own");
+    assert!(is_held(&q, 3, at(4)), "three crashes are its own");
     assert!(is_held(&q, 1, at(4)));
 }
 
@@ -116,7 +116,7 @@
     let changes = a.merge(Some(&peer()), &cleared, at(3));
     assert_eq!(changes, [(request(1), Change::Released("answered elsewhere"))]);
     a.merge(Some(&peer()), &from_a, at(4));
-    assert!(!is_held(&a, 1, at(4)), "old news does not hold it again");
+    assert!(!is_held(&a, 1, at(4)), "a stale report does not hold it again");
 }
 
 #[test]
@@ -127,7 +127,7 @@
     b.record_answer(request(1), at(1));
     b.merge(Some(&peer()), &report_of(&a), at(2));
     assert!(!is_held(&b, 1, at(2)));
-    assert!(!b.missing_from(&report_of(&a), at(2)).is_empty(), "and tells so");
+    assert!(!b.missing_from(&report_of(&a), at(2)).is_empty(), "and reports it as cleared");
 }
 
 #[test]
@@ -140,7 +140,7 @@
     assert!(is_held(&q, 1, at(2)));
     assert!(q.len() <= 4096, "{}", q.len());
     q.expire(at(30 * 60));
-    assert_eq!(q.len(), 1, "what is not held is forgotten first");
+    assert_eq!(q.len(), 1, "only the held one is kept");
     let released = q.expire(at(2 * 60 * 60));
     assert_eq!(released, [(request(1), Change::Released("not asked for"))]);
     q.expire(at(3 * 60 * 60));
@@ -170,13 +170,13 @@
     let record = a.unstored_records(&me, &[], 5_000).remove(0);
     a.mark_stored(request(1));
     assert!(a.unstored_records(&me, &[], 5_000).is_empty(), "once");
-    // Another node knows one end by now; it was too few for it.
+    // Another node knows only one crash, too few to hold the request.
     let mut b = Quarantine::default();
     crash(&mut b, 7..8, &[1], at(100));
     let (changes, is_released) = b.merge_record(&record, 65_000, at(100));
     assert!(matches!(changes[..], [(_, Change::Held(_))]) && !is_released);
-    assert!(b.unstored_records(&me, &[], 65_000).is_empty(), "the store has it");
+    assert!(b.unstored_records(&me, &[], 65_000).is_empty(), "the store already has it");
     b.record_answer(request(1), at(101));
     let (changes, is_released) = b.merge_record(&record, 66_000, at(102));
-    assert!(changes.is_empty() && is_released, "its record is to go");
+    assert!(changes.is_empty() && is_released, "its record must be deleted");
 }
--- a/crates/decide/tests/quarantine_ends.rs
+++ b/crates/decide/tests/quarantine_ends.rs
@@ -1,4 +1,4 @@
-//! Whether a target ended, by what discovery says and by a new connection.
+//! Whether a target crashed, by its presence in discovery and a new connection.
 
 use decide::fleet::Presence::{Gone, Here, Leaving, StartedAgain};
 use decide::quarantine::ConnectOutcome::{Accepted, NoResponse, Refused};
--- a/crates/decide/tests/quarantine_spread.rs
+++ b/crates/decide/tests/quarantine_spread.rs
@@ -1,5 +1,5 @@
-//! How ends that different nodes saw come together, and all come to hold a request: messages
-//! between machines are lost, nodes go and come, domains are cut off.
+//! Crashes seen by different nodes are combined until all nodes hold the request, while messages
+//! are lost, nodes leave and join, and domains are partitioned.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use model::member::{Node, NodeId};
 use proptest::prelude::*;
 
-/// Time between two looks of a node at what is unsent.
+/// Interval at which nodes send what is due.
 const STEP: Duration = Duration::from_millis(250);
 
 fn node(n: usize) -> Node {
@@ -31,9 +31,9 @@
 struct Cluster {
     nodes: Vec<(Node, Quarantine)>,
     up: BTreeSet<usize>,
-    /// Nodes on this side of a cut reach no others.
+    /// Nodes on one side of a partition, which reach only each other.
     cut: BTreeSet<usize>,
-    /// Nodes of an older build.
+    /// Nodes of an older build without support for these messages.
     unsupported: BTreeSet<usize>,
     now: Time,
     loss: f64,
@@ -97,14 +97,14 @@
         self.up.iter().filter(holds).count()
     }
 
-    /// Looks until all that are up hold the request.
+    /// Steps until all nodes that are up hold the request; returns how many.
     fn steps_until_held(&mut self) -> usize {
         (1..=40)
             .find(|_| {
                 self.step();
                 self.holders() == self.up.len()
             })
-            .expect("all hold it in the end")
+            .expect("all nodes hold it within 40 steps")
     }
 }
 
@@ -117,8 +117,8 @@
             cluster.crash(at, n);
         }
         let steps = cluster.steps_until_held();
-        assert!(STEP * steps as u32 <= Duration::from_secs(1), "{steps} looks");
-        // Afterwards nothing more is said.
+        assert!(STEP * steps as u32 <= Duration::from_secs(1), "{steps} steps");
+        // No more messages are sent afterwards.
         (0..8).for_each(|_| cluster.step());
         let before = cluster.messages;
         (0..8).for_each(|_| cluster.step());
@@ -127,7 +127,8 @@
     }
 }
 
-/// Half of the nodes are of a build that knows no such messages, and may be any keepers.
+/// Half of the nodes run a build that does not support these messages. Any replica may be among
+/// them.
 #[test]
 fn nodes_of_an_older_build_are_skipped() {
     for seed in 0..20 {
@@ -139,10 +140,10 @@
         for _ in 0..8 {
             cluster.step();
         }
-        assert_eq!(cluster.holders(), 6, "all of the newer build");
+        assert_eq!(cluster.holders(), 6, "all nodes of the newer build");
         let before = cluster.messages;
         (0..8).for_each(|_| cluster.step());
-        assert_eq!(cluster.messages, before, "and nobody is told for nothing");
+        assert_eq!(cluster.messages, before, "no message is sent in vain");
     }
 }
 
@@ -172,7 +173,7 @@
         for (n, witness) in witnesses.iter().enumerate() {
             cluster.crash(witness % count, n);
         }
-        // Nodes that saw no end go once those that did have told the keepers.
+        // Nodes that saw no crash leave after those that did have notified the replicas.
         cluster.step();
         for item in gone {
             let item = item % count;
@@ -182,7 +183,7 @@
             }
         }
         cluster.steps_until_held();
-        // One that starts anew knows nothing, and hears of it.
+        // A node that joins knows nothing and is notified.
         cluster.nodes.push((node(count), Quarantine::default()));
         cluster.up.insert(count);
         cluster.steps_until_held();
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their names, and news of both starts in any order.
+//! Targets that restart under their names, with updates on both starts in any order.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -20,7 +20,7 @@
 use proptest::prelude::*;
 use support::{at, target, wanted};
 
-/// An entry of `t` as it was at a revision.
+/// The entry of target `t` at a revision.
 fn entry(start: u64, revision: u64) -> Target {
     Target { id: TargetId::new("t", start), revision, ..target("t", "a") }
 }
@@ -35,7 +35,8 @@
     fleet
 }
 
-/// Starts of a target, the later with a greater, a lesser and no time of its start.
+/// Pairs of starts of a target: the later one has a greater or a lower start time, or either start
+/// time is missing (0).
 const STARTS: [(u64, u64); 4] = [(17, 18), (18, 17), (0, 17), (17, 0)];
 
 #[test]
@@ -47,17 +48,17 @@
         fleet.start(&old, limit, at(10));
         fleet.sent(&old, 700);
         fleet.observe(&old, Observation::Answered(Duration::from_millis(80)), at(20));
-        assert!(fleet.observe(&old, Observation::Unreachable, at(30)), "left out");
+        assert!(fleet.observe(&old, Observation::Unreachable, at(30)), "ejected");
 
         assert!(fleet.upsert(entry(after, 6), at(40)));
         let new = id(after);
-        let belief = fleet.get(&new).expect("the later start is known");
+        let belief = fleet.get(&new).expect("the new start is known");
         assert!(!belief.is_ejected(at(40)) && !fleet.is_cold(belief, limit, at(40)));
         let pace = (belief.next_start, belief.cold);
         assert_eq!(pace, (at(0), at(40)));
         assert_eq!((belief.outstanding, belief.prefill), (0, 0));
         assert_eq!((belief.answer_ms(at(40)), belief.failing(at(40))), (None, 0.0));
-        assert!(fleet.get(&old).is_none(), "the start before is nobody's");
+        assert!(fleet.get(&old).is_none(), "the previous start is forgotten");
         assert!(!fleet.is_usable(&old, Terms::ANY, at(40)));
     }
 }
@@ -88,7 +89,7 @@
     let mut fleet = fleet(vec![entry(17, 5)]);
     fleet.sent(&id(17), 700);
     assert!(!fleet.upsert(entry(17, 5), at(10)));
-    assert!(!fleet.upsert(entry(17, 0), at(10)), "from a node that tells no revision");
+    assert!(!fleet.upsert(entry(17, 0), at(10)), "an entry without a revision");
     fleet.replace(vec![entry(17, 5)], None, at(20));
     let changes = vec![TargetChange::Gone("t".into()), TargetChange::Now(entry(17, 5))];
     apply(&mut fleet, changes);
@@ -128,7 +129,7 @@
     assert_eq!(chosen, Some(id(18)));
 }
 
-/// Takes news as a node does.
+/// Applies changes as a node does.
 fn apply(fleet: &mut Fleet, changes: Vec<TargetChange>) {
     for change in still_true(changes) {
         match change {
@@ -147,15 +148,15 @@
 fn a_stale_source_does_not_restore_an_earlier_start() {
     let mut fleet = fleet(vec![entry(18, 7)]);
     fleet.sent(&id(18), 700);
-    assert!(!fleet.upsert(entry(17, 5), at(10)), "older, also where its start is later");
+    assert!(!fleet.upsert(entry(17, 5), at(10)), "older revision, even of a later start");
     assert!(!fleet.upsert(entry(19, 6), at(10)));
-    // A source that is further on tells of changes that are known, an end among them.
+    // A source that is ahead repeats changes that are known, including a removal.
     let earlier = [TargetChange::Now(entry(17, 4)), TargetChange::Gone("t".into())];
     let changes = [&earlier[..], &[TargetChange::Now(entry(18, 7))]].concat();
     apply(&mut fleet, changes);
     assert_eq!(fleet.get(&id(18)).expect("known").outstanding, 1);
     fleet.replace(vec![entry(17, 3)], None, at(20));
-    assert!(fleet.get(&id(17)).is_some(), "a whole list is the last word");
+    assert!(fleet.get(&id(17)).is_some(), "a full list is authoritative");
 }
 
 #[test]
@@ -166,7 +167,7 @@
 }
 
 proptest! {
-    /// The starts before the latest come again from sources that are behind, in any order.
+    /// Stale sources deliver earlier starts again, in any order.
     #[test]
     fn the_latest_revision_wins_in_any_delivery_order(
         starts in prop::collection::vec(0..4_u64, 1..6),
@@ -186,7 +187,7 @@
                 sent = if is_restart { 0 } else { sent };
                 newest = Some(next);
             }
-            let known = newest.as_ref().expect("one came");
+            let known = newest.as_ref().expect("an entry was delivered");
             let belief = fleet.get(&known.id).expect("the newest is known");
             prop_assert_eq!(&belief.target, known);
             prop_assert_eq!(belief.outstanding, sent);
@@ -203,13 +204,13 @@
     let mut fleet = fleet(vec![entry(17, 5)]);
     fleet.sent(&id(17), 700);
     assert!(fleet.unreadable(&name));
-    assert!(!fleet.unreadable(&name), "told once");
+    assert!(!fleet.unreadable(&name), "reported once");
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(10)));
     assert_eq!(fleet.get(&id(17)).expect("it goes on").outstanding, 1);
     let list = fleet.list(at(10));
     assert_eq!((list.targets.len(), &list.unreadable[..]), (0, &["t".into()][..]));
 
-    // Another node takes that list just after an outage, a third one at any other time.
+    // Another node takes this list while in doubt after an outage, a third one without any doubt.
     let mut other = Fleet::default();
     other.upsert(entry(17, 5), at(0));
     let mut third = Fleet::default();
@@ -219,19 +220,19 @@
     assert_eq!(third.get(&id(17)).expect("it goes on").outstanding, 1);
     assert!(!third.is_usable(&id(17), Terms::ANY, at(10)));
     other.replace(list, doubt, at(10));
-    assert!(!other.is_usable(&id(17), Terms::ANY, at(10)), "not kept as one that vanished");
-    assert!(other.get(&id(17)).is_some_and(|belief| belief.missing.is_none()), "and not gone");
+    assert!(!other.is_usable(&id(17), Terms::ANY, at(10)), "not kept as a target that vanished");
+    assert!(other.get(&id(17)).is_some_and(|belief| belief.missing.is_none()), "nor removed");
     other.expire(at(20_000));
     assert!(other.get(&id(17)).is_some());
 
-    assert!(!fleet.upsert(entry(17, 4), at(20)), "older news do not heal it");
+    assert!(!fleet.upsert(entry(17, 4), at(20)), "an older revision does not restore it");
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(20)));
     assert!(fleet.upsert(entry(17, 6), at(20)));
     assert!(fleet.is_usable(&id(17), Terms::ANY, at(20)));
     assert_eq!(fleet.count_unreadable(), 0);
 
     other.vanish(&name, doubt, at(0));
-    assert!(other.get(&id(17)).is_none(), "its end is no doubt's matter");
+    assert!(other.get(&id(17)).is_none(), "its removal does not wait for the doubt period");
     assert_eq!(other.count_unreadable(), 0);
 }
 
@@ -239,12 +240,12 @@
 fn a_missing_target_whose_entry_returns_unreadable_gets_no_new_work() {
     let mut fleet = fleet(vec![entry(17, 5)]);
     fleet.vanish(&"t".into(), Some(at(9000)), at(0));
-    assert!(fleet.is_usable(&id(17), Terms::ANY, at(10)), "most likely it lives");
+    assert!(fleet.is_usable(&id(17), Terms::ANY, at(10)), "it is probably still running");
     fleet.unreadable(&"t".into());
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(10)));
 }
 
-/// Makers of one name and these starts.
+/// An event with makers of one name and these starts.
 fn makers_event(starts: &[u64], domain: &str) -> Event {
     let info = |start: &u64| MakerInfo {
         id: id(*start),
@@ -257,7 +258,7 @@
     Event::Makers(starts.iter().map(info).collect())
 }
 
-/// A coordinator with a call at the start 17 of its only maker, which then starts as 18.
+/// A coordinator with a call at start 17 of its only maker, which then restarts as 18.
 fn restarted_maker() -> (Coordinator, Call) {
     let mut c = Coordinator::new(batch::pool(), Policy::default());
     c.on(at(0), makers_event(&[17], "a"));
@@ -273,9 +274,9 @@
     let (mut c, old) = restarted_maker();
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
     let next = batch::calls(&c.on(at(20), batch::placed(2, large.clone())));
-    assert_eq!(next.len(), 1, "the slot of the start before is not its own");
+    assert_eq!(next.len(), 1, "the slot of the previous start does not count");
     assert_eq!(next[0].maker, id(18));
-    // What the start before made takes no room at the next one.
+    // Results of the previous start take no room at the new one.
     c.on(at(30), Event::Ended(old.number, batch::made(&old)));
     let end = batch::made(&next[0]);
     c.on(at(40), Event::Ended(next[0].number, end));
@@ -295,9 +296,9 @@
         let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
         actions.extend(c.on(at(22), batch::placed(2, large)));
         actions.extend(c.on(at(22), Event::Tick));
-        // Left out or short of room, it would have no call yet.
+        // If it were ejected or short of room it would have no call yet.
         let started = batch::calls(&actions);
-        assert_eq!(started.len(), 1, "{end:?}: one slot, one call at once");
+        assert_eq!(started.len(), 1, "{end:?}: one slot allows one call");
         assert_eq!(started[0].maker, id(18), "{end:?}");
     }
 }
@@ -326,7 +327,7 @@
     assert_eq!(scheduler.waiting(&id(18)), 17_000);
     scheduler.read(&id(17), &"p2".into(), at(20_200));
     scheduler.given_up(&id(17), &"p2".into());
-    assert_eq!(scheduler.waiting(&id(18)), 17_000, "the start before tells nothing of it");
+    assert_eq!(scheduler.waiting(&id(18)), 17_000, "events of the previous start do not affect it");
     scheduler.read(&id(18), &"p2".into(), at(20_200));
     assert_eq!(scheduler.waiting(&id(18)), 0);
 }
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Who coordinates what, as nodes come, go, stop and fall silent.
+//! Which node coordinates what as nodes join, leave, stop and fall silent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -65,7 +65,7 @@
     }
     let later = [60_000; 4];
     let homes = SERVICES.map(|s| first(&roster(0, &later, 60_000), 0, s, 60_000));
-    assert!(homes.contains(&name(3)), "but has its share later: {homes:?}");
+    assert!(homes.contains(&name(3)), "a settled node has its share: {homes:?}");
 }
 
 #[test]
@@ -96,15 +96,22 @@
         let mut silent = roster(0, &up, 60_000);
         silent.mark_silent(&id, at(60_000));
         assert_ne!(first(&silent, 0, service, 60_100), was);
-        assert_ne!(first(&silent, 0, service, 69_000), was, "silence lasts until an answer");
+        assert_ne!(
+            first(&silent, 0, service, 69_000),
+            was,
+            "a silent peer stays silent until it answers"
+        );
         let due = |r: &Roster, ms| r.checks_due(service, at(ms)).iter().any(|p| p.id == id);
-        assert!(!due(&silent, 60_400) && due(&silent, 60_500), "which is asked for");
+        assert!(
+            !due(&silent, 60_400) && due(&silent, 60_500),
+            "a liveness check is due after 500 ms"
+        );
         silent.mark_answered(&id, at(60_200));
-        assert_eq!(first(&silent, 0, service, 60_300), was, "an answer ends it");
+        assert_eq!(first(&silent, 0, service, 60_300), was, "an answer ends the silence");
         let mut stopping = roster(0, &up, 60_000);
         stopping.note_stopping(&id, at(60_000));
         assert_ne!(first(&stopping, 0, service, 60_100), was);
-        assert!(stopping.is_awaitable(&id), "but what it has begun is waited for");
+        assert!(stopping.is_awaitable(&id), "work that it has begun is waited for");
         let mut suspected = roster(0, &up, 60_000);
         let mut views: Vec<PeerView> = (1..5).map(|i| view(i, 60_000, 60_000)).collect();
         views[i - 1].suspect = true;
@@ -124,7 +131,7 @@
         stopping.stop();
         for service in SERVICES {
             let order = stopping.coordinators(service, at(up[0]));
-            assert_eq!(order.last(), Some(None), "it goes last");
+            assert_eq!(order.last(), Some(None), "this node ranks last");
             assert!(!stopping.coordinates(service, at(up[0])));
         }
     }
@@ -139,18 +146,22 @@
     assert_eq!(
         ask(&mut roster, 60_000),
         Reachability::Responsive,
-        "an order has only just begun to wait"
+        "an order has just begun to wait"
     );
     assert_eq!(ask(&mut roster, 60_100), Reachability::Responsive);
-    assert_eq!(ask(&mut roster, 60_120), Reachability::Unknown, "a cut is to show soon");
+    assert_eq!(
+        ask(&mut roster, 60_120),
+        Reachability::Unknown,
+        "a partition must be detected soon"
+    );
     roster.mark_answered(&id, at(60_125));
     assert_eq!(ask(&mut roster, 60_300), Reachability::Unknown);
-    assert_eq!(ask(&mut roster, 60_310), Reachability::Responsive, "it is being asked");
+    assert_eq!(ask(&mut roster, 60_310), Reachability::Responsive, "a check is in progress");
     roster.mark_silent(&id, at(60_550));
     assert_eq!(ask(&mut roster, 60_560), Reachability::Silent);
     assert_eq!(ask(&mut roster, 61_040), Reachability::Silent);
-    assert_eq!(ask(&mut roster, 61_050), Reachability::Unknown, "and asked again");
-    assert_eq!(ask(&mut roster, 61_060), Reachability::Silent, "while it is asked it stays silent");
+    assert_eq!(ask(&mut roster, 61_050), Reachability::Unknown, "another check is due");
+    assert_eq!(ask(&mut roster, 61_060), Reachability::Silent, "it stays silent during a check");
     roster.mark_answered(&id, at(61_570));
     assert_eq!(ask(&mut roster, 61_600), Reachability::Responsive);
 }
@@ -168,12 +179,12 @@
     let mut roster = Roster::new(name(0).into(), "d".into(), 0);
     for (ms, peers) in [(50, 1), (120, 4), (200, 9)] {
         roster.update((1..=peers).map(|i| view(i, ms, ms)).collect(), at(ms));
-        assert!(roster.is_cluster_forming(at(ms + 90)), "more may come after {peers}");
+        assert!(roster.is_cluster_forming(at(ms + 90)), "more than {peers} may still join");
     }
-    assert!(!roster.is_cluster_forming(at(310)), "nobody came for a while");
+    assert!(!roster.is_cluster_forming(at(310)), "no peer joined for 100 ms");
     roster.update((1..=10).map(|i| view(i, 320, 320)).collect(), at(320));
-    assert!(roster.is_cluster_forming(at(330)), "a late one");
-    assert!(!roster.is_cluster_forming(at(900)), "but not for ever");
+    assert!(roster.is_cluster_forming(at(330)), "a peer joined late");
+    assert!(!roster.is_cluster_forming(at(900)), "forming ends after a fixed time");
 }
 
 #[test]
@@ -190,12 +201,12 @@
     assert!(roster.is_cluster_forming(at(140)));
     assert!(
         !roster.is_cluster_forming(at(150)),
-        "both hosts that coordinate have been known for a while"
+        "both hosts that coordinate have been known for 100 ms"
     );
 }
 
-/// What a small host that has just started knows of its relays, among peers that bear this
-/// much, all of its failure domain.
+/// The relays that a newly started small host finds among peers of these capacities, all in its
+/// failure domain.
 fn relays_of_starting_node(peers: &[u8]) -> decide::relay::Relays {
     let mut roster = Roster::new("small".into(), "d".into(), 0);
     let peer = |(i, capacity): (usize, &u8)| {
@@ -212,7 +223,7 @@
     let alone = relays_of_starting_node(&[]);
     assert_eq!((alone.role, alone.peers.len()), (Role::Unknown, 0));
     let sources = relays_of_starting_node(&[0, 0, 2, 0, 2, 2]);
-    assert_eq!(sources.role, Role::Unknown, "though it knows few peers, it is no relay");
+    assert_eq!(sources.role, Role::Unknown, "it is no relay although it knows few peers");
     let asked: Vec<&str> = sources.peers.iter().map(|p| &*p.id.name).collect();
     assert_eq!(asked.len(), 2);
     assert!(asked.iter().all(|n| ["node-2", "node-4", "node-5"].contains(n)), "{asked:?}");
@@ -227,13 +238,13 @@
     let reads_store = |n: &str| reads_store_at(n, 310);
     assert!(
         sources.peers.iter().all(|p| reads_store(&p.id.name)),
-        "those that are asked do read it"
+        "the peers that are asked read the store"
     );
     let early = (0..600).filter(|i| reads_store(&name(*i))).count();
-    assert!((15..=60).contains(&early), "{early} of 600 read it before they know others");
+    assert!((15..=60).contains(&early), "{early} of 600 read the store before they know peers");
     assert!(
         !(0..600).any(|i| reads_store_at(&name(i), 290)),
-        "a host that bears more may be there"
+        "a larger host may still be discovered"
     );
 }
 
@@ -253,14 +264,14 @@
     assert!(roster.is_awaitable(&id));
     roster.update(Vec::new(), at(130_000));
     assert!(!roster.is_awaitable(&id));
-    assert_eq!(roster.max_seen(), 2, "the budget stays shared by as many as there were");
+    assert_eq!(roster.max_seen(), 2, "the budget stays divided by the former number of nodes");
     roster.mark_silent(&id, at(130_000));
-    assert!(roster.is_silent(&id), "an answer that is waited for may still fail");
+    assert!(roster.is_silent(&id), "a call in progress may still fail");
     roster.purge_departed(at(130_000));
     assert!(!roster.is_silent(&id));
 }
 
-/// The roster of node `me` among `n` nodes of which every third is in the same domain.
+/// The roster of node `me` among `n` nodes, of which every third is in the same domain.
 fn multi_domain_roster(me: usize, n: usize, silent: &[usize]) -> Roster {
     let mut roster = Roster::new(name(me).into(), domain(me).into(), 0);
     let others = (0..n).filter(|i| *i != me).map(|i| {
@@ -279,7 +290,7 @@
     format!("d{}", i % 3)
 }
 
-/// Nodes that take themselves for relays.
+/// Nodes that consider themselves relays.
 fn self_appointed_relays(n: usize, silent: &[usize]) -> Vec<usize> {
     let up = (0..n).filter(|i| !silent.contains(i));
     up.filter(|i| multi_domain_roster(*i, n, silent).relays(at(60_001)).role == Role::Relay)
@@ -298,15 +309,19 @@
     let is_among = |names: &[usize], p: &Node| names.iter().any(|i| name(*i) == *p.id.name);
     for me in of_role(Role::Follower) {
         let sources = multi_domain_roster(me, n, &[]).relays(at(60_001));
-        assert!(is_among(&relays, &sources.peers[0]), "all agree on the relay");
-        assert!(is_among(&standbys, &sources.peers[1]), "and on its standby");
+        assert!(is_among(&relays, &sources.peers[0]), "followers agree on the relay");
+        assert!(is_among(&standbys, &sources.peers[1]), "followers agree on the standby");
         assert!(sources.peers[..2].iter().all(|p| *p.domain == *domain(me)));
-        assert_eq!(sources.peers.len(), 4, "and one of each other domain");
+        assert_eq!(sources.peers.len(), 4, "two of its own domain and one of each other");
     }
     for me in standbys {
         let sources = multi_domain_roster(me, n, &[]).relays(at(60_001));
-        assert!(sources.peers.iter().all(|p| is_among(&relays, p)), "it asks relays alone");
-        assert_eq!(*sources.peers[0].domain, *domain(me), "its own first");
+        assert!(sources.peers.iter().all(|p| is_among(&relays, p)), "it asks only relays");
+        assert_eq!(
+            *sources.peers[0].domain,
+            *domain(me),
+            "the relay of its own domain comes first"
+        );
     }
 }
 
@@ -317,7 +332,7 @@
     let after = self_appointed_relays(n, &before[..2]);
     assert_eq!(after.len(), 3);
     assert!(before[..2].iter().all(|gone| !after.contains(gone)));
-    assert!(before[2..].iter().all(|kept| after.contains(kept)), "the other stays");
+    assert!(before[2..].iter().all(|kept| after.contains(kept)), "the remaining relay is kept");
 }
 
 #[test]
@@ -329,12 +344,12 @@
         assert_eq!(
             sources.peers.len(),
             expected_peers,
-            "{me}: whom it asks while the store turns it away"
+            "{me}: peers that it asks while the store refuses it"
         );
         roles.push(sources.role);
     }
     for role in [Role::Relay, Role::Standby, Role::Follower] {
-        assert_eq!(roles.iter().filter(|r| **r == role).count(), 3, "{role:?}: one a domain");
+        assert_eq!(roles.iter().filter(|r| **r == role).count(), 3, "{role:?}: one per domain");
     }
 }
 
@@ -342,7 +357,7 @@
 fn the_only_node_of_a_domain_reads_the_store() {
     let sources = multi_domain_roster(0, 3, &[]).relays(at(60_001));
     assert_eq!(sources.role, Role::Relay);
-    assert_eq!(sources.peers.len(), 2, "the relays of the others");
+    assert_eq!(sources.peers.len(), 2, "the relays of the other domains");
 }
 
 #[test]
@@ -355,12 +370,12 @@
         let order = r.coordinators("a", now);
         order.flatten().filter(|p| *p.domain == *domain(1)).count()
     };
-    assert_eq!(of_domain(&roster), 9, "one that is silent may have failed alone");
+    assert_eq!(of_domain(&roster), 9, "a single silent peer may have failed on its own");
     roster.mark_silent(&view(others[1], 0, 0).node.id, now);
-    assert_eq!(of_domain(&roster), 0, "the whole domain is left out");
-    assert_eq!(roster.coordinators("a", now).count(), 20, "the others are not");
+    assert_eq!(of_domain(&roster), 0, "the whole domain is excluded");
+    assert_eq!(roster.coordinators("a", now).count(), 20, "the other domains are not");
     roster.mark_answered(&view(others[2], 0, 0).node.id, now);
-    assert_eq!(of_domain(&roster), 8, "all but the silent are back");
+    assert_eq!(of_domain(&roster), 8, "all but the silent peers are back");
 }
 
 #[test]
@@ -380,15 +395,15 @@
         assert_eq!(skipped, std::slice::from_ref(&lost.id));
         let i = (0..n).find(|i| name(*i) == *next.id.name).expect("one of the nodes");
         let mut responder = multi_domain_roster(i, n, &[]);
-        assert!(!responder.coordinates(service, now), "it knows of no loss");
+        assert!(!responder.coordinates(service, now), "it does not know of the failure");
         assert_eq!(
             responder.eligible_among(&skipped),
             std::slice::from_ref(lost),
-            "so it asks that one"
+            "so it checks that peer"
         );
         responder.mark_silent(&lost.id, now);
         assert!(responder.coordinates(service, now));
-        assert!(responder.eligible_among(&skipped).is_empty(), "and asks no more");
+        assert!(responder.eligible_among(&skipped).is_empty(), "nothing is left to check");
     }
 }
 
@@ -436,13 +451,13 @@
     changes.note(&name(9).into(), Health::Alive, at(1_160));
     changes.note(&"new".into(), Health::Alive, at(1_170));
     changes.note(&"gone".into(), Health::Left, at(1_180));
-    assert_eq!(changes.take_due(at(1_249)), None, "more may come");
+    assert_eq!(changes.take_due(at(1_249)), None, "changes are still collected");
     let summary = changes.take_due(at(1_250)).expect("it is due");
     let ViewChange { alive, suspected, dead, left, names } = summary;
     assert_eq!((alive, suspected, dead, left), (2, 98, 1, 1), "each by its latest health");
-    assert_eq!(names.len(), 6, "a bounded part by name");
-    assert_eq!(*names[0], *name(7), "those that failed first");
-    assert_eq!(changes.take_due(at(2_000)), None, "each once");
+    assert_eq!(names.len(), 6, "a bounded number of names");
+    assert_eq!(*names[0], *name(7), "failed peers come first");
+    assert_eq!(changes.take_due(at(2_000)), None, "each change is reported once");
 }
 
 #[test]
@@ -461,14 +476,14 @@
     stopping.stop();
     assert!(
         (0..120).all(|i| !stopping.owns(&format!("i-{i}"), at(60_000))),
-        "one that stops owns none"
+        "a stopping node owns none"
     );
     let alone = Roster::new("node-0".into(), "d".into(), 0);
-    assert!(!alone.owns("i-1", at(100)), "its peers are not known yet");
-    assert!(alone.owns("i-1", at(900)), "there are none");
+    assert!(!alone.owns("i-1", at(100)), "its peers are not discovered yet");
+    assert!(alone.owns("i-1", at(900)), "discovery is over and there are no peers");
 }
 
-/// A peer in one of three failure domains, on a host that may bear more.
+/// A peer in one of three failure domains, on a host of higher capacity for every seventh.
 fn view_in_domain(i: usize, up_ms: u64, now: u64) -> PeerView {
     let view = view(i, up_ms, now);
     let capacity = u8::from(i.is_multiple_of(7));
@@ -476,15 +491,15 @@
     PeerView { node, ..view }
 }
 
-/// Whatever came, went and came again at other times, a roster that was told each change by itself
-/// answers as one that was told the peers that are up now.
+/// A roster updated change by change, with peers that join, leave and restart, answers like one
+/// built from the peers that are up now.
 #[test]
 fn incremental_updates_equal_full_updates() {
     let mut rng = Rng::new(3);
     for _ in 0..20 {
         let mut incremental = Roster::new("node-0".into(), domain(0).into(), 0);
         let mut up: BTreeMap<usize, u64> = BTreeMap::new();
-        // Orders are kept from the first question on.
+        // The first lookup caches an order, which later changes must update.
         incremental.coordinators("a", at(60_000)).count();
         for ms in (60_000..64_000).step_by(50) {
             let i = 1 + rng.below(30);
