--- a/crates/decide/tests/quarantine_ends.rs
+++ b/crates/decide/tests/quarantine_ends.rs
@@ -1,11 +1,11 @@
-//! Whether a target ended, by what discovery says and by a new connection.
+//! Whether a target crashed, by its presence in discovery and a new connection.
 
 use decide::fleet::Presence::{Draining, Present, Removed, Restarted};
 use decide::quarantine::ConnectOutcome::{Accepted, NoResponse, Refused};
 use decide::quarantine::{Verdict, judge};
 
 #[test]
-fn a_broken_connection_alone_is_no_end() {
+fn a_broken_connection_alone_is_no_crash() {
     let cases = [
         (Present, Accepted, Verdict::Undecided),
         (Present, NoResponse, Verdict::Undecided),
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their names, and news of both starts in any order.
+//! Targets that restart under their names, with updates on both starts in any order.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -20,7 +20,7 @@
 use proptest::prelude::*;
 use support::{at, target, wanted};
 
-/// An entry of `t` as it was at a revision.
+/// The entry of target `t` at a revision.
 fn entry(start: u64, revision: u64) -> Target {
     Target { id: TargetId::new("t", start), revision, ..target("t", "a") }
 }
@@ -35,11 +35,12 @@
     fleet
 }
 
-/// Starts of a target, the later with a greater, a lesser and no time of its start.
+/// Pairs of starts of a target: the later one has a greater or a lower start time, or either start
+/// time is missing (0).
 const STARTS: [(u64, u64); 4] = [(17, 18), (18, 17), (0, 17), (17, 0)];
 
 #[test]
-fn nothing_that_was_believed_of_the_start_before_holds_for_the_next() {
+fn a_new_start_inherits_no_state_from_the_previous_start() {
     for (before, after) in STARTS {
         let mut fleet = fleet(vec![Target { cold_ms: 9000, ..entry(before, 5) }]);
         let limit =
@@ -48,23 +49,23 @@
         fleet.note_cold_start(&old, limit, at(10));
         fleet.request_sent(&old, 700);
         fleet.observe(&old, Observation::Answered(Duration::from_millis(80)), at(20));
-        assert!(fleet.observe(&old, Observation::Unreachable, at(30)), "left out");
+        assert!(fleet.observe(&old, Observation::Unreachable, at(30)), "ejected");
 
         assert!(fleet.upsert(entry(after, 6), at(40)));
         let new = id(after);
-        let b = fleet.get(&new).expect("the later start is known");
-        assert!(!b.is_ejected(at(40)) && !fleet.is_cold(b, limit, at(40)));
-        let pace = (b.next_start, b.cold_until);
+        let belief = fleet.get(&new).expect("the new start is known");
+        assert!(!belief.is_ejected(at(40)) && !fleet.is_cold(belief, limit, at(40)));
+        let pace = (belief.next_start, belief.cold_until);
         assert_eq!(pace, (at(0), at(40)));
-        assert_eq!((b.outstanding, b.prefill_tokens), (0, 0));
-        assert_eq!((b.answer_ms(at(40)), b.failure_rate(at(40))), (None, 0.0));
-        assert!(fleet.get(&old).is_none(), "the start before is nobody's");
+        assert_eq!((belief.outstanding, belief.prefill_tokens), (0, 0));
+        assert_eq!((belief.answer_ms(at(40)), belief.failure_rate(at(40))), (None, 0.0));
+        assert!(fleet.get(&old).is_none(), "the previous start is forgotten");
         assert!(!fleet.is_usable(&old, Terms::ANY, at(40)));
     }
 }
 
 #[test]
-fn what_still_comes_of_the_start_before_changes_nothing_of_the_next() {
+fn late_events_of_the_previous_start_do_not_affect_the_new_start() {
     for (before, after) in STARTS {
         let mut fleet = fleet(vec![entry(before, 5)]);
         fleet.request_sent(&id(before), 700);
@@ -79,28 +80,28 @@
         for end in ends {
             assert!(!fleet.observe(&id(before), end, at(50)), "{end:?}");
         }
-        let b = fleet.get(&id(after)).expect("known");
-        assert_eq!((b.outstanding, b.prefill_tokens, b.failure_rate(at(40))), (1, 300, 0.0));
-        assert!(!b.is_ejected(at(50)) && b.next_start == at(0));
+        let belief = fleet.get(&id(after)).expect("known");
+        assert_eq!((belief.outstanding, belief.prefill_tokens, belief.failure_rate(at(40))), (1, 300, 0.0));
+        assert!(!belief.is_ejected(at(50)) && belief.next_start == at(0));
     }
 }
 
 #[test]
-fn the_same_entry_seen_again_is_no_restart() {
+fn repeated_entry_is_not_a_restart() {
     let mut fleet = fleet(vec![entry(17, 5)]);
     fleet.request_sent(&id(17), 700);
     assert!(!fleet.upsert(entry(17, 5), at(10)));
-    assert!(!fleet.upsert(entry(17, 0), at(10)), "from a node that tells no revision");
+    assert!(!fleet.upsert(entry(17, 0), at(10)), "an entry without a revision");
     fleet.replace(vec![entry(17, 5)], None, at(20));
-    let news = vec![TargetChange::Gone("t".into()), TargetChange::Now(entry(17, 5))];
-    take(&mut fleet, news);
+    let changes = vec![TargetChange::Gone("t".into()), TargetChange::Now(entry(17, 5))];
+    apply(&mut fleet, changes);
     fleet.upsert(Target { version: "v2".into(), slots: 9, ..entry(17, 6) }, at(30));
-    let b = fleet.get(&id(17)).expect("known");
-    assert_eq!((b.outstanding, b.prefill_tokens, b.target.slots), (1, 700, 9));
+    let belief = fleet.get(&id(17)).expect("known");
+    assert_eq!((belief.outstanding, belief.prefill_tokens, belief.target.slots), (1, 700, 9));
 }
 
 #[test]
-fn a_start_in_another_service_and_place_is_found_there_alone() {
+fn a_start_in_another_service_and_domain_is_indexed_only_there() {
     let mut fleet = fleet(vec![entry(17, 5), target("u", "a")]);
     let moved = Target {
         service: "encode".into(),
@@ -111,7 +112,7 @@
     fleet.upsert(moved, at(10));
     let names = |service: &str| -> Vec<(Name, Name)> {
         let of = fleet.usable(service, Terms::ANY, at(10));
-        of.map(|b| (b.target.id.name.clone(), b.target.domain.clone())).collect()
+        of.map(|belief| (belief.target.id.name.clone(), belief.target.domain.clone())).collect()
     };
     assert_eq!(names("engine"), [("u".into(), "a".into())]);
     assert_eq!(names("encode"), [("t".into(), "b".into())]);
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn a_request_that_failed_at_the_start_before_may_try_the_next() {
+fn a_request_that_failed_at_the_previous_start_may_try_the_new_start() {
     let mut fleet = fleet(vec![entry(17, 5)]);
     let tried = [id(17)];
     let mut rng = Rng::new(1);
@@ -130,9 +131,9 @@
     assert_eq!(chosen, Some(id(18)));
 }
 
-/// Takes news as a node does.
-fn take(fleet: &mut Fleet, news: Vec<TargetChange>) {
-    for change in drop_superseded(news) {
+/// Applies changes as a node does.
+fn apply(fleet: &mut Fleet, changes: Vec<TargetChange>) {
+    for change in drop_superseded(changes) {
         match change {
             TargetChange::Now(target) => {
                 fleet.upsert(target, at(0));
@@ -146,31 +147,31 @@
 }
 
 #[test]
-fn a_source_that_is_behind_brings_no_earlier_start_back() {
+fn a_stale_source_does_not_restore_an_earlier_start() {
     let mut fleet = fleet(vec![entry(18, 7)]);
     fleet.request_sent(&id(18), 700);
-    assert!(!fleet.upsert(entry(17, 5), at(10)), "older, also where its start is later");
+    assert!(!fleet.upsert(entry(17, 5), at(10)), "older revision, even of a later start");
     assert!(!fleet.upsert(entry(19, 6), at(10)));
-    // A source that is further on tells of changes that are known, an end among them.
+    // A source that is ahead repeats changes that are known, including a removal.
     let earlier = [TargetChange::Now(entry(17, 4)), TargetChange::Gone("t".into())];
-    let news = [&earlier[..], &[TargetChange::Now(entry(18, 7))]].concat();
-    take(&mut fleet, news);
+    let changes = [&earlier[..], &[TargetChange::Now(entry(18, 7))]].concat();
+    apply(&mut fleet, changes);
     assert_eq!(fleet.get(&id(18)).expect("known").outstanding, 1);
     fleet.replace(vec![entry(17, 3)], None, at(20));
-    assert!(fleet.get(&id(17)).is_some(), "a whole list is the last word");
+    assert!(fleet.get(&id(17)).is_some(), "a full list is authoritative");
 }
 
 #[test]
-fn an_entry_that_drained_before_its_end_is_not_kept_in_doubt() {
+fn a_removal_after_draining_is_kept_as_a_removal() {
     let drains = TargetChange::Now(Target { draining: true, ..entry(17, 6) });
-    let news = vec![drains, TargetChange::Gone("t".into())];
-    assert_eq!(drop_superseded(news.clone()), news);
+    let changes = vec![drains, TargetChange::Gone("t".into())];
+    assert_eq!(drop_superseded(changes.clone()), changes);
 }
 
 proptest! {
-    /// The starts before the latest come again from sources that are behind, in any order.
+    /// Stale sources deliver earlier starts again, in any order.
     #[test]
-    fn whatever_the_order_of_the_news_the_latest_entry_stands(
+    fn the_latest_revision_wins_in_any_delivery_order(
         starts in prop::collection::vec(0..4_u64, 1..6),
         order in prop::collection::vec(any::<prop::sample::Index>(), 1..30),
     ) {
@@ -181,17 +182,17 @@
         let mut sent = 0;
         for index in order {
             let next = index.get(&entries).clone();
-            let is_news = newest.as_ref().is_none_or(|n| next.revision > n.revision);
+            let is_newer = newest.as_ref().is_none_or(|n| next.revision > n.revision);
             let is_restart = newest.as_ref().is_none_or(|n| next.id != n.id);
             fleet.upsert(next.clone(), at(0));
-            if is_news {
+            if is_newer {
                 sent = if is_restart { 0 } else { sent };
                 newest = Some(next);
             }
-            let known = newest.as_ref().expect("one came");
-            let b = fleet.get(&known.id).expect("the newest is known");
-            prop_assert_eq!(&b.target, known);
-            prop_assert_eq!(b.outstanding, sent);
+            let known = newest.as_ref().expect("an entry was delivered");
+            let belief = fleet.get(&known.id).expect("the newest is known");
+            prop_assert_eq!(&belief.target, known);
+            prop_assert_eq!(belief.outstanding, sent);
             fleet.request_sent(&known.id, 1);
             sent += 1;
         }
@@ -199,19 +200,19 @@
 }
 
 #[test]
-fn a_target_whose_entry_becomes_unreadable_gets_nothing_new_and_keeps_what_it_has() {
+fn a_target_with_an_unreadable_entry_gets_no_new_work_but_keeps_its_current_work() {
     let name: Name = "t".into();
     let doubt = Some(at(9000));
     let mut fleet = fleet(vec![entry(17, 5)]);
     fleet.request_sent(&id(17), 700);
     assert!(fleet.mark_unreadable(&name));
-    assert!(!fleet.mark_unreadable(&name), "told once");
+    assert!(!fleet.mark_unreadable(&name), "reported once");
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(10)));
     assert_eq!(fleet.get(&id(17)).expect("it goes on").outstanding, 1);
     let list = fleet.list(at(10));
     assert_eq!((list.targets.len(), &list.unreadable[..]), (0, &["t".into()][..]));
 
-    // Another node takes that list just after an outage, a third one at any other time.
+    // Another node takes this list while in doubt after an outage, a third one without any doubt.
     let mut other = Fleet::default();
     other.upsert(entry(17, 5), at(0));
     let mut third = Fleet::default();
@@ -221,33 +222,33 @@
     assert_eq!(third.get(&id(17)).expect("it goes on").outstanding, 1);
     assert!(!third.is_usable(&id(17), Terms::ANY, at(10)));
     other.replace(list, doubt, at(10));
-    assert!(!other.is_usable(&id(17), Terms::ANY, at(10)), "not kept as one that vanished");
-    assert!(other.get(&id(17)).is_some_and(|b| b.missing_until.is_none()), "and not gone");
+    assert!(!other.is_usable(&id(17), Terms::ANY, at(10)), "not kept as a target that vanished");
+    assert!(other.get(&id(17)).is_some_and(|belief| belief.missing_until.is_none()), "nor removed");
     other.expire(at(20_000));
     assert!(other.get(&id(17)).is_some());
 
-    assert!(!fleet.upsert(entry(17, 4), at(20)), "older news do not heal it");
+    assert!(!fleet.upsert(entry(17, 4), at(20)), "an older revision does not restore it");
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(20)));
     assert!(fleet.upsert(entry(17, 6), at(20)));
     assert!(fleet.is_usable(&id(17), Terms::ANY, at(20)));
     assert_eq!(fleet.count_unreadable(), 0);
 
     other.remove(&name, doubt, at(0));
-    assert!(other.get(&id(17)).is_none(), "its end is no doubt's matter");
+    assert!(other.get(&id(17)).is_none(), "its removal does not wait for the doubt period");
     assert_eq!(other.count_unreadable(), 0);
 }
 
 #[test]
-fn a_missing_target_whose_entry_comes_back_unreadable_gets_nothing_new() {
+fn a_missing_target_whose_entry_returns_unreadable_gets_no_new_work() {
     let mut fleet = fleet(vec![entry(17, 5)]);
     fleet.remove(&"t".into(), Some(at(9000)), at(0));
-    assert!(fleet.is_usable(&id(17), Terms::ANY, at(10)), "most likely it lives");
+    assert!(fleet.is_usable(&id(17), Terms::ANY, at(10)), "it is probably still running");
     fleet.mark_unreadable(&"t".into());
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(10)));
 }
 
-/// Makers of one name and these starts.
-fn makers(starts: &[u64], domain: &str) -> Event {
+/// An event with makers of one name and these starts.
+fn makers_event(starts: &[u64], domain: &str) -> Event {
     let info = |start: &u64| WorkerInfo {
         id: id(*start),
         domain: domain.into(),
@@ -259,25 +260,25 @@
     Event::Workers(starts.iter().map(info).collect())
 }
 
-/// A coordinator with a call at the start 17 of its only maker, which then starts as 18.
-fn restarted() -> (Coordinator, Call) {
+/// A coordinator with a call at start 17 of its only maker, which then restarts as 18.
+fn restarted_maker() -> (Coordinator, Call) {
     let mut c = Coordinator::new(batch::pool(), Policy::default());
-    c.handle(at(0), makers(&[17], "a"));
+    c.handle(at(0), makers_event(&[17], "a"));
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r1", 1) };
     let first = batch::calls(&c.handle(at(0), batch::order_event(1, large)));
     assert_eq!(first[0].worker, id(17));
-    c.handle(at(10), makers(&[18], "a"));
+    c.handle(at(10), makers_event(&[18], "a"));
     (c, first[0].clone())
 }
 
 #[test]
-fn a_maker_that_starts_again_has_its_slots_and_its_room() {
-    let (mut c, old) = restarted();
+fn a_restarted_maker_has_all_its_slots_and_result_capacity() {
+    let (mut c, old) = restarted_maker();
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
     let next = batch::calls(&c.handle(at(20), batch::order_event(2, large.clone())));
-    assert_eq!(next.len(), 1, "the slot of the start before is not its own");
+    assert_eq!(next.len(), 1, "the slot of the previous start does not count");
     assert_eq!(next[0].worker, id(18));
-    // What the start before made takes no room at the next one.
+    // Results of the previous start take no room at the new one.
     c.handle(at(30), Event::CallEnded(old.number, batch::made(&old)));
     let end = batch::made(&next[0]);
     c.handle(at(40), Event::CallEnded(next[0].number, end));
@@ -287,24 +288,24 @@
 }
 
 #[test]
-fn an_end_of_the_start_before_neither_leaves_the_next_out_nor_narrows_its_room() {
+fn a_call_end_of_the_previous_start_neither_ejects_nor_limits_the_new_start() {
     let no_room = |call: &Call| CallEnd::Answered(vec![PieceResult::NoRoom; call.pieces.len()]);
     for end in [None, Some(CallEnd::Failed), Some(CallEnd::Full)] {
-        let (mut c, old) = restarted();
+        let (mut c, old) = restarted_maker();
         let end = end.unwrap_or_else(|| no_room(&old));
         let mut actions = c.handle(at(20), Event::CallEnded(old.number, end.clone()));
         actions.extend(c.handle(at(21), Event::Probed(id(17), false)));
         let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
         actions.extend(c.handle(at(22), batch::order_event(2, large)));
         actions.extend(c.handle(at(22), Event::Tick));
-        // Left out or short of room, it would have no call yet.
+        // If it were ejected or short of room it would have no call yet.
         let started = batch::calls(&actions);
-        assert_eq!(started.len(), 1, "{end:?}: one slot, one call at once");
+        assert_eq!(started.len(), 1, "{end:?}: one slot allows one call");
         assert_eq!(started[0].worker, id(18), "{end:?}");
     }
 }
 
-fn ask(attempt: &str) -> PrefillAsk {
+fn prefill_ask(attempt: &str) -> PrefillAsk {
     PrefillAsk {
         service: "pool".into(),
         domain: "d".into(),
@@ -320,15 +321,15 @@
 }
 
 #[test]
-fn an_engine_that_starts_again_has_nothing_to_read_and_keeps_nothing() {
+fn a_restarted_engine_has_an_empty_prefill_queue_and_cache() {
     let mut scheduler = Scheduler::new(at(0));
-    scheduler.place(&ask("p1"), &[id(17)], at(20_000)).expect("an engine");
-    let placed = scheduler.place(&ask("p2"), &[id(18)], at(20_100)).expect("an engine");
+    scheduler.place(&prefill_ask("p1"), &[id(17)], at(20_000)).expect("an engine");
+    let placed = scheduler.place(&prefill_ask("p2"), &[id(18)], at(20_100)).expect("an engine");
     assert_eq!((placed.engine, placed.tokens_ahead, placed.is_cached), (id(18), 0, false));
     assert_eq!(scheduler.queued_tokens(&id(18)), 17_000);
     scheduler.finish_prompt(&id(17), &"p2".into(), at(20_200));
     scheduler.cancel_prompt(&id(17), &"p2".into());
-    assert_eq!(scheduler.queued_tokens(&id(18)), 17_000, "the start before tells nothing of it");
+    assert_eq!(scheduler.queued_tokens(&id(18)), 17_000, "events of the previous start do not affect it");
     scheduler.finish_prompt(&id(18), &"p2".into(), at(20_200));
     assert_eq!(scheduler.queued_tokens(&id(18)), 0);
 }
