--- a/crates/decide/tests/resend.rs
+++ b/crates/decide/tests/resend.rs
@@ -8,8 +8,8 @@
 
 const LEFT: Duration = Duration::from_millis(500);
 
-fn tries(repeat: Repeat, most: u32, seen: &[Execution]) -> Attempts {
-    let mut tries = Attempts::new(repeat, most);
+fn attempts(repeat: Repeat, max_targets: u32, seen: &[Execution]) -> Attempts {
+    let mut tries = Attempts::new(repeat, max_targets);
     for ran in seen {
         tries.connected();
         tries.record(*ran);
@@ -33,9 +33,9 @@
         (Repeat::Once, 1, &[Excluded, Excluded], Next::End(Ending::NotRun)),
         (Repeat::Idempotent, 2, &[Excluded, Excluded], Next::End(Ending::NotRun)),
     ];
-    for (repeat, most, seen, wanted) in cases {
-        let next = tries(*repeat, *most, seen).next(LEFT, || true);
-        assert_eq!(next, *wanted, "{repeat:?}, at most {most}, after {seen:?}");
+    for (repeat, max_targets, seen, wanted) in cases {
+        let next = attempts(*repeat, *max_targets, seen).next(LEFT, || true);
+        assert_eq!(next, *wanted, "{repeat:?}, max_targets {max_targets}, after {seen:?}");
     }
 }
 
@@ -51,17 +51,17 @@
 
 #[test]
 fn a_begun_answer_is_broken_off_or_resumed() {
-    let mut once = tries(Repeat::StreamOnce, 3, &[Execution::Possible]);
+    let mut once = attempts(Repeat::StreamOnce, 3, &[Execution::Possible]);
     once.response_begun = true;
     assert_eq!(once.next(LEFT, || true), Next::End(Ending::BreakOff));
-    let mut resumable = tries(Repeat::StreamResumable, 3, &[Execution::Possible]);
+    let mut resumable = attempts(Repeat::StreamResumable, 3, &[Execution::Possible]);
     resumable.response_begun = true;
     assert_eq!(resumable.next(LEFT, || true), Next::Resend);
 }
 
 #[test]
 fn no_repeat_without_budget_or_time() {
-    let tried = tries(Repeat::Idempotent, 2, &[Execution::Possible]);
+    let tried = attempts(Repeat::Idempotent, 2, &[Execution::Possible]);
     assert_eq!(tried.next(LEFT, || false), Next::End(Ending::Unknown));
     assert_eq!(tried.next(Duration::ZERO, || true), Next::End(Ending::Unknown));
     let first = Attempts::new(Repeat::Once, 1);
@@ -74,7 +74,7 @@
 
 /// Repeats granted of those asked for in a fleet whose nodes send no requests besides. Some of
 /// them ask, each once in `every_s`; no window of ten seconds may hold more than the budget.
-fn granted(nodes: usize, asking: usize, every_s: f64, is_first: bool) -> f64 {
+fn granted_share(nodes: usize, asking: usize, every_s: f64, is_first: bool) -> f64 {
     let tuning = BudgetTuning { ratio: 0.2, window: Duration::from_secs(10), slack: 1040.0 };
     let mut budgets = budgets_of(tuning, is_first, nodes);
     let mut granted: Vec<u64> = Vec::new();
@@ -96,11 +96,11 @@
 fn a_fleet_whose_nodes_hold_less_than_one_repeat_each_still_has_its_budget() {
     for nodes in [300, 986, 2000] {
         for is_first in [true, false] {
-            granted(nodes, nodes, 2.0, is_first);
+            granted_share(nodes, nodes, 2.0, is_first);
         }
         // A tenth of the nodes is in trouble. Seven tenths of the slack are drawn.
         let part: f64 = 0.7 * 1040.0 / nodes as f64;
-        let share = granted(nodes, nodes / 10, 12.0, true);
+        let share = granted_share(nodes, nodes / 10, 12.0, true);
         assert!(share > part.min(1.0) * 0.85, "{share} of {part} at {nodes} nodes");
     }
 }
--- a/crates/decide/tests/rollout_evidence.rs
+++ b/crates/decide/tests/rollout_evidence.rs
@@ -7,7 +7,7 @@
 use model::{Name, Time};
 
 /// Answers of one side: failures, and good ones with their time.
-fn take(evidence: &mut Evidence, side: Side, bad: u32, good: u32, ms: u64) {
+fn record(evidence: &mut Evidence, side: Side, bad: u32, good: u32, ms: u64) {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
     for _ in 0..bad {
         evidence.record_sent(&service, &route, side, 1);
@@ -35,8 +35,8 @@
     ];
     for (serving, trial, wanted) in cases {
         let mut evidence = Evidence::default();
-        take(&mut evidence, Side::Serving, serving.0, serving.1, serving.2);
-        take(&mut evidence, Side::Trial, trial.0, trial.1, trial.2);
+        record(&mut evidence, Side::Serving, serving.0, serving.1, serving.2);
+        record(&mut evidence, Side::Trial, trial.0, trial.1, trial.2);
         let verdict = evidence.proves_bad("s");
         assert_eq!(verdict.as_ref().map(|v| v.cause), wanted, "{serving:?} {trial:?}");
         let Some(verdict) = verdict else {
@@ -56,7 +56,7 @@
         evidence.note_late(&service, &route, took, Time::ZERO + Duration::from_millis(ms))
     };
     assert!(![0, 1].map(|ms| note_late(late, ms))[1], "nobody knows what is late");
-    take(&mut evidence, Side::Serving, 0, 50, 40);
+    record(&mut evidence, Side::Serving, 0, 50, 40);
     let cases = [
         (usual, 100, false),
         (late, 101, false),
@@ -74,8 +74,8 @@
 #[test]
 fn a_report_holds_all_counts_until_the_order_is_over() {
     let mut evidence = Evidence::default();
-    take(&mut evidence, Side::Serving, 1, 9, 1);
-    take(&mut evidence, Side::Trial, 2, 3, 2);
+    record(&mut evidence, Side::Serving, 1, 9, 1);
+    record(&mut evidence, Side::Trial, 2, 3, 2);
     let [seen] = &evidence.report("s")[..] else {
         panic!("one route");
     };
--- a/crates/decide/tests/rollout_judge.rs
+++ b/crates/decide/tests/rollout_judge.rs
@@ -12,11 +12,12 @@
 use model::member::NodeId;
 use model::{Name, Time};
 use proptest::prelude::*;
-use support::{BOUNDS, Case, Fault, Outcome, Run, When};
+use support::{BOUNDS, Case, Fault, FaultTiming, Outcome, Simulation};
 
 const FAULTS: [Fault; 4] =
     [Fault::Fails(0.2), Fault::Fails(0.4), Fault::Slow(3.0), Fault::Slow(8.0)];
-const TIMES: [When; 4] = [When::AtOnce, When::From(0.5), When::Above(0.3), When::OneRoute];
+const TIMES: [FaultTiming; 4] =
+    [FaultTiming::AtOnce, FaultTiming::From(0.5), FaultTiming::Above(0.3), FaultTiming::OneRoute];
 const NODES: [usize; 3] = [4, 82, 300];
 
 fn order(state: RolloutState, revision: u64) -> Rollout {
@@ -57,24 +58,24 @@
 }
 
 /// A judge and what it asked for, fed some times a second.
-struct Bench {
+struct Harness {
     judge: Judge,
     now: u64,
-    done: Vec<(u64, JudgeAction)>,
+    actions: Vec<(u64, JudgeAction)>,
 }
 
-impl Bench {
+impl Harness {
     fn new(state: RolloutState) -> Self {
         let judge = Judge::new(BOUNDS, order(state, 10), 10, Duration::ZERO, Time::ZERO);
-        let mut bench = Bench { judge, now: 0, done: Vec::new() };
-        bench.on(JudgeEvent::Targets { serving: 4, trial: 4 });
-        bench.on(JudgeEvent::Nodes(vec![node("a"), node("b")]));
-        bench
+        let mut harness = Harness { judge, now: 0, actions: Vec::new() };
+        harness.handle(JudgeEvent::Targets { serving: 4, trial: 4 });
+        harness.handle(JudgeEvent::Nodes(vec![node("a"), node("b")]));
+        harness
     }
 
-    fn on(&mut self, event: JudgeEvent) {
+    fn handle(&mut self, event: JudgeEvent) {
         let actions = self.judge.handle(Time::from_millis(self.now), event);
-        self.done.extend(actions.into_iter().map(|action| (self.now, action)));
+        self.actions.extend(actions.into_iter().map(|action| (self.now, action)));
     }
 
     /// Until then these nodes report, with as many requests open at the old version.
@@ -83,9 +84,9 @@
             self.now += 100;
             let phase = self.judge.phase();
             for (name, open) in nodes {
-                self.on(report(name, phase, *open));
+                self.handle(report(name, phase, *open));
             }
-            self.on(JudgeEvent::Tick);
+            self.handle(JudgeEvent::Tick);
         }
     }
 
@@ -95,126 +96,126 @@
             JudgeAction::Write(state) => Some(*state),
             JudgeAction::Judged { .. } | JudgeAction::Phase(_) => None,
         };
-        self.done.iter().filter_map(write).collect()
+        self.actions.iter().filter_map(write).collect()
     }
 
-    fn stands(&mut self, state: RolloutState, revision: u64) {
-        self.on(JudgeEvent::WriteEnded(true));
-        self.on(JudgeEvent::Order(order(state, revision)));
+    fn write_applied(&mut self, state: RolloutState, revision: u64) {
+        self.handle(JudgeEvent::WriteEnded(true));
+        self.handle(JudgeEvent::Order(order(state, revision)));
     }
 }
 
 #[test]
 fn an_order_is_taken_up_and_completed_once_nobody_uses_the_old_version() {
-    let mut bench = Bench::new(Ordered);
-    bench.run(100, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [Active]);
-    bench.stands(Active, 12);
-    bench.run(9_900, &[("a", 0), ("b", 1)]);
-    assert_eq!(bench.judge.phase(), Phase::All);
-    assert_eq!(bench.writes(), [Active], "a request is open at the old version");
-    bench.run(11_000, &[("a", 0), ("b", 1)]);
-    assert_eq!(bench.writes(), [Active], "nobody is cut off for the deadline's sake");
-    bench.run(11_200, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [Active, Completed]);
-    bench.stands(Completed, 13);
-    assert_eq!(bench.judge.next_tick(Time::from_millis(bench.now)), Time::NEVER);
+    let mut harness = Harness::new(Ordered);
+    harness.run(100, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [Active]);
+    harness.write_applied(Active, 12);
+    harness.run(9_900, &[("a", 0), ("b", 1)]);
+    assert_eq!(harness.judge.phase(), Phase::All);
+    assert_eq!(harness.writes(), [Active], "a request is open at the old version");
+    harness.run(11_000, &[("a", 0), ("b", 1)]);
+    assert_eq!(harness.writes(), [Active], "nobody is cut off for the deadline's sake");
+    harness.run(11_200, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [Active, Completed]);
+    harness.write_applied(Completed, 13);
+    assert_eq!(harness.judge.next_tick(Time::from_millis(harness.now)), Time::NEVER);
 }
 
 #[test]
 fn nodes_that_do_not_answer_are_waited_for_until_shortly_before_the_deadline() {
-    let mut bench = Bench::new(Active);
-    bench.run(2_000, &[("a", 0), ("b", 3)]);
-    bench.run(9_100, &[("a", 0)]);
-    assert_eq!((bench.judge.phase(), bench.writes()), (Phase::All, vec![]));
-    bench.run(9_900, &[("a", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+    let mut harness = Harness::new(Active);
+    harness.run(2_000, &[("a", 0), ("b", 3)]);
+    harness.run(9_100, &[("a", 0)]);
+    assert_eq!((harness.judge.phase(), harness.writes()), (Phase::All, vec![]));
+    harness.run(9_900, &[("a", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
 fn a_node_that_has_just_started_is_waited_for() {
-    let mut bench = Bench::new(Active);
-    bench.run(9_100, &[("a", 0), ("b", 0)]);
+    let mut harness = Harness::new(Active);
+    harness.run(9_100, &[("a", 0), ("b", 0)]);
     let started = NodeId { start: 2, ..node("b") };
-    bench.on(JudgeEvent::Nodes(vec![node("a"), started]));
-    bench.run(10_000, &[("a", 0)]);
-    assert_eq!(bench.writes(), [], "it may use the old version until it is told");
-    bench.run(10_400, &[("a", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+    harness.handle(JudgeEvent::Nodes(vec![node("a"), started]));
+    harness.run(10_000, &[("a", 0)]);
+    assert_eq!(harness.writes(), [], "it may use the old version until it is told");
+    harness.run(10_400, &[("a", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
 fn a_judge_that_was_paused_does_not_take_the_others_for_silent() {
-    let mut bench = Bench::new(Active);
-    bench.run(8_900, &[("a", 0), ("b", 3)]);
-    assert_eq!(bench.judge.phase(), Phase::All);
-    bench.now = 11_000;
-    bench.on(JudgeEvent::Tick);
-    bench.run(11_900, &[("a", 0)]);
-    assert_eq!(bench.writes(), [], "b had no time to answer");
-    bench.run(12_500, &[("a", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+    let mut harness = Harness::new(Active);
+    harness.run(8_900, &[("a", 0), ("b", 3)]);
+    assert_eq!(harness.judge.phase(), Phase::All);
+    harness.now = 11_000;
+    harness.handle(JudgeEvent::Tick);
+    harness.run(11_900, &[("a", 0)]);
+    assert_eq!(harness.writes(), [], "b had no time to answer");
+    harness.run(12_500, &[("a", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
 fn a_judge_that_begins_late_takes_no_good_version_back() {
     let judge = Judge::new(BOUNDS, order(Active, 10), 10, Duration::from_millis(9_900), Time::ZERO);
-    let mut bench = Bench { judge, now: 0, done: Vec::new() };
-    bench.on(JudgeEvent::Nodes(vec![node("a"), node("b")]));
-    bench.on(JudgeEvent::Targets { serving: 4, trial: 2 });
-    bench.on(report("a", Phase::Share(0.0), 0));
-    bench.now = 300;
-    bench.on(report("b", Phase::All, 0));
-    assert_eq!(bench.judge.phase(), Phase::All, "b went by it");
-    bench.run(2_000, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+    let mut harness = Harness { judge, now: 0, actions: Vec::new() };
+    harness.handle(JudgeEvent::Nodes(vec![node("a"), node("b")]));
+    harness.handle(JudgeEvent::Targets { serving: 4, trial: 2 });
+    harness.handle(report("a", Phase::Share(0.0), 0));
+    harness.now = 300;
+    harness.handle(report("b", Phase::All, 0));
+    assert_eq!(harness.judge.phase(), Phase::All, "b went by it");
+    harness.run(2_000, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
 fn without_targets_that_bear_the_load_it_is_taken_back_and_never_completed() {
     for (serving, trial) in [(4, 0), (4, 2), (0, 0)] {
-        let mut bench = Bench::new(Active);
-        bench.on(JudgeEvent::Targets { serving, trial });
-        bench.run(20_000, &[("a", 0), ("b", 0)]);
-        assert_eq!(bench.writes(), [RolledBack], "{serving} and {trial} targets");
-        assert!(!bench.done.iter().any(|(_, a)| *a == JudgeAction::Phase(Phase::All)));
+        let mut harness = Harness::new(Active);
+        harness.handle(JudgeEvent::Targets { serving, trial });
+        harness.run(20_000, &[("a", 0), ("b", 0)]);
+        assert_eq!(harness.writes(), [RolledBack], "{serving} and {trial} targets");
+        assert!(!harness.actions.iter().any(|(_, a)| *a == JudgeAction::Phase(Phase::All)));
     }
-    let mut bench = Bench::new(Active);
-    bench.run(8_900, &[("a", 1), ("b", 0)]);
-    assert_eq!(bench.judge.phase(), Phase::All);
-    bench.on(JudgeEvent::Targets { serving: 4, trial: 0 });
-    bench.run(20_000, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [RolledBack], "they were lost in the last step");
+    let mut harness = Harness::new(Active);
+    harness.run(8_900, &[("a", 1), ("b", 0)]);
+    assert_eq!(harness.judge.phase(), Phase::All);
+    harness.handle(JudgeEvent::Targets { serving: 4, trial: 0 });
+    harness.run(20_000, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [RolledBack], "they were lost in the last step");
 }
 
 #[test]
 fn a_state_is_written_again_only_after_the_store_showed_that_it_is_lacking() {
-    let mut bench = Bench::new(Active);
-    bench.on(report("a", Phase::Back, 0));
-    assert_eq!((bench.judge.phase(), bench.writes()), (Phase::Back, vec![RolledBack]));
-    bench.run(500, &[("a", 0)]);
-    bench.on(JudgeEvent::WriteEnded(false));
-    bench.run(1_000, &[("a", 0)]);
-    assert_eq!(bench.writes(), [RolledBack], "it may still land");
-    bench.on(JudgeEvent::Order(order(Active, 10)));
-    assert_eq!(bench.writes(), [RolledBack, RolledBack]);
-    bench.on(JudgeEvent::Order(order(RolledBack, 14)));
-    bench.on(JudgeEvent::WriteEnded(false));
-    bench.run(2_000, &[("a", 0)]);
-    assert_eq!(bench.writes().len(), 2);
+    let mut harness = Harness::new(Active);
+    harness.handle(report("a", Phase::Back, 0));
+    assert_eq!((harness.judge.phase(), harness.writes()), (Phase::Back, vec![RolledBack]));
+    harness.run(500, &[("a", 0)]);
+    harness.handle(JudgeEvent::WriteEnded(false));
+    harness.run(1_000, &[("a", 0)]);
+    assert_eq!(harness.writes(), [RolledBack], "it may still land");
+    harness.handle(JudgeEvent::Order(order(Active, 10)));
+    assert_eq!(harness.writes(), [RolledBack, RolledBack]);
+    harness.handle(JudgeEvent::Order(order(RolledBack, 14)));
+    harness.handle(JudgeEvent::WriteEnded(false));
+    harness.run(2_000, &[("a", 0)]);
+    assert_eq!(harness.writes().len(), 2);
 }
 
 #[test]
 fn what_the_store_has_as_final_ends_a_judge_whatever_it_decided() {
-    for (decided, stands, phase) in
+    for (decided, stored, phase) in
         [(Phase::Back, Completed, Phase::All), (Phase::All, RolledBack, Phase::Back)]
     {
-        let mut bench = Bench::new(Active);
-        bench.on(report("a", decided, 0));
-        bench.on(JudgeEvent::Order(order(stands, 20)));
-        bench.done.clear();
-        bench.run(20_000, &[("a", 0), ("b", 0)]);
-        assert_eq!((bench.judge.phase(), bench.done.len()), (phase, 0), "{decided:?}");
+        let mut harness = Harness::new(Active);
+        harness.handle(report("a", decided, 0));
+        harness.handle(JudgeEvent::Order(order(stored, 20)));
+        harness.actions.clear();
+        harness.run(20_000, &[("a", 0), ("b", 0)]);
+        assert_eq!((harness.judge.phase(), harness.actions.len()), (phase, 0), "{decided:?}");
     }
 }
 
@@ -240,7 +241,7 @@
 fn moments_in_which_both_versions_are_late_take_no_good_version_back() {
     const USUAL: usize = 9;
     const LATE: usize = 16;
-    let mut bench = Bench::new(Active);
+    let mut harness = Harness::new(Active);
     let (mut serving, mut trial) = (Answers::default(), Answers::default());
     for n in 1..=90 {
         // Each second all that is under way is held up: few answers come, all of them late.
@@ -250,27 +251,27 @@
             answers.times[bucket] += count;
             answers.sent += count;
         }
-        bench.now += 100;
+        harness.now += 100;
         for name in ["a", "b"] {
-            let JudgeEvent::Report(report) = report(name, bench.judge.phase(), 0) else {
+            let JudgeEvent::Report(report) = report(name, harness.judge.phase(), 0) else {
                 unreachable!("a report was made");
             };
             let evidence =
                 RouteEvidence { route: "r".into(), serving: serving.clone(), trial: trial.clone() };
             let report = RolloutReport { evidence: vec![evidence], ..report };
-            bench.on(JudgeEvent::Report(report));
+            harness.handle(JudgeEvent::Report(report));
         }
-        bench.on(JudgeEvent::Tick);
-        assert_ne!(bench.judge.phase(), Phase::Back, "after {n} reports: {:?}", bench.done);
+        harness.handle(JudgeEvent::Tick);
+        assert_ne!(harness.judge.phase(), Phase::Back, "after {n} reports: {:?}", harness.actions);
     }
 }
 
 #[test]
 fn an_order_that_was_replaced_ends_its_judge() {
-    let mut bench = Bench::new(Active);
-    bench.on(JudgeEvent::Order(Rollout { version: "v3".into(), ..order(Ordered, 20) }));
-    bench.run(20_000, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), []);
+    let mut harness = Harness::new(Active);
+    harness.handle(JudgeEvent::Order(Rollout { version: "v3".into(), ..order(Ordered, 20) }));
+    harness.run(20_000, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), []);
 }
 
 #[test]
@@ -281,11 +282,11 @@
         (vec![Phase::All, Phase::Back], Some(Phase::Back)),
         (vec![Phase::Back, Phase::All], Some(Phase::Back)),
     ] {
-        let mut bench = Bench::new(Active);
+        let mut harness = Harness::new(Active);
         for phase in &reported {
-            bench.on(report("a", *phase, 0));
+            harness.handle(report("a", *phase, 0));
         }
-        let phase = Some(bench.judge.phase()).filter(|p| !matches!(p, Phase::Share(_)));
+        let phase = Some(harness.judge.phase()).filter(|p| !matches!(p, Phase::Share(_)));
         assert_eq!(phase, wanted, "{reported:?}");
     }
 }
@@ -306,15 +307,15 @@
             }],
         })
     };
-    let mut bench = Bench::new(Active);
+    let mut harness = Harness::new(Active);
     for _ in 0..50 {
-        bench.on(bad(1, 2));
-        bench.on(bad(1, 1));
+        harness.handle(bad(1, 2));
+        harness.handle(bad(1, 1));
     }
-    assert_ne!(bench.judge.phase(), Phase::Back, "two bad answers, told a hundred times");
-    bench.on(bad(2, 2));
-    bench.on(bad(3, 2));
-    assert_eq!(bench.judge.phase(), Phase::Back, "six, of three starts");
+    assert_ne!(harness.judge.phase(), Phase::Back, "two bad answers, told a hundred times");
+    harness.handle(bad(2, 2));
+    harness.handle(bad(3, 2));
+    assert_eq!(harness.judge.phase(), Phase::Back, "six, of three starts");
 }
 
 #[test]
@@ -343,19 +344,19 @@
         (10, 10, true),
         (12, 12, true),
     ] {
-        let mut bench = Bench::new(Ordered);
-        bench.on(JudgeEvent::Order(order(Active, 12)));
-        bench.on(bad(since, at));
+        let mut harness = Harness::new(Ordered);
+        harness.handle(JudgeEvent::Order(order(Active, 12)));
+        harness.handle(bad(since, at));
         let (is_back, age) =
-            (bench.judge.phase() == Phase::Back, bench.judge.answer(Time::ZERO).age_ms);
+            (harness.judge.phase() == Phase::Back, harness.judge.answer(Time::ZERO).age_ms);
         assert_eq!((is_back, age > 0), (is_same, is_same), "{since} to {at}");
     }
 }
 
 #[test]
 fn a_node_that_works_by_an_earlier_order_yet_is_waited_for() {
-    let mut bench = Bench::new(Active);
-    bench.run(8_900, &[("a", 0), ("b", 0)]);
+    let mut harness = Harness::new(Active);
+    harness.run(8_900, &[("a", 0), ("b", 0)]);
     let behind = |phase| {
         JudgeEvent::Report(RolloutReport {
             node: node("b"),
@@ -366,36 +367,36 @@
             evidence: Vec::new(),
         })
     };
-    while bench.now < 11_000 {
-        bench.on(behind(Phase::Share(0.0)));
-        bench.run(bench.now + 500, &[("a", 0)]);
+    while harness.now < 11_000 {
+        harness.handle(behind(Phase::Share(0.0)));
+        harness.run(harness.now + 500, &[("a", 0)]);
     }
-    assert_eq!((bench.judge.phase(), bench.writes()), (Phase::All, vec![]));
-    bench.run(11_500, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+    assert_eq!((harness.judge.phase(), harness.writes()), (Phase::All, vec![]));
+    harness.run(11_500, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
 fn a_judge_ends_when_its_order_is_given_again() {
     for state in [Ordered, Active] {
-        let mut bench = Bench::new(Active);
-        bench.on(JudgeEvent::Order(order(state, 20)));
-        bench.run(20_000, &[("a", 0), ("b", 0)]);
-        assert_eq!(bench.writes(), [], "{state:?}");
+        let mut harness = Harness::new(Active);
+        harness.handle(JudgeEvent::Order(order(state, 20)));
+        harness.run(20_000, &[("a", 0), ("b", 0)]);
+        assert_eq!(harness.writes(), [], "{state:?}");
     }
 }
 
 fn check(case: Case) -> Outcome {
-    let outcome = Run::new(case).play();
-    let is_bad = case.when != When::Never;
+    let outcome = Simulation::new(case).play();
+    let is_bad = case.when != FaultTiming::Never;
     if is_bad {
         // Of a time so short that not even the last step fits into the cap, that step is
         // planned to be seen through at once; what delays that comes on top.
         let slow_to_see = if case.lasts_ms < 30_000 { 0.5 * case.rate } else { 0.0 };
         let most = outcome.cap() + slow_to_see;
-        assert!(outcome.tried as f64 <= most, "{case:?}: {outcome:?}");
+        assert!(outcome.trial_sent as f64 <= most, "{case:?}: {outcome:?}");
         if outcome.state() != Some(Completed) {
-            assert_eq!(outcome.late, 0, "{case:?}: {outcome:?}");
+            assert_eq!(outcome.sent_late, 0, "{case:?}: {outcome:?}");
         }
     }
     assert!(outcome.ends.len() <= 1, "{case:?}: {outcome:?}");
@@ -416,11 +417,11 @@
                     let outcome = check(case);
                     assert_eq!(outcome.state(), Some(RolledBack), "{case:?}: {outcome:?}");
                     let most = match when {
-                        When::AtOnce => at_once,
-                        When::From(_) => half,
+                        FaultTiming::AtOnce => at_once,
+                        FaultTiming::From(_) => half,
                         _ => u64::MAX,
                     };
-                    assert!(outcome.tried <= most, "{case:?}: {outcome:?}");
+                    assert!(outcome.trial_sent <= most, "{case:?}: {outcome:?}");
                 }
             }
         }
@@ -432,7 +433,7 @@
     for lasts_ms in [30_000, 60_000, 300_000] {
         for rate in [10.0, 100.0, 400.0] {
             let unseen = Fault::Fails(0.0);
-            let case = Case { lasts_ms, ..Case::plain(3, rate, 20, When::AtOnce, unseen) };
+            let case = Case { lasts_ms, ..Case::plain(3, rate, 20, FaultTiming::AtOnce, unseen) };
             assert_eq!(check(case).state(), Some(Completed), "{case:?}");
         }
     }
@@ -444,8 +445,11 @@
         for noise in [0.0, 0.002, 0.05] {
             for seed in 0..4 {
                 let fault = Fault::Fails(0.0);
-                let case =
-                    Case { lasts_ms, noise, ..Case::plain(seed, rate, 82, When::Never, fault) };
+                let case = Case {
+                    lasts_ms,
+                    noise,
+                    ..Case::plain(seed, rate, 82, FaultTiming::Never, fault)
+                };
                 let outcome = check(case);
                 let [(Completed, ended, 0)] = outcome.ends[..] else {
                     panic!("{case:?}: {outcome:?}");
@@ -458,11 +462,11 @@
 
 fn any_case() -> impl Strategy<Value = Case> {
     let when = prop_oneof![
-        Just(When::Never),
-        Just(When::AtOnce),
-        (0.1..0.9f64).prop_map(When::From),
-        (0.05..0.5f64).prop_map(When::Above),
-        Just(When::OneRoute),
+        Just(FaultTiming::Never),
+        Just(FaultTiming::AtOnce),
+        (0.1..0.9f64).prop_map(FaultTiming::From),
+        (0.05..0.5f64).prop_map(FaultTiming::Above),
+        Just(FaultTiming::OneRoute),
     ];
     let fault =
         prop_oneof![(0.2..0.5f64).prop_map(Fault::Fails), (3.0..8.0f64).prop_map(Fault::Slow)];
@@ -492,7 +496,7 @@
         let outcome = check(case);
         if let [(Completed, _, open)] = outcome.ends[..] {
             prop_assert_eq!(open, 0, "{:?}", outcome);
-            let is_plain_bad = case.when == When::AtOnce && case.rate >= 100.0;
+            let is_plain_bad = case.when == FaultTiming::AtOnce && case.rate >= 100.0;
             prop_assert!(!is_plain_bad, "{:?}", outcome);
         }
     }
--- a/crates/decide/tests/rollout_table.rs
+++ b/crates/decide/tests/rollout_table.rs
@@ -9,11 +9,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use model::forward::RolloutState;
-use support::{Calls, Case, Count, Fault, Outcome, Run, Way, When};
+use support::{Calls, Case, CountMode, Fault, FaultTiming, Method, Outcome, Simulation};
 
 const FAULTS: [Fault; 4] =
     [Fault::Fails(0.2), Fault::Fails(0.4), Fault::Slow(3.0), Fault::Slow(8.0)];
-const TIMES: [When; 4] = [When::AtOnce, When::From(0.5), When::Above(0.3), When::OneRoute];
+const TIMES: [FaultTiming; 4] =
+    [FaultTiming::AtOnce, FaultTiming::From(0.5), FaultTiming::Above(0.3), FaultTiming::OneRoute];
 const RATES: [f64; 3] = [10.0, 100.0, 1000.0];
 const NODES: [usize; 3] = [4, 82, 300];
 /// Threads that play at once.
@@ -29,7 +30,7 @@
                 while let Some(i) =
                     Some(next.fetch_add(1, Ordering::Relaxed)).filter(|i| *i < cases.len())
                 {
-                    let outcome = Run::new(cases[i]).play();
+                    let outcome = Simulation::new(cases[i]).play();
                     outcomes.lock().expect("no thread failed")[i] = outcome;
                 }
             });
@@ -45,23 +46,23 @@
 }
 
 /// Requests after it turned bad, seconds until it got the last one, and how often it was missed.
-struct Seen {
+struct Summary {
     requests: (f64, f64),
     seconds: (f64, f64),
     missed: usize,
-    over: usize,
+    over_cap: usize,
 }
 
-fn seen(outcomes: &[Outcome]) -> Seen {
+fn summarize(outcomes: &[Outcome]) -> Summary {
     let is_back = |o: &&Outcome| o.state() == Some(RolloutState::RolledBack);
     let after = |o: &Outcome| {
         o.last_tried_ms.saturating_sub(o.bad_from_ms.unwrap_or(o.last_tried_ms)) as f64 / 1000.0
     };
-    Seen {
-        requests: spread(outcomes.iter().map(|o| o.after as f64).collect()),
+    Summary {
+        requests: spread(outcomes.iter().map(|o| o.sent_while_bad as f64).collect()),
         seconds: spread(outcomes.iter().map(after).collect()),
         missed: outcomes.iter().filter(|o| !is_back(o)).count(),
-        over: outcomes.iter().filter(|o| o.tried as f64 > o.cap()).count(),
+        over_cap: outcomes.iter().filter(|o| o.trial_sent as f64 > o.cap()).count(),
     }
 }
 
@@ -69,18 +70,22 @@
 fn a_bad_version_is_seen_by_few_requests() {
     // Most requests after it turned bad, for the middle of twelve roll-outs.
     for (when, rate, most) in [
-        (When::AtOnce, 100.0, 60.0),
-        (When::AtOnce, 1000.0, 120.0),
-        (When::From(0.5), 100.0, 60.0),
-        (When::From(0.5), 1000.0, 150.0),
-        (When::OneRoute, 1000.0, 300.0),
+        (FaultTiming::AtOnce, 100.0, 60.0),
+        (FaultTiming::AtOnce, 1000.0, 120.0),
+        (FaultTiming::From(0.5), 100.0, 60.0),
+        (FaultTiming::From(0.5), 1000.0, 150.0),
+        (FaultTiming::OneRoute, 1000.0, 300.0),
     ] {
         for fault in FAULTS {
             let case = |seed| Case::plain(seed, rate, 82, when, fault);
             let cases: Vec<Case> = (0..12).map(case).collect();
-            let seen = seen(&play(&cases));
-            assert_eq!((seen.missed, seen.over), (0, 0), "{when:?} {fault:?} {rate}");
-            assert!(seen.requests.0 <= most, "{when:?} {fault:?} {rate}: {:?}", seen.requests);
+            let summary = summarize(&play(&cases));
+            assert_eq!((summary.missed, summary.over_cap), (0, 0), "{when:?} {fault:?} {rate}");
+            assert!(
+                summary.requests.0 <= most,
+                "{when:?} {fault:?} {rate}: {:?}",
+                summary.requests
+            );
         }
     }
 }
@@ -88,15 +93,15 @@
 /// Pieces of a call of either version: the share on trial fills its calls less.
 const PIECES: [(u32, u32); 2] = [(16, 2), (2, 16)];
 
-fn of_calls(seed: u64, calls: Calls, noise: f64, fault: Option<Fault>) -> Case {
+fn calls_case(seed: u64, calls: Calls, noise: f64, fault: Option<Fault>) -> Case {
     let (when, fault) = match fault {
-        Some(fault) => (When::AtOnce, fault),
-        None => (When::Never, Fault::Fails(0.0)),
+        Some(fault) => (FaultTiming::AtOnce, fault),
+        None => (FaultTiming::Never, Fault::Fails(0.0)),
     };
     Case { noise, calls: Some(calls), ..Case::plain(seed, 100.0, 82, when, fault) }
 }
 
-fn backs(outcomes: &[Outcome]) -> usize {
+fn rollbacks(outcomes: &[Outcome]) -> usize {
     outcomes.iter().filter(|o| o.state() == Some(RolloutState::RolledBack)).count()
 }
 
@@ -104,17 +109,17 @@
 fn calls_of_other_sizes_make_no_version_look_worse() {
     for pieces in PIECES {
         for shared in [0.0, 1.0] {
-            let calls = Calls { count: Count::Parts, pieces, shared };
-            let good: Vec<Case> = (0..24).map(|s| of_calls(s, calls, 0.02, None)).collect();
+            let calls = Calls { count: CountMode::Parts, pieces, shared };
+            let good: Vec<Case> = (0..24).map(|s| calls_case(s, calls, 0.02, None)).collect();
             let most = 1;
-            assert!(backs(&play(&good)) <= most, "{calls:?}");
+            assert!(rollbacks(&play(&good)) <= most, "{calls:?}");
             if pieces != PIECES[0] {
                 // The cap counts pieces: few calls as large as these come within it.
                 continue;
             }
             let fault = Some(Fault::Fails(0.4));
-            let bad: Vec<Case> = (0..12).map(|s| of_calls(s, calls, 0.02, fault)).collect();
-            assert_eq!(backs(&play(&bad)), bad.len(), "{calls:?}");
+            let bad: Vec<Case> = (0..12).map(|s| calls_case(s, calls, 0.02, fault)).collect();
+            assert_eq!(rollbacks(&play(&bad)), bad.len(), "{calls:?}");
         }
     }
 }
@@ -124,17 +129,17 @@
 fn ways_to_count_the_pieces_of_calls() {
     for pieces in PIECES {
         for shared in [0.0, 0.5, 1.0] {
-            for count in [Count::Whole, Count::Pieces, Count::Parts] {
+            for count in [CountMode::Whole, CountMode::Pieces, CountMode::Parts] {
                 let calls = Calls { count, pieces, shared };
-                let good: Vec<Case> = (0..100).map(|s| of_calls(s, calls, 0.02, None)).collect();
+                let good: Vec<Case> = (0..100).map(|s| calls_case(s, calls, 0.02, None)).collect();
                 let mut row =
-                    format!("| {pieces:?} | {shared} | {count:?} | {}", backs(&play(&good)));
+                    format!("| {pieces:?} | {shared} | {count:?} | {}", rollbacks(&play(&good)));
                 for fault in [Fault::Fails(0.2), Fault::Fails(0.4)] {
-                    let bad = (0..20).map(|s| of_calls(s, calls, 0.02, Some(fault)));
-                    let seen = seen(&play(&bad.collect::<Vec<_>>()));
+                    let bad = (0..20).map(|s| calls_case(s, calls, 0.02, Some(fault)));
+                    let summary = summarize(&play(&bad.collect::<Vec<_>>()));
                     row += &format!(
                         " | {:.0}, {:.1} s, {}",
-                        seen.requests.0, seen.seconds.0, seen.missed
+                        summary.requests.0, summary.seconds.0, summary.missed
                     );
                 }
                 println!("{row} |");
@@ -149,15 +154,16 @@
     for when in TIMES {
         for fault in FAULTS {
             for rate in RATES {
-                for way in [Way::Sequential, Way::FixedCounts] {
-                    let mut row = format!("| {when:?} {fault:?} | {rate} | {way:?} |");
+                for method in [Method::Sequential, Method::FixedCounts] {
+                    let mut row = format!("| {when:?} {fault:?} | {rate} | {method:?} |");
                     for nodes in NODES {
                         let case =
-                            |seed| Case { way, ..Case::plain(seed, rate, nodes, when, fault) };
+                            |seed| Case { method, ..Case::plain(seed, rate, nodes, when, fault) };
                         let cases: Vec<Case> = (0..20).map(case).collect();
-                        let Seen { requests, seconds, missed, over } = seen(&play(&cases));
+                        let Summary { requests, seconds, missed, over_cap } =
+                            summarize(&play(&cases));
                         row += &format!(
-                            " {:.0} ({:.0}), {:.1} s ({:.1}), {missed}, {over} |",
+                            " {:.0} ({:.0}), {:.1} s ({:.1}), {missed}, {over_cap} |",
                             requests.0, requests.1, seconds.0, seconds.1
                         );
                     }
@@ -171,21 +177,21 @@
 #[test]
 #[ignore = "thousands of roll-outs are a report of some minutes"]
 fn false_roll_backs_in_a_thousand_good_roll_outs() {
-    for way in [Way::Sequential, Way::FixedCounts] {
+    for method in [Method::Sequential, Method::FixedCounts] {
         for (noise, rate) in
             [(0.002, 10.0), (0.02, 10.0), (0.002, 100.0), (0.02, 100.0), (0.002, 1000.0)]
         {
             let case = |seed: u64| {
                 let nodes = NODES[seed as usize % NODES.len()];
-                let plain = Case::plain(seed, rate, nodes, When::Never, Fault::Fails(0.0));
-                Case { way, noise, ..plain }
+                let plain = Case::plain(seed, rate, nodes, FaultTiming::Never, Fault::Fails(0.0));
+                Case { method, noise, ..plain }
             };
             let cases: Vec<Case> = (1000..2000).map(case).collect();
             let outcomes = play(&cases);
             let back = outcomes.iter().filter(|o| o.state() == Some(RolloutState::RolledBack));
             let in_time = |o: &&Outcome| matches!(o.ends[..], [(RolloutState::Completed, at, 0)] if at < 60_000);
             let completed = outcomes.iter().filter(in_time).count();
-            println!("| {noise} | {rate} | {way:?} | {} | {completed} |", back.count());
+            println!("| {noise} | {rate} | {method:?} | {} | {completed} |", back.count());
         }
     }
 }
--- a/crates/decide/tests/rollout_versions.rs
+++ b/crates/decide/tests/rollout_versions.rs
@@ -46,7 +46,7 @@
 }
 
 /// Part of many attempts that go to the version on trial.
-fn part(versions: &Versions) -> f64 {
+fn trial_share(versions: &Versions) -> f64 {
     let is_trial = |n: &u32| versions.side_for_attempt("engine", &format!("a{n}")) == Side::Trial;
     f64::from((0..10_000).filter(is_trial).count() as u32) / 10_000.0
 }
@@ -58,7 +58,7 @@
     versions.add_target(&"engine".into(), &"v2".into(), 9, 0);
     assert!(versions.is_known());
     assert_eq!(sides(&versions), (SERVING, SERVING));
-    assert_eq!((versions.unsettled(), part(&versions)), (None, 0.0));
+    assert_eq!((versions.unsettled(), trial_share(&versions)), (None, 0.0));
 }
 
 #[test]
@@ -68,7 +68,11 @@
     assert_eq!(sides(&versions), (None, None));
     versions.apply(list(3, &[]), at(0));
     assert!(versions.is_known());
-    assert_eq!(versions.side("engine", "v1"), SERVING, "the only one, though it is news");
+    assert_eq!(
+        versions.side("engine", "v1"),
+        SERVING,
+        "the only one, though it appeared later than the orders"
+    );
 }
 
 #[test]
@@ -287,7 +291,7 @@
     // Told by a peer that has read nothing else of it.
     assert_eq!(versions.apply(unreadable(20), at(2)), []);
     versions.add_target(&"engine".into(), &"v3".into(), 15, 0);
-    assert_eq!((sides(&versions), part(&versions)), ((None, TRIAL), 1.0));
+    assert_eq!((sides(&versions), trial_share(&versions)), ((None, TRIAL), 1.0));
     assert_eq!(versions.side("engine", "v3"), None);
     let told = versions.list().expect("known");
     assert_eq!((told.orders, told.unreadable), (vec![active.clone()], vec!["engine".into()]));
@@ -399,7 +403,7 @@
 fn a_request_goes_by_the_phase_and_always_the_same_way() {
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     versions.apply(list(12, &[order("v2", RolloutState::Active, 12)]), at(0));
-    assert_eq!(part(&versions), 0.0, "no judge has told a share yet");
+    assert_eq!(trial_share(&versions), 0.0, "no judge has told a share yet");
     // Each phase that is told, whether it changes anything, and the part that goes to v2.
     let cases = [
         (Phase::Share(0.1), true, 0.1),
@@ -413,7 +417,11 @@
     ];
     for (phase, changes, wanted) in cases {
         assert_eq!(versions.set_phase(&id("v2"), phase), changes, "{phase:?}");
-        assert!((part(&versions) - wanted).abs() < 0.02, "{phase:?}: {}", part(&versions));
+        assert!(
+            (trial_share(&versions) - wanted).abs() < 0.02,
+            "{phase:?}: {}",
+            trial_share(&versions)
+        );
     }
     assert_eq!(sides(&versions), (SERVING, None));
     assert!(!versions.set_phase(&id("v3"), Phase::All), "of another order");
@@ -424,9 +432,9 @@
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     versions.apply(list(12, &[order("v2", RolloutState::Active, 12)]), at(0));
     versions.set_phase(&id("v2"), Phase::All);
-    assert_eq!((sides(&versions), part(&versions)), ((None, TRIAL), 1.0));
+    assert_eq!((sides(&versions), trial_share(&versions)), ((None, TRIAL), 1.0));
     versions.remove_target(&"engine".into(), &"v2".into());
-    assert_eq!((versions.side("engine", "v1"), part(&versions)), (SERVING, 0.0));
+    assert_eq!((versions.side("engine", "v1"), trial_share(&versions)), (SERVING, 0.0));
 }
 
 #[test]
@@ -462,13 +470,13 @@
     fleet.vanish(&"t1".into(), None, at(0));
     assert_eq!(usable(&fleet), ["t2".into()], "the only one left");
     fleet.upsert(target("t1", "v1", 20), at(0));
-    assert_eq!(usable(&fleet), ["t2".into()], "the other one is news now");
+    assert_eq!(usable(&fleet), ["t2".into()], "the orders are not known up to its new revision");
     fleet.upsert(target("t2", "v1", 21), at(0));
     assert_eq!(usable(&fleet).len(), 2, "both are of one version");
 }
 
 #[derive(Debug, Clone, Copy)]
-enum News {
+enum Update {
     Target(&'static str, u64),
     Orders(u64),
 }
@@ -525,18 +533,18 @@
         known in proptest::collection::vec(1u64..50, 1..6),
     ) {
         let mut rng = Rng::new(seed);
-        let mut news: Vec<News> = known.into_iter().map(News::Orders).collect();
-        news.extend([News::Target("v1", 5), News::Target("v1", 6), News::Target("v2", 11)]);
-        rng.shuffle(&mut news);
+        let mut updates: Vec<Update> = known.into_iter().map(Update::Orders).collect();
+        updates.extend([Update::Target("v1", 5), Update::Target("v1", 6), Update::Target("v2", 11)]);
+        rng.shuffle(&mut updates);
         let mut versions = versions(&[]);
         let mut has_old = false;
-        for item in news {
+        for item in updates {
             match item {
-                News::Target(version, revision) => {
+                Update::Target(version, revision) => {
                     has_old |= version == "v1";
                     versions.add_target(&"engine".into(), &version.into(), revision, 0);
                 }
-                News::Orders(revision) => {
+                Update::Orders(revision) => {
                     versions.apply(orders_at(revision), at(0));
                 }
             }
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -25,16 +25,16 @@
     t
 }
 
-fn ask(prefix: u64) -> RouteQuery<'static> {
+fn query(prefix: u64) -> RouteQuery<'static> {
     RouteQuery { now: NOW, prefix, model: None, budget: 500.0, tried: &[] }
 }
 
 fn pick(kind: PolicyKind, t: &PoolTable, prefix: u64) -> Option<Name> {
-    let i = make_policy(kind, 1).pick(&ask(prefix), t)?;
+    let i = make_policy(kind, 1).pick(&query(prefix), t)?;
     Some(t.slots()[i].info.name.clone())
 }
 
-fn news(name: &str, seq: u64) -> TargetNews {
+fn report(name: &str, seq: u64) -> TargetNews {
     let report = Report { target: name.into(), seq, ..Report::default() };
     TargetNews { report, seq, ready: true, polled: true }
 }
@@ -77,17 +77,17 @@
     for kind in ALL {
         let mut t = table(4, |_| 0);
         t.mark_leaving("t0");
-        let down = TargetNews { ready: false, ..news("t1", 1) };
+        let down = TargetNews { ready: false, ..report("t1", 1) };
         t.update(NOW, &down);
         for (name, model) in [("t2", "m@v1"), ("t3", "m@v2")] {
-            let mut n = news(name, 1);
+            let mut n = report(name, 1);
             n.report.models = vec![model.into()];
             t.update(NOW, &n);
         }
         let mut policy = make_policy(kind, 1);
         for prefix in 0..100 {
-            let ask = RouteQuery { model: Some("m@v2"), ..ask(prefix) };
-            let i = policy.pick(&ask, &t).expect("t3 fits");
+            let wanted = RouteQuery { model: Some("m@v2"), ..query(prefix) };
+            let i = policy.pick(&wanted, &t).expect("t3 fits");
             assert_eq!(&*t.slots()[i].info.name, "t3", "{kind:?}");
         }
     }
@@ -95,30 +95,30 @@
 
 #[test]
 fn what_other_nodes_told_of_a_target_does_not_say_which_models_it_holds() {
-    let (name, wanted) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..ask(0) });
+    let (name, wanted) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..query(0) });
     let mut board = Board::default();
     board.set_targets([name.clone()].iter());
     let polled = Report { target: name.clone(), seq: 1, ..Report::default() };
-    let rumor = board.polled(polled).expect("news");
+    let rumor = board.polled(polled).expect("a new report");
     let holds_none = board.get("t0").expect("polled").clone();
     let mut elsewhere = Board::default();
     elsewhere.set_targets([name.clone()].iter());
-    elsewhere.heard(rumor).expect("news there");
-    for (news, fits) in [(&holds_none, false), (elsewhere.get("t0").expect("heard"), true)] {
+    elsewhere.heard(rumor).expect("new to the other node");
+    for (report, fits) in [(&holds_none, false), (elsewhere.get("t0").expect("heard"), true)] {
         let mut t = table(1, |_| 0);
-        t.update(NOW, news);
+        t.update(NOW, report);
         let picked = make_policy(PolicyKind::Home, 1).pick(&wanted, &t);
-        assert_eq!(picked.is_some(), fits, "{news:?}");
+        assert_eq!(picked.is_some(), fits, "{report:?}");
     }
 }
 
 #[test]
 fn older_news_never_replaces_newer() {
     let mut t = table(1, |_| 0);
-    let mut leaving = news("t0", 5);
+    let mut leaving = report("t0", 5);
     leaving.report.leaving = true;
     t.update(NOW, &leaving);
-    t.update(NOW, &news("t0", 4));
+    t.update(NOW, &report("t0", 4));
     assert!(t.slots()[0].leaving);
 }
 
@@ -147,7 +147,7 @@
     let mut policy = make_policy(PolicyKind::Home, 3);
     let mut taken = std::collections::BTreeSet::new();
     for _ in 0..60 {
-        let i = policy.pick(&ask(9), &t).expect("a target");
+        let i = policy.pick(&query(9), &t).expect("a target");
         let name = t.slots()[i].info.name.clone();
         t.record_sent(NOW, &name);
         taken.insert(name);
@@ -182,7 +182,7 @@
     let mut counts = [0u32; 4];
     for n in 0..2000u64 {
         let now = NOW + Duration::from_millis(n);
-        let i = policy.pick(&RouteQuery { now, ..ask(rng.draw()) }, &t).expect("a target");
+        let i = policy.pick(&RouteQuery { now, ..query(rng.draw()) }, &t).expect("a target");
         let name = t.slots()[i].info.name.clone();
         let sent = t.record_sent(now, &name);
         counts[i] += 1;
--- a/crates/decide/tests/support/rollout/case.rs
+++ b/crates/decide/tests/support/rollout/case.rs
@@ -7,7 +7,7 @@
 
 /// When a version is bad.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum When {
+pub enum FaultTiming {
     /// Never.
     Never,
     /// From the start.
@@ -31,7 +31,7 @@
 
 /// What judges.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Method {
     /// The sequential tests of the judge and the nodes.
     Sequential,
     /// Fixed counts over the whole time, for comparison: of fifty answers on trial, of a route
@@ -42,12 +42,12 @@
 
 /// Bad answers and all, as `Way::FixedCounts` counts them; by route, then of all.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Counts {
+pub(super) struct AnswerCounts {
     serving: (f64, f64),
     trial: (f64, f64),
 }
 
-impl Counts {
+impl AnswerCounts {
     pub(super) fn take(&mut self, side: Side, is_bad: bool) {
         let of = if side == Side::Trial { &mut self.trial } else { &mut self.serving };
         of.0 += f64::from(u8::from(is_bad));
@@ -62,7 +62,7 @@
 
 /// How the pieces of a call are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Count {
+pub enum CountMode {
     /// A call with one that failed is a failure.
     Whole,
     /// Each is an answer.
@@ -74,7 +74,7 @@
 /// Requests that are calls of several pieces.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Calls {
-    pub count: Count,
+    pub count: CountMode,
     /// Pieces of a call: of the version that serves, of the one on trial.
     pub pieces: (u32, u32),
     /// Part of the calls whose pieces all share one fate.
@@ -84,13 +84,13 @@
 /// One roll-out.
 #[derive(Debug, Clone, Copy)]
 pub struct Case {
-    pub way: Way,
+    pub method: Method,
     pub seed: u64,
     pub lasts_ms: u64,
     pub rate: f64,
     pub nodes: usize,
     pub routes: usize,
-    pub when: When,
+    pub when: FaultTiming,
     pub fault: Fault,
     /// Part of the answers that fail whatever the version.
     pub noise: f64,
@@ -108,9 +108,9 @@
 
 impl Case {
     /// Undisturbed, four routes.
-    pub fn plain(seed: u64, rate: f64, nodes: usize, when: When, fault: Fault) -> Self {
+    pub fn plain(seed: u64, rate: f64, nodes: usize, when: FaultTiming, fault: Fault) -> Self {
         Case {
-            way: Way::Sequential,
+            method: Method::Sequential,
             seed,
             lasts_ms: 60_000,
             rate,
@@ -137,21 +137,21 @@
 pub struct Outcome {
     /// Requests from the order to the deadline, and those of them to the version on trial.
     pub sent: u64,
-    pub tried: u64,
+    pub trial_sent: u64,
     /// Final states that the store took, with the time and the requests that were open at the
     /// old version then, of nodes in touch with the writer.
     pub ends: Vec<(RolloutState, u64, u32)>,
     /// When it turned bad, and the requests that it got from then on.
     pub bad_from_ms: Option<u64>,
-    pub after: u64,
+    pub sent_while_bad: u64,
     /// Requests to the version sent later than `back` after the fiftieth bad answer.
-    pub late: u64,
+    pub sent_late: u64,
     /// When the version got its last request.
     pub last_tried_ms: u64,
     /// Judgements: time and cause.
     pub judged: Vec<(u64, &'static str)>,
     /// Greatest chance that was in force.
-    pub most: f64,
+    pub max_share: f64,
 }
 
 impl Outcome {
--- a/crates/decide/tests/support/rollout/mod.rs
+++ b/crates/decide/tests/support/rollout/mod.rs
@@ -14,8 +14,8 @@
 use model::member::NodeId;
 use model::{Name, Time};
 
-use case::Counts;
-pub use case::{BOUNDS, Calls, Case, Count, Fault, Outcome, Way, When};
+use case::AnswerCounts;
+pub use case::{BOUNDS, Calls, Case, CountMode, Fault, FaultTiming, Method, Outcome};
 use traffic::Answer;
 
 /// Revision of the first list of orders, after the order and the targets of its version came.
@@ -40,22 +40,22 @@
     open: u32,
     since_ms: u64,
     /// When its last report reached the judge.
-    told_ms: u64,
+    last_report_ms: u64,
 }
 
 struct Write {
     judge: usize,
     sent_ms: u64,
     /// When each node had last told its judge by then.
-    told_ms: Vec<u64>,
+    last_report_ms: Vec<u64>,
     state: RolloutState,
     revision: u64,
-    lands_ms: Option<u64>,
+    applied_ms: Option<u64>,
     answer: Option<(u64, bool)>,
     lost: bool,
 }
 
-pub struct Run {
+pub struct Simulation {
     case: Case,
     rng: Rng,
     now: u64,
@@ -64,7 +64,7 @@
     nodes: Vec<Node>,
     judges: Vec<Option<Judge>>,
     /// Revision of the order that each judge last heard of.
-    heard: [u64; 2],
+    known_revision: [u64; 2],
     order: Rollout,
     /// What the store holds, and when.
     history: Vec<(u64, Rollout)>,
@@ -73,10 +73,10 @@
     answers: Vec<Answer>,
     attempts: u64,
     bad: u32,
-    fiftieth: Option<u64>,
-    trial_part: f64,
-    owed: f64,
-    counts: Vec<Counts>,
+    fiftieth_bad_ms: Option<u64>,
+    trial_share: f64,
+    arrivals_due: f64,
+    counts: Vec<AnswerCounts>,
     pub outcome: Outcome,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl Node {
-    fn take_back(&mut self) {
+    fn roll_back(&mut self) {
         if let Some(order) = self.versions.order_id("s") {
             self.versions.set_phase(&order, Phase::Back);
         }
@@ -112,14 +112,21 @@
     versions.apply(list(LISTED_AT.max(order.revision), order), now);
     let id = NodeId { name: format!("n{name}").into(), start };
     let since_ms = now.0 / 1000;
-    Node { id, versions, evidence: Evidence::default(), open: 0, since_ms, told_ms: since_ms }
+    Node {
+        id,
+        versions,
+        evidence: Evidence::default(),
+        open: 0,
+        since_ms,
+        last_report_ms: since_ms,
+    }
 }
 
-impl Run {
+impl Simulation {
     pub fn new(case: Case) -> Self {
         let order = order(&case);
         let nodes = (0..case.nodes).map(|n| node(n, 0, &order, Time::ZERO)).collect();
-        let mut run = Run {
+        let mut simulation = Simulation {
             case,
             rng: Rng::new(case.seed),
             now: 0,
@@ -127,7 +134,7 @@
             routes: (0..case.routes).map(|r| format!("r{r}").into()).collect(),
             nodes,
             judges: vec![None, None],
-            heard: [0; 2],
+            known_revision: [0; 2],
             history: vec![(0, order.clone())],
             order,
             writes: Vec::new(),
@@ -135,35 +142,35 @@
             answers: Vec::new(),
             attempts: 0,
             bad: 0,
-            fiftieth: None,
-            trial_part: 0.0,
-            owed: 0.0,
-            counts: vec![Counts::default(); case.routes + 1],
+            fiftieth_bad_ms: None,
+            trial_share: 0.0,
+            arrivals_due: 0.0,
+            counts: vec![AnswerCounts::default(); case.routes + 1],
             outcome: Outcome::default(),
         };
-        run.begin(0);
-        run
+        simulation.start_judge(0);
+        simulation
     }
 
     fn at(&self) -> Time {
         Time::from_millis(self.now)
     }
 
-    fn begin(&mut self, judge: usize) {
+    fn start_judge(&mut self, judge: usize) {
         let age = Duration::from_millis(self.now);
-        let known = self.known(WATCH_MS);
-        self.heard[judge] = known.revision;
+        let known = self.stored_order(WATCH_MS);
+        self.known_revision[judge] = known.revision;
         let since = known.revision;
         self.judges[judge] = Some(Judge::new(BOUNDS, known, since, age, self.at()));
     }
 
-    fn is_cut(&self) -> bool {
+    fn is_partitioned(&self) -> bool {
         self.case.cut_ms.is_some_and(|(from, to)| (from..to).contains(&self.now))
     }
 
     /// Judge that a node reports to.
     fn judge_of(&self, node: usize) -> usize {
-        usize::from(self.is_cut() && node % 2 == 1)
+        usize::from(self.is_partitioned() && node % 2 == 1)
     }
 
     /// Plays it to its end.
@@ -182,26 +189,26 @@
 
     fn step(&mut self) {
         self.restart();
-        self.tell();
-        self.land();
-        self.send();
-        self.hear();
+        self.deliver_changes();
+        self.apply_writes();
+        self.send_requests();
+        self.process_answers();
         for judge in 0..2 {
-            if self.judges[judge].is_none() && judge == 1 && self.is_cut() {
-                self.begin(1);
+            if self.judges[judge].is_none() && judge == 1 && self.is_partitioned() {
+                self.start_judge(1);
             }
-            if judge == 1 && !self.is_cut() {
+            if judge == 1 && !self.is_partitioned() {
                 self.judges[1] = None;
             }
             let up = self.nodes.iter().enumerate();
             let up = up.filter(|(n, _)| self.judge_of(*n) == judge);
             let up: Vec<NodeId> = up.map(|(_, node)| node.id.clone()).collect();
             if self.now.is_multiple_of(200) {
-                self.on(judge, JudgeEvent::Nodes(up));
-                self.on(judge, JudgeEvent::Targets { serving: 4, trial: 4 });
+                self.handle(judge, JudgeEvent::Nodes(up));
+                self.handle(judge, JudgeEvent::Targets { serving: 4, trial: 4 });
             }
             if self.now.is_multiple_of(100) {
-                self.on(judge, JudgeEvent::Tick);
+                self.handle(judge, JudgeEvent::Tick);
             }
         }
         for n in 0..self.nodes.len() {
@@ -215,23 +222,23 @@
         if self.rng.unit() < self.case.restarts * STEP_MS as f64 / 1000.0 {
             let n = self.rng.below(self.nodes.len());
             let start = self.nodes[n].id.start + 1;
-            let known = self.known(WATCH_MS);
+            let known = self.stored_order(WATCH_MS);
             self.nodes[n] = node(n, start, &known, self.at());
             if n == 0 {
-                self.begin(0);
+                self.start_judge(0);
             }
         }
     }
 
     /// The order as it was in the store some time ago.
-    fn known(&self, ago_ms: u64) -> Rollout {
+    fn stored_order(&self, ago_ms: u64) -> Rollout {
         let then = self.now.saturating_sub(ago_ms);
         let known = self.history.iter().rev().find(|(at, _)| *at <= then);
         known.map_or_else(|| order(&self.case), |(_, order)| order.clone())
     }
 
     /// Nodes and judges hear of a change in the store.
-    fn tell(&mut self) {
+    fn deliver_changes(&mut self) {
         let then = self.now.saturating_sub(WATCH_MS);
         let Some((at, order)) = self.history.last().cloned() else {
             return;
@@ -245,47 +252,48 @@
             node.versions.apply(list, now);
         }
         for judge in 0..2 {
-            self.on(judge, JudgeEvent::Order(order.clone()));
+            self.handle(judge, JudgeEvent::Order(order.clone()));
         }
     }
 
     /// Writes reach the store, and their ends the judges.
-    fn land(&mut self) {
+    fn apply_writes(&mut self) {
         for mut write in std::mem::take(&mut self.writes) {
-            if write.lands_ms.is_some_and(|at| at <= self.now) {
-                write.lands_ms = None;
-                let stands = write.revision == self.order.revision;
-                if stands {
+            if write.applied_ms.is_some_and(|at| at <= self.now) {
+                write.applied_ms = None;
+                let applied = write.revision == self.order.revision;
+                if applied {
                     self.order.state = write.state;
                     self.order.revision = self.order.revision.max(LISTED_AT) + 1;
                     self.history.push((self.now, self.order.clone()));
-                    self.ended(write.judge, write.sent_ms, &write.told_ms);
+                    self.record_end(write.judge, write.sent_ms, &write.last_report_ms);
                 }
                 if !write.lost {
-                    write.answer = Some((self.now + STEP_MS, stands));
+                    write.answer = Some((self.now + STEP_MS, applied));
                 }
             }
-            if let Some((_, stands)) = write.answer.filter(|(at, _)| *at <= self.now) {
+            if let Some((_, applied)) = write.answer.filter(|(at, _)| *at <= self.now) {
                 write.answer = None;
-                self.on(write.judge, JudgeEvent::WriteEnded(stands));
+                self.handle(write.judge, JudgeEvent::WriteEnded(applied));
                 let order = self.order.clone();
-                if !stands {
-                    self.on(write.judge, JudgeEvent::Order(order));
+                if !applied {
+                    self.handle(write.judge, JudgeEvent::Order(order));
                 }
             }
-            if write.lands_ms.is_some() || write.answer.is_some() {
+            if write.applied_ms.is_some() || write.answer.is_some() {
                 self.writes.push(write);
             }
         }
     }
 
-    fn ended(&mut self, judge: usize, sent_ms: u64, told_ms: &[u64]) {
+    fn record_end(&mut self, judge: usize, sent_ms: u64, last_report_ms: &[u64]) {
         if self.order.state.is_final() {
             let nodes = self.nodes.iter().enumerate();
             // The judge cannot know of a node that started just before it wrote, or later, and
             // does not wait for one that it had not heard for long when it wrote.
             let known = |n: usize, node: &Node| {
-                node.since_ms + START_KNOWN_MS <= sent_ms && told_ms[n] + SILENT_MS >= sent_ms
+                node.since_ms + START_KNOWN_MS <= sent_ms
+                    && last_report_ms[n] + SILENT_MS >= sent_ms
             };
             let reached = nodes.filter(|(n, node)| self.judge_of(*n) == judge && known(*n, node));
             let open = reached.map(|(_, node)| node.open).sum();
@@ -293,22 +301,22 @@
         }
     }
 
-    fn on(&mut self, judge: usize, event: JudgeEvent) {
+    fn handle(&mut self, judge: usize, event: JudgeEvent) {
         let now = self.at();
         if let JudgeEvent::Order(order) = &event {
-            self.heard[judge] = self.heard[judge].max(order.revision);
+            self.known_revision[judge] = self.known_revision[judge].max(order.revision);
         }
-        let Some(deciding) = &mut self.judges[judge] else {
+        let Some(machine) = &mut self.judges[judge] else {
             return;
         };
-        for action in deciding.handle(now, event) {
+        for action in machine.handle(now, event) {
             match action {
                 JudgeAction::Write(state) => self.write(judge, state),
                 JudgeAction::Judged { verdict, .. } => {
                     self.outcome.judged.push((self.now, verdict.cause.as_str()));
                 }
                 JudgeAction::Phase(Phase::Share(chance)) => {
-                    self.outcome.most = self.outcome.most.max(chance);
+                    self.outcome.max_share = self.outcome.max_share.max(chance);
                 }
                 JudgeAction::Phase(_) => {}
             }
@@ -316,9 +324,9 @@
     }
 
     fn write(&mut self, judge: usize, state: RolloutState) {
-        let revision = self.heard[judge];
+        let revision = self.known_revision[judge];
         let lost = self.rng.unit() < self.case.lost_writes;
-        let lands_ms = match (lost, self.rng.below(4)) {
+        let applied_ms = match (lost, self.rng.below(4)) {
             (true, 0) => None,
             (true, 1) => Some(self.now + 1000 + self.rng.below(3000) as u64),
             _ => Some(self.now + STEP_MS),
@@ -327,10 +335,10 @@
         self.writes.push(Write {
             judge,
             sent_ms: self.now,
-            told_ms: self.nodes.iter().map(|node| node.told_ms).collect(),
+            last_report_ms: self.nodes.iter().map(|node| node.last_report_ms).collect(),
             state,
             revision,
-            lands_ms,
+            applied_ms,
             answer,
             lost,
         });
@@ -357,8 +365,8 @@
         if self.rng.unit() < self.case.lost {
             return;
         }
-        self.nodes[n].told_ms = self.now;
-        self.on(judge, JudgeEvent::Report(report));
+        self.nodes[n].last_report_ms = self.now;
+        self.handle(judge, JudgeEvent::Report(report));
         if self.rng.unit() < self.case.lost {
             return;
         }
--- a/crates/decide/tests/support/rollout/traffic.rs
+++ b/crates/decide/tests/support/rollout/traffic.rs
@@ -7,8 +7,8 @@
 use model::forward::{Phase, Side};
 use model::{Name, Time};
 
-use super::case::{BOUNDS, Calls, Count, Counts, Fault, Way, When};
-use super::{Run, STEP_MS};
+use super::case::{AnswerCounts, BOUNDS, Calls, CountMode, Fault, FaultTiming, Method};
+use super::{STEP_MS, Simulation};
 
 /// A request that was sent, and its answer.
 pub(super) struct Answer {
@@ -25,16 +25,16 @@
 }
 
 impl Answer {
-    fn count_in(&self, count: Count, evidence: &mut Evidence, service: &Name, route: &Name) {
+    fn count_into(&self, count: CountMode, evidence: &mut Evidence, service: &Name, route: &Name) {
         let Answer { side, took, pieces, failed, .. } = self;
         match count {
-            Count::Parts => {
+            CountMode::Parts => {
                 let part = f64::from(*failed) / f64::from(*pieces);
                 evidence.record_partial(service, route, *side, part, *took);
             }
-            Count::Whole if *failed > 0 => evidence.record_bad(service, route, *side),
-            Count::Whole => evidence.record_good(service, route, *side, *took),
-            Count::Pieces => {
+            CountMode::Whole if *failed > 0 => evidence.record_bad(service, route, *side),
+            CountMode::Whole => evidence.record_good(service, route, *side, *took),
+            CountMode::Pieces => {
                 (0..*failed).for_each(|_| evidence.record_bad(service, route, *side));
                 (*failed..*pieces).for_each(|_| evidence.record_good(service, route, *side, *took));
             }
@@ -43,7 +43,7 @@
 }
 
 impl Calls {
-    fn of(&self, side: Side) -> u32 {
+    fn pieces_of(&self, side: Side) -> u32 {
         match side {
             Side::Serving => self.pieces.0,
             Side::Trial => self.pieces.1,
@@ -51,7 +51,7 @@
     }
 }
 
-impl Run {
+impl Simulation {
     /// Pieces of a call that fail.
     fn failed_pieces(&mut self, pieces: u32, hit: bool) -> u32 {
         let Some(calls) = self.case.calls else {
@@ -69,29 +69,29 @@
 
     fn is_bad(&self, route: usize) -> bool {
         match self.case.when {
-            When::Never => false,
-            When::AtOnce => true,
-            When::From(part) => self.now as f64 >= part * self.case.lasts_ms as f64,
-            When::Above(part) => self.trial_part > part,
-            When::OneRoute => route == 0,
+            FaultTiming::Never => false,
+            FaultTiming::AtOnce => true,
+            FaultTiming::From(part) => self.now as f64 >= part * self.case.lasts_ms as f64,
+            FaultTiming::Above(part) => self.trial_share > part,
+            FaultTiming::OneRoute => route == 0,
         }
     }
 
-    pub(super) fn send(&mut self) {
-        self.owed += self.case.rate * STEP_MS as f64 / 1000.0;
-        let (mut sent, mut tried) = (0.0, 0.0);
+    pub(super) fn send_requests(&mut self) {
+        self.arrivals_due += self.case.rate * STEP_MS as f64 / 1000.0;
+        let (mut sent, mut to_trial) = (0.0, 0.0);
         // Arrivals at random: each of many callers sends with a small chance.
-        let lots = (self.owed * 2.0).ceil() as usize + 1;
-        let chance = self.owed / lots as f64;
-        self.owed = 0.0;
-        for _ in 0..lots {
+        let callers = (self.arrivals_due * 2.0).ceil() as usize + 1;
+        let chance = self.arrivals_due / callers as f64;
+        self.arrivals_due = 0.0;
+        for _ in 0..callers {
             if self.rng.unit() < chance {
                 sent += 1.0;
-                tried += f64::from(u8::from(self.request() == Side::Trial));
+                to_trial += f64::from(u8::from(self.request() == Side::Trial));
             }
         }
         if sent > 0.0 {
-            self.trial_part += 0.2 * (tried / sent - self.trial_part);
+            self.trial_share += 0.2 * (to_trial / sent - self.trial_share);
         }
     }
 
@@ -103,30 +103,31 @@
         let node = &mut self.nodes[n];
         let side = node.versions.side_for_attempt("s", &attempt);
         let version = if side == Side::Trial { "v2" } else { "v1" };
-        let order_state = node.versions.running().next().is_some();
-        if order_state {
+        let is_running = node.versions.running().next().is_some();
+        if is_running {
             assert_eq!(node.versions.side("s", version), Some(side), "at {} ms", self.now);
         }
-        let pieces = self.case.calls.map_or(1, |calls| calls.of(side));
+        let pieces = self.case.calls.map_or(1, |calls| calls.pieces_of(side));
         node.evidence.record_sent(&self.service, &self.routes[route], side, pieces);
         let new = side == Side::Trial
-            || !order_state && node.versions.side("s", "v2") == Some(Side::Serving);
+            || !is_running && node.versions.side("s", "v2") == Some(Side::Serving);
         node.open += u32::from(!new);
         let start = node.id.start;
         if self.now < self.case.lasts_ms {
             self.outcome.sent += 1;
             // Nodes that are cut off are not bound.
-            self.outcome.tried += u64::from(new && self.judge_of(n) == 0);
+            self.outcome.trial_sent += u64::from(new && self.judge_of(n) == 0);
         }
         if new {
-            let is_bad = self.case.when == When::OneRoute || self.is_bad(route);
+            let is_bad = self.case.when == FaultTiming::OneRoute || self.is_bad(route);
             if is_bad || self.outcome.bad_from_ms.is_some() {
                 self.outcome.bad_from_ms.get_or_insert(self.now);
-                self.outcome.after += u64::from(self.now < self.case.lasts_ms);
+                self.outcome.sent_while_bad += u64::from(self.now < self.case.lasts_ms);
             }
             self.outcome.last_tried_ms = self.now;
             let back = BOUNDS.rollback_within.as_millis() as u64;
-            self.outcome.late += u64::from(self.fiftieth.is_some_and(|at| self.now > at + back));
+            self.outcome.sent_late +=
+                u64::from(self.fiftieth_bad_ms.is_some_and(|at| self.now > at + back));
         }
         let spread: f64 = (0..6).map(|_| self.rng.unit()).sum::<f64>() - 3.0;
         let usual = 40.0 * (1 + route) as f64 * (0.5 * spread).exp();
@@ -146,7 +147,7 @@
         side
     }
 
-    pub(super) fn hear(&mut self) {
+    pub(super) fn process_answers(&mut self) {
         while let Some(Reverse((due, _))) = self.pending.peek() {
             if *due > self.now {
                 return;
@@ -158,7 +159,7 @@
             if answer.bad {
                 self.bad += 1;
                 if self.bad == 50 {
-                    self.fiftieth = Some(self.now);
+                    self.fiftieth_bad_ms = Some(self.now);
                 }
             }
             let node = &mut self.nodes[answer.node];
@@ -169,25 +170,25 @@
                 node.open -= 1;
             }
             let (service, route) = (&self.service, &self.routes[answer.route]);
-            if self.case.way == Way::FixedCounts {
+            if self.case.method == Method::FixedCounts {
                 let is_slow = answer.took.as_secs_f64() > 0.1 * (1 + answer.route) as f64;
                 for count in [answer.route, self.case.routes] {
                     self.counts[count].take(answer.side, answer.fails || is_slow);
                 }
-                if self.counts.iter().any(Counts::is_bad) {
-                    node.take_back();
+                if self.counts.iter().any(AnswerCounts::is_bad) {
+                    node.roll_back();
                 }
                 let took = Duration::from_millis(40 * (1 + answer.route) as u64);
                 node.evidence.record_good(service, route, answer.side, took);
             } else if let Some(calls) = self.case.calls {
-                answer.count_in(calls.count, &mut node.evidence, service, route);
+                answer.count_into(calls.count, &mut node.evidence, service, route);
             } else if answer.fails {
                 node.evidence.record_bad(service, route, answer.side);
             } else {
                 node.evidence.record_good(service, route, answer.side, answer.took);
             }
             if answer.side == Side::Trial && answer.bad && node.evidence.proves_bad("s").is_some() {
-                node.take_back();
+                node.roll_back();
             }
         }
     }
