--- a/crates/decide/tests/resend.rs
+++ b/crates/decide/tests/resend.rs
@@ -1,4 +1,4 @@
-//! When a forwarded request may be sent again, and what its end promises.
+//! When a forwarded request may be sent again, and what its outcome guarantees.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_request_that_may_run_once_is_resent_only_if_it_certainly_did_not_run() {
+fn a_run_once_request_is_resent_only_if_it_certainly_did_not_run() {
     use Execution::{Excluded, Possible};
     let cases: &[(Repeat, u32, &[Execution], Next)] = &[
         (Repeat::Once, 1, &[], Next::Resend),
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn a_send_under_way_may_have_run() {
+fn an_attempt_in_flight_may_have_run() {
     let mut tries = Attempts::new(Repeat::Once, 1);
     assert_eq!(tries.ending(), Ending::NotRun);
     tries.connected();
     assert_eq!(tries.ending(), Ending::Unknown, "bytes may be at the target");
     tries.record(Execution::Excluded);
-    assert_eq!(tries.ending(), Ending::NotRun, "the target said that it did not run it");
+    assert_eq!(tries.ending(), Ending::NotRun, "the target reported that it did not run it");
 }
 
 #[test]
-fn a_begun_answer_is_broken_off_or_resumed() {
+fn a_begun_response_is_closed_or_resumed() {
     let mut once = attempts(Repeat::StreamOnce, 3, &[Execution::Possible]);
     once.response_begun = true;
     assert_eq!(once.next(LEFT, || true), Next::End(Ending::BreakOff));
@@ -65,15 +65,15 @@
     assert_eq!(tried.next(LEFT, || false), Next::End(Ending::Unknown));
     assert_eq!(tried.next(Duration::ZERO, || true), Next::End(Ending::Unknown));
     let first = Attempts::new(Repeat::Once, 1);
-    assert_eq!(first.next(LEFT, || false), Next::Resend, "a first send needs no budget");
+    assert_eq!(first.next(LEFT, || false), Next::Resend, "a first attempt needs no budget");
 }
 
 fn budgets_of(tuning: BudgetTuning, is_first: bool, nodes: usize) -> Vec<RepeatBudget> {
     (0..nodes as u64).map(|seed| RepeatBudget::new(tuning, is_first, seed)).collect()
 }
 
-/// Repeats granted of those asked for in a fleet whose nodes send no requests besides. Some of
-/// them ask, each once in `every_s`; no window of ten seconds may hold more than the budget.
+/// Share of the requested repeats that is granted in a fleet whose nodes send no other requests.
+/// Some nodes ask, each once in `every_s`; no window of ten seconds may hold more than the budget.
 fn granted_share(nodes: usize, asking: usize, every_s: f64, is_first: bool) -> f64 {
     let tuning = BudgetTuning { ratio: 0.2, window: Duration::from_secs(10), slack: 1040.0 };
     let mut budgets = budgets_of(tuning, is_first, nodes);
@@ -93,19 +93,19 @@
 }
 
 #[test]
-fn a_fleet_whose_nodes_hold_less_than_one_repeat_each_still_has_its_budget() {
+fn a_large_fleet_with_fractional_repeats_can_use_its_budget() {
     for nodes in [300, 986, 2000] {
         for is_first in [true, false] {
             granted_share(nodes, nodes, 2.0, is_first);
         }
-        // A tenth of the nodes is in trouble. Seven tenths of the slack are drawn.
+        // A tenth of the nodes ask. Seven tenths of the slack are used.
         let part: f64 = 0.7 * 1040.0 / nodes as f64;
         let share = granted_share(nodes, nodes / 10, 12.0, true);
         assert!(share > part.min(1.0) * 0.85, "{share} of {part} at {nodes} nodes");
     }
 }
 
-/// Nine nodes whose every request fails and is repeated while the budget allows.
+/// Nine nodes on which every request fails and is repeated as far as the budget allows.
 #[test]
 fn summed_repeats_of_all_nodes_stay_within_the_shared_budget() {
     let (ratio, slack, nodes) = (0.2, 58.0, 9);
@@ -131,14 +131,14 @@
         let repeats = within.iter().filter(|(_, r)| *r).count() as f64;
         let requests = within.len() as f64 - repeats;
         assert!(repeats <= requests * ratio + slack, "{repeats} repeats of {requests} requests");
-        assert!(repeats > 0.0, "the budget is there to be used");
+        assert!(repeats > 0.0, "the budget must be usable");
     }
 }
 
-/// Nodes that start again know nothing of what they have spent. All were killed together while
-/// targets turned much away, and spent the slack once more within one window.
+/// A restarted node does not know what it spent before. When all nodes were killed together while
+/// targets rejected many requests, they spent the slack a second time within one window.
 #[test]
-fn nodes_that_start_again_spend_no_more_than_the_shared_budget() {
+fn restarted_nodes_spend_no_more_than_the_shared_budget() {
     let (ratio, slack, nodes) = (0.2, 56.0, 8);
     let window = Duration::from_secs(10);
     let tuning = BudgetTuning { ratio, window, slack };
--- a/crates/decide/tests/rollout_cost.rs
+++ b/crates/decide/tests/rollout_cost.rs
@@ -1,4 +1,4 @@
-//! What versions cost a service without an order. By hand: it reads the clock.
+//! Cost of version lookup for a service without an order. Run by hand, since it measures time.
 
 #[path = "support/fleet.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -9,8 +9,8 @@
 use support::at;
 
 #[test]
-#[ignore = "a report of times: cargo test --release -p pumicevale-decide --test rollout_cost -- --ignored --nocapture"]
-fn time_of_a_choice_among_targets_of_a_service_without_an_order() {
+#[ignore = "a timing report: cargo test --release -p pumicevale-decide --test rollout_cost -- --ignored --nocapture"]
+fn target_selection_time_without_an_order() {
     const TARGETS: u32 = 80;
     const CALLS: u32 = 20_000;
     let mut fleet = Fleet::default();
@@ -31,6 +31,6 @@
         for _ in 0..CALLS {
             assert_eq!(std::hint::black_box(choice()), TARGETS as usize);
         }
-        println!("version looked up for {way}: {:?} a choice", begun.elapsed() / CALLS);
+        println!("version lookup for {way}: {:?} per selection", begun.elapsed() / CALLS);
     }
 }
--- a/crates/decide/tests/rollout_evidence.rs
+++ b/crates/decide/tests/rollout_evidence.rs
@@ -1,4 +1,4 @@
-//! What one node's own requests show of a version on trial.
+//! Evidence from one node's own requests for a trial version.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use model::forward::Side;
 use model::{Name, Time};
 
-/// Answers of one side: failures, and good ones with their time.
+/// Records answers of one side: failures, and successful ones that took `ms`.
 fn record(evidence: &mut Evidence, side: Side, bad: u32, good: u32, ms: u64) {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
     for _ in 0..bad {
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn a_node_judges_alone_only_by_what_the_serving_version_does_not_do_too() {
-    // Failures, good answers and their time: of the version that serves and of the one on
-    // trial; and what that proves.
+fn local_verdict_needs_failures_beyond_the_serving_version() {
+    // Failures, successful answers and their time, of the serving and of the trial version; and the
+    // cause that this proves.
     let cases = [
         ((0, 50, 40), (0, 50, 40), None),
         ((0, 50, 40), (2, 20, 40), None),
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn late_answers_that_come_together_were_held_up_by_one_thing() {
+fn late_answers_in_one_burst_count_once() {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
     let (usual, late) = (Duration::from_millis(40), Duration::from_millis(150));
     let mut evidence = Evidence::default();
     let mut note_late = |took, ms| {
         evidence.note_late(&service, &route, took, Time::ZERO + Duration::from_millis(ms))
     };
-    assert!(![0, 1].map(|ms| note_late(late, ms))[1], "nobody knows what is late");
+    assert!(![0, 1].map(|ms| note_late(late, ms))[1], "without a baseline nothing is late");
     record(&mut evidence, Side::Serving, 0, 50, 40);
     let cases = [
         (usual, 100, false),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_report_holds_all_counts_until_the_order_is_over() {
+fn a_report_holds_cumulative_counts_until_the_order_ends() {
     let mut evidence = Evidence::default();
     record(&mut evidence, Side::Serving, 1, 9, 1);
     record(&mut evidence, Side::Trial, 2, 3, 2);
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn a_call_is_a_failure_as_far_as_its_pieces_are() {
+fn a_call_counts_as_a_failure_in_proportion_to_its_failed_pieces() {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
-    // Part of each call that failed, calls, and how many of them count as failures.
+    // Part of each call that failed, number of calls, and how many of them count as failures.
     for (part, calls, wanted) in [(0.0, 50, 0), (1.0, 7, 7), (1.0 / 12.0, 120, 10), (0.5, 9, 4)] {
         let mut evidence = Evidence::default();
         for _ in 0..calls {
--- a/crates/decide/tests/rollout_judge.rs
+++ b/crates/decide/tests/rollout_judge.rs
@@ -1,4 +1,4 @@
-//! Roll-outs from order to end: what a judge decides, and what a bad version gets.
+//! Rollouts from order to end: the judge's decisions, and the requests that a bad version gets.
 
 #[path = "support/rollout/mod.rs"]
 #[allow(dead_code, unused_imports, reason = "each test file uses its part")]
@@ -31,7 +31,7 @@
     }
 }
 
-/// An order to this version that whoever names it has known all the time.
+/// Identity of an order to this version, known at every revision.
 fn id(version: &str) -> RolloutId {
     RolloutId { service: "s".into(), version: version.into(), made: 0, since: 0, at: u64::MAX }
 }
@@ -57,7 +57,7 @@
     })
 }
 
-/// A judge and what it asked for, fed some times a second.
+/// A judge and the actions it returned, driven several times a second.
 struct Harness {
     judge: Judge,
     now: u64,
@@ -78,7 +78,8 @@
         self.actions.extend(actions.into_iter().map(|action| (self.now, action)));
     }
 
-    /// Until then these nodes report, with as many requests open at the old version.
+    /// Runs until `until`, with reports of these nodes and their numbers of requests open at the
+    /// old version.
     fn run(&mut self, until: u64, nodes: &[(&str, u32)]) {
         while self.now < until {
             self.now += 100;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// States that were to be written.
+    /// States that the judge asked to write.
     fn writes(&self) -> Vec<RolloutState> {
         let write = |(_, action): &(u64, JudgeAction)| match action {
             JudgeAction::Write(state) => Some(*state),
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn an_order_is_taken_up_and_completed_once_nobody_uses_the_old_version() {
+fn an_order_completes_once_no_node_uses_the_old_version() {
     let mut harness = Harness::new(Ordered);
     harness.run(100, &[("a", 0), ("b", 0)]);
     assert_eq!(harness.writes(), [Active]);
@@ -115,7 +116,7 @@
     assert_eq!(harness.judge.phase(), Phase::All);
     assert_eq!(harness.writes(), [Active], "a request is open at the old version");
     harness.run(11_000, &[("a", 0), ("b", 1)]);
-    assert_eq!(harness.writes(), [Active], "nobody is cut off for the deadline's sake");
+    assert_eq!(harness.writes(), [Active], "no request is cut off to meet the deadline");
     harness.run(11_200, &[("a", 0), ("b", 0)]);
     assert_eq!(harness.writes(), [Active, Completed]);
     harness.write_applied(Completed, 13);
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn nodes_that_do_not_answer_are_waited_for_until_shortly_before_the_deadline() {
+fn silent_nodes_are_awaited_until_shortly_before_the_deadline() {
     let mut harness = Harness::new(Active);
     harness.run(2_000, &[("a", 0), ("b", 3)]);
     harness.run(9_100, &[("a", 0)]);
@@ -133,19 +134,19 @@
 }
 
 #[test]
-fn a_node_that_has_just_started_is_waited_for() {
+fn a_node_that_just_started_is_awaited() {
     let mut harness = Harness::new(Active);
     harness.run(9_100, &[("a", 0), ("b", 0)]);
     let started = NodeId { start: 2, ..node("b") };
     harness.handle(JudgeEvent::Nodes(vec![node("a"), started]));
     harness.run(10_000, &[("a", 0)]);
-    assert_eq!(harness.writes(), [], "it may use the old version until it is told");
+    assert_eq!(harness.writes(), [], "it may still use the old version");
     harness.run(10_400, &[("a", 0)]);
     assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
-fn a_judge_that_was_paused_does_not_take_the_others_for_silent() {
+fn a_paused_judge_does_not_treat_nodes_as_silent() {
     let mut harness = Harness::new(Active);
     harness.run(8_900, &[("a", 0), ("b", 3)]);
     assert_eq!(harness.judge.phase(), Phase::All);
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn a_judge_that_begins_late_takes_no_good_version_back() {
+fn a_judge_that_starts_late_rolls_back_no_good_version() {
     let judge = Judge::new(BOUNDS, order(Active, 10), 10, Duration::from_millis(9_900), Time::ZERO);
     let mut harness = Harness { judge, now: 0, actions: Vec::new() };
     harness.handle(JudgeEvent::Nodes(vec![node("a"), node("b")]));
@@ -166,13 +167,13 @@
     harness.handle(report("a", Phase::Share(0.0), 0));
     harness.now = 300;
     harness.handle(report("b", Phase::All, 0));
-    assert_eq!(harness.judge.phase(), Phase::All, "b went by it");
+    assert_eq!(harness.judge.phase(), Phase::All, "b already worked by it");
     harness.run(2_000, &[("a", 0), ("b", 0)]);
     assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
-fn without_targets_that_bear_the_load_it_is_taken_back_and_never_completed() {
+fn too_few_trial_targets_cause_a_rollback() {
     for (serving, trial) in [(4, 0), (4, 2), (0, 0)] {
         let mut harness = Harness::new(Active);
         harness.handle(JudgeEvent::Targets { serving, trial });
@@ -185,18 +186,18 @@
     assert_eq!(harness.judge.phase(), Phase::All);
     harness.handle(JudgeEvent::Targets { serving: 4, trial: 0 });
     harness.run(20_000, &[("a", 0), ("b", 0)]);
-    assert_eq!(harness.writes(), [RolledBack], "they were lost in the last step");
+    assert_eq!(harness.writes(), [RolledBack], "the targets were lost in the last step");
 }
 
 #[test]
-fn a_state_is_written_again_only_after_the_store_showed_that_it_is_lacking() {
+fn a_write_is_repeated_only_after_the_store_lacks_its_state() {
     let mut harness = Harness::new(Active);
     harness.handle(report("a", Phase::Back, 0));
     assert_eq!((harness.judge.phase(), harness.writes()), (Phase::Back, vec![RolledBack]));
     harness.run(500, &[("a", 0)]);
     harness.handle(JudgeEvent::WriteEnded(false));
     harness.run(1_000, &[("a", 0)]);
-    assert_eq!(harness.writes(), [RolledBack], "it may still land");
+    assert_eq!(harness.writes(), [RolledBack], "the write may still be applied");
     harness.handle(JudgeEvent::Order(order(Active, 10)));
     assert_eq!(harness.writes(), [RolledBack, RolledBack]);
     harness.handle(JudgeEvent::Order(order(RolledBack, 14)));
@@ -206,7 +207,7 @@
 }
 
 #[test]
-fn what_the_store_has_as_final_ends_a_judge_whatever_it_decided() {
+fn a_final_state_in_the_store_ends_the_judge() {
     for (decided, stored, phase) in
         [(Phase::Back, Completed, Phase::All), (Phase::All, RolledBack, Phase::Back)]
     {
@@ -220,7 +221,7 @@
 }
 
 #[test]
-fn a_call_that_requests_share_is_one_answer() {
+fn a_call_shared_by_requests_counts_as_one_answer() {
     let (service, route) = (Name::from("s"), Name::from("r"));
     let took = Duration::from_millis(5);
     let mut evidence = Evidence::default();
@@ -238,13 +239,13 @@
 }
 
 #[test]
-fn moments_in_which_both_versions_are_late_take_no_good_version_back() {
+fn latency_spikes_of_both_versions_cause_no_rollback() {
     const USUAL: usize = 9;
     const LATE: usize = 16;
     let mut harness = Harness::new(Active);
     let (mut serving, mut trial) = (Answers::default(), Answers::default());
     for n in 1..=90 {
-        // Each second all that is under way is held up: few answers come, all of them late.
+        // Once a second, all requests in flight are delayed: few answers arrive, all of them late.
         let (bucket, count) = if n % 10 == 0 { (LATE, 12) } else { (USUAL, 50) };
         for (answers, count) in [(&mut serving, count), (&mut trial, 2)] {
             answers.times.resize(LATE + 1, 0);
@@ -267,7 +268,7 @@
 }
 
 #[test]
-fn an_order_that_was_replaced_ends_its_judge() {
+fn a_replaced_order_ends_its_judge() {
     let mut harness = Harness::new(Active);
     harness.handle(JudgeEvent::Order(Rollout { version: "v3".into(), ..order(Ordered, 20) }));
     harness.run(20_000, &[("a", 0), ("b", 0)]);
@@ -275,7 +276,7 @@
 }
 
 #[test]
-fn a_new_judge_takes_the_furthest_phase_that_a_node_works_by() {
+fn a_new_judge_adopts_the_furthest_reported_phase() {
     for (reported, wanted) in [
         (vec![Phase::Share(0.1)], None),
         (vec![Phase::Share(0.1), Phase::All], Some(Phase::All)),
@@ -292,7 +293,7 @@
 }
 
 #[test]
-fn reports_that_come_twice_late_or_from_another_start_add_up() {
+fn duplicate_late_and_restarted_reports_are_summed_once() {
     let bad = |start: u64, bad: u32| {
         JudgeEvent::Report(RolloutReport {
             node: NodeId { name: "a".into(), start },
@@ -312,14 +313,18 @@
         harness.handle(bad(1, 2));
         harness.handle(bad(1, 1));
     }
-    assert_ne!(harness.judge.phase(), Phase::Back, "two bad answers, told a hundred times");
+    assert_ne!(harness.judge.phase(), Phase::Back, "two bad answers, reported a hundred times");
     harness.handle(bad(2, 2));
     harness.handle(bad(3, 2));
-    assert_eq!(harness.judge.phase(), Phase::Back, "six, of three starts");
+    assert_eq!(
+        harness.judge.phase(),
+        Phase::Back,
+        "six bad answers, from three starts of the node"
+    );
 }
 
 #[test]
-fn a_report_on_an_earlier_order_of_the_version_tells_a_judge_nothing() {
+fn reports_on_an_earlier_order_are_no_evidence() {
     let bad = |since, at| {
         JudgeEvent::Report(RolloutReport {
             node: node("a"),
@@ -334,8 +339,8 @@
             }],
         })
     };
-    // Revisions at which the reporter knows its order, and whether they are of this one, which
-    // the judge knows from 10 to 12.
+    // Revisions at which the reporter knows its order, and whether it is the judge's order, which
+    // is known from 10 to 12.
     for (since, at, is_same) in [
         (4, 9, false),
         (4, 4, false),
@@ -354,7 +359,7 @@
 }
 
 #[test]
-fn a_node_that_works_by_an_earlier_order_yet_is_waited_for() {
+fn a_node_still_on_an_earlier_order_is_awaited() {
     let mut harness = Harness::new(Active);
     harness.run(8_900, &[("a", 0), ("b", 0)]);
     let behind = |phase| {
@@ -377,7 +382,7 @@
 }
 
 #[test]
-fn a_judge_ends_when_its_order_is_given_again() {
+fn a_judge_ends_when_its_order_is_repeated() {
     for state in [Ordered, Active] {
         let mut harness = Harness::new(Active);
         harness.handle(JudgeEvent::Order(order(state, 20)));
@@ -390,8 +395,8 @@
     let outcome = Simulation::new(case).play();
     let is_bad = case.when != FaultTiming::Never;
     if is_bad {
-        // Of a time so short that not even the last step fits into the cap, that step is
-        // planned to be seen through at once; what delays that comes on top.
+        // In an order so short that not even the full step fits into the cap, that step is planned
+        // to be detected as bad at once; any delay of the detection adds to the cap.
         let slow_to_see = if case.lasts_ms < 30_000 { 0.5 * case.rate } else { 0.0 };
         let most = outcome.cap() + slow_to_see;
         assert!(outcome.trial_sent as f64 <= most, "{case:?}: {outcome:?}");
@@ -404,9 +409,9 @@
 }
 
 #[test]
-fn a_bad_version_is_taken_back_having_got_little() {
-    // Rate, time of the order, and the most requests that each kind may get; the cap of the
-    // last kinds is that of the order.
+fn a_bad_version_is_rolled_back_after_few_requests() {
+    // Rate, time of the order, and the maximum number of requests for each timing of the fault; the
+    // last timings are limited by the cap of the order.
     for (rate, lasts_ms, at_once, half) in
         [(100.0, 60_000, 120, 300), (1000.0, 60_000, 200, 1500), (1000.0, 8_000, 150, 850)]
     {
@@ -429,7 +434,7 @@
 }
 
 #[test]
-fn a_version_whose_badness_never_shows_stays_within_the_cap_of_a_longer_order() {
+fn an_undetected_bad_version_stays_within_the_cap_of_a_longer_order() {
     for lasts_ms in [30_000, 60_000, 300_000] {
         for rate in [10.0, 100.0, 400.0] {
             let unseen = Fault::Fails(0.0);
@@ -440,7 +445,7 @@
 }
 
 #[test]
-fn a_good_version_is_completed_before_the_deadline_and_nobody_is_cut() {
+fn a_good_version_completes_before_the_deadline_without_cutting_requests() {
     for (rate, lasts_ms) in [(10.0, 60_000), (100.0, 8_000), (1000.0, 8_000), (100.0, 600_000)] {
         for noise in [0.0, 0.002, 0.05] {
             for seed in 0..4 {
@@ -487,12 +492,12 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(150))]
 
-    /// Reports and writes are lost or land late, nodes and the judge restart, and half of the
-    /// nodes are cut off with a judge of their own: a bad version stays within the cap and gets
-    /// nothing once it is seen to be bad, the state ends once, and with `Completed` no node in
-    /// touch with the writer is cut off.
+    /// Reports and writes are lost or delayed, nodes and the judge restart, and half of the nodes
+    /// are partitioned with a judge of their own: a bad version stays within the cap and gets no
+    /// requests once it is detected, the order ends once, and `Completed` cuts off no node that the
+    /// writer can reach.
     #[test]
-    fn whatever_fails_a_bad_version_stays_within_the_cap(case in any_case()) {
+    fn a_bad_version_stays_within_the_cap_under_faults(case in any_case()) {
         let outcome = check(case);
         if let [(Completed, _, open)] = outcome.ends[..] {
             prop_assert_eq!(open, 0, "{:?}", outcome);
--- a/crates/decide/tests/rollout_table.rs
+++ b/crates/decide/tests/rollout_table.rs
@@ -1,4 +1,4 @@
-//! How soon a bad version is seen, in simulated time: a part of it as a check, the whole as a
+//! How fast a bad version is detected, in simulated time: some cases as a check, all of them as a
 //! report (`cargo test -p pumicevale-decide --test rollout_table -- --ignored --nocapture`).
 
 #[path = "support/rollout/mod.rs"]
@@ -17,10 +17,10 @@
     [FaultTiming::AtOnce, FaultTiming::From(0.5), FaultTiming::Above(0.3), FaultTiming::OneRoute];
 const RATES: [f64; 3] = [10.0, 100.0, 1000.0];
 const NODES: [usize; 3] = [4, 82, 300];
-/// Threads that play at once.
+/// Number of threads that run simulations.
 const THREADS: usize = 3;
 
-/// Outcomes in the order of their cases.
+/// Runs the cases; the outcomes are in the order of the cases.
 fn play(cases: &[Case]) -> Vec<Outcome> {
     let next = AtomicUsize::new(0);
     let outcomes = Mutex::new(vec![Outcome::default(); cases.len()]);
@@ -39,13 +39,14 @@
     outcomes.into_inner().expect("no thread failed")
 }
 
-/// The middle and the greatest of some numbers.
+/// Median and maximum.
 fn spread(mut numbers: Vec<f64>) -> (f64, f64) {
     numbers.sort_by(f64::total_cmp);
     (numbers[numbers.len() / 2], numbers[numbers.len() - 1])
 }
 
-/// Requests after it turned bad, seconds until it got the last one, and how often it was missed.
+/// Requests after the version turned bad and seconds until its last one (median and maximum each),
+/// how often it was missed, and how often it exceeded the cap.
 struct Summary {
     requests: (f64, f64),
     seconds: (f64, f64),
@@ -67,8 +68,8 @@
 }
 
 #[test]
-fn a_bad_version_is_seen_by_few_requests() {
-    // Most requests after it turned bad, for the middle of twelve roll-outs.
+fn a_bad_version_is_detected_within_few_requests() {
+    // Maximum requests after the version turned bad, for the median of twelve rollouts.
     for (when, rate, most) in [
         (FaultTiming::AtOnce, 100.0, 60.0),
         (FaultTiming::AtOnce, 1000.0, 120.0),
@@ -90,7 +91,7 @@
     }
 }
 
-/// Pieces of a call of either version: the share on trial fills its calls less.
+/// Pieces of a call of either version: the trial's share of the pieces fills its calls less.
 const PIECES: [(u32, u32); 2] = [(16, 2), (2, 16)];
 
 fn calls_case(seed: u64, calls: Calls, noise: f64, fault: Option<Fault>) -> Case {
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn calls_of_other_sizes_make_no_version_look_worse() {
+fn call_size_does_not_bias_the_verdict() {
     for pieces in PIECES {
         for shared in [0.0, 1.0] {
             let calls = Calls { count: CountMode::Parts, pieces, shared };
@@ -114,7 +115,7 @@
             let most = 1;
             assert!(rollbacks(&play(&good)) <= most, "{calls:?}");
             if pieces != PIECES[0] {
-                // The cap counts pieces: few calls as large as these come within it.
+                // The cap counts pieces, so few calls as large as these fit into it.
                 continue;
             }
             let fault = Some(Fault::Fails(0.4));
@@ -126,7 +127,7 @@
 
 #[test]
 #[ignore = "a report"]
-fn ways_to_count_the_pieces_of_calls() {
+fn compare_piece_counting_modes() {
     for pieces in PIECES {
         for shared in [0.0, 0.5, 1.0] {
             for count in [CountMode::Whole, CountMode::Pieces, CountMode::Parts] {
@@ -149,8 +150,8 @@
 }
 
 #[test]
-#[ignore = "the whole table is a report of some minutes"]
-fn the_table_of_detection() {
+#[ignore = "a report over the whole table, which takes some minutes"]
+fn detection_table() {
     for when in TIMES {
         for fault in FAULTS {
             for rate in RATES {
@@ -175,8 +176,8 @@
 }
 
 #[test]
-#[ignore = "thousands of roll-outs are a report of some minutes"]
-fn false_roll_backs_in_a_thousand_good_roll_outs() {
+#[ignore = "a report over thousands of rollouts, which takes some minutes"]
+fn false_rollbacks_in_a_thousand_good_rollouts() {
     for method in [Method::Sequential, Method::FixedCounts] {
         for (noise, rate) in
             [(0.002, 10.0), (0.02, 10.0), (0.002, 100.0), (0.02, 100.0), (0.002, 1000.0)]
--- a/crates/decide/tests/rollout_versions.rs
+++ b/crates/decide/tests/rollout_versions.rs
@@ -1,4 +1,5 @@
-//! Which version of a service gets a request, in whatever order targets and orders are heard of.
+//! Which version of a service gets a request, whatever the order in which targets and orders
+//! arrive.
 
 #[path = "support/fleet.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -22,7 +23,7 @@
     Rollout { service, version, lasts_ms: 60_000, state, revision, made: 0 }
 }
 
-/// An order to this version that whoever names it has known all the time.
+/// Identity of an order to this version, known at every revision.
 fn id(version: &str) -> RolloutId {
     RolloutId { service: "engine".into(), version: version.into(), made: 0, since: 0, at: u64::MAX }
 }
@@ -31,7 +32,7 @@
     Rollouts { at, orders: orders.to_vec(), ..Rollouts::default() }
 }
 
-/// Versions that were seen, each with one target and the revision of its entry.
+/// Versions with one target each, with the revision of its entry.
 fn versions(seen: &[(&str, u64)]) -> Versions {
     let mut versions = Versions::default();
     versions.follow();
@@ -45,14 +46,14 @@
     (versions.side("engine", "v1"), versions.side("engine", "v2"))
 }
 
-/// Part of many attempts that go to the version on trial.
+/// Share of many attempts that go to the trial version.
 fn trial_share(versions: &Versions) -> f64 {
     let is_trial = |n: &u32| versions.side_for_attempt("engine", &format!("a{n}")) == Side::Trial;
     f64::from((0..10_000).filter(is_trial).count() as u32) / 10_000.0
 }
 
 #[test]
-fn where_no_orders_are_followed_every_version_serves() {
+fn every_version_serves_while_orders_are_not_followed() {
     let mut versions = Versions::default();
     versions.add_target(&"engine".into(), &"v1".into(), 5, 0);
     versions.add_target(&"engine".into(), &"v2".into(), 9, 0);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn nothing_is_used_before_orders_are_known() {
+fn no_version_is_used_before_orders_are_known() {
     let mut versions = versions(&[("v1", 5)]);
     assert!(!versions.is_known());
     assert_eq!(sides(&versions), (None, None));
@@ -76,11 +77,11 @@
 }
 
 #[test]
-fn a_version_beside_another_one_gets_nothing_until_it_is_settled() {
+fn a_second_version_gets_no_requests_until_settled() {
     use RolloutState::{Active, Completed, Ordered, RolledBack};
     let named = |state, revision| vec![order("v2", state, revision)];
-    // Revision up to which orders are known, the orders, and the sides of v1 (first seen at 5)
-    // and v2 (first seen at 11).
+    // Revision up to which orders are known, the orders, and the sides of v1 (first seen at 5) and
+    // v2 (first seen at 11).
     let cases = [
         (3, vec![], (SERVING, None)),
         (10, vec![], (SERVING, None)),
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_release_without_an_order_goes_on_after_one_was_completed() {
+fn a_release_without_an_order_serves_after_a_completed_one() {
     let completed = order("v2", RolloutState::Completed, 20);
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     versions.apply(list(40, &[completed]), at(0));
@@ -110,37 +111,37 @@
     assert_eq!(sides(&versions), (None, SERVING));
     versions.remove_target(&"engine".into(), &"v1".into());
     versions.add_target(&"engine".into(), &"v1".into(), 35, 0);
-    assert_eq!(versions.side("engine", "v1"), SERVING, "it was started anew");
+    assert_eq!(versions.side("engine", "v1"), SERVING, "v1 was started again");
 }
 
 #[test]
-fn a_version_that_was_completed_unheard_of_serves_while_a_later_one_is_tried() {
+fn a_version_whose_completion_was_missed_serves_during_a_later_trial() {
     use RolloutState::{Active, RolledBack};
     // The completion of v2, after which v1 stopped, is missed between two lists.
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     versions.apply(list(20, &[order("v2", Active, 15)]), at(0));
     versions.add_target(&"engine".into(), &"v3".into(), 30, 0);
     versions.apply(list(40, &[order("v3", Active, 31)]), at(10));
-    assert_eq!(sides(&versions), (SERVING, None), "as long as the one before is there");
+    assert_eq!(sides(&versions), (SERVING, None), "while the earlier version has targets");
     versions.remove_target(&"engine".into(), &"v1".into());
     assert_eq!(versions.side("engine", "v2"), SERVING);
     assert_eq!(versions.side("engine", "v3"), TRIAL);
     versions.apply(list(50, &[order("v3", RolledBack, 45)]), at(20));
     assert_eq!(versions.side("engine", "v2"), SERVING);
     assert_eq!(versions.side("engine", "v3"), None);
-    // Nor when the end of that one is missed too, beside one that is tried after it.
+    // The same holds when the end of v3 is missed too, during a later trial.
     let mut versions = self::versions(&[("v2", 11), ("v3", 30)]);
     versions.apply(list(35, &[order("v2", Active, 15)]), at(0));
     versions.apply(list(40, &[order("v3", Active, 31)]), at(10));
     versions.add_target(&"engine".into(), &"v4".into(), 50, 0);
     versions.apply(list(60, &[order("v4", Active, 51)]), at(20));
     assert_eq!(versions.side("engine", "v2"), SERVING);
-    assert_eq!(versions.side("engine", "v3"), None, "the one before it can serve");
+    assert_eq!(versions.side("engine", "v3"), None, "the version before it can serve");
     assert_eq!(versions.side("engine", "v4"), TRIAL);
 }
 
 #[test]
-fn targets_that_leave_are_no_version_that_could_serve() {
+fn draining_targets_are_not_a_version_that_can_serve() {
     use RolloutState::{Active, RolledBack};
     let target = |name: &str, version: &str, revision, draining| Target {
         version: version.into(),
@@ -150,7 +151,7 @@
     };
     let mut fleet = Fleet::default();
     fleet.versions_mut().follow();
-    // v1 was taken back before this node started, the completion of v2 is missed.
+    // v1 was rolled back before this node started, and the completion of v2 is missed.
     fleet.upsert(target("t1", "v1", 5, true), at(0));
     fleet.upsert(target("t2", "v2", 11, false), at(0));
     fleet.versions_mut().apply(list(20, &[order("v2", Active, 15)]), at(0));
@@ -159,13 +160,13 @@
     let usable = |fleet: &Fleet| fleet.usable("engine", Terms::ANY, at(2)).count();
     assert_eq!(usable(&fleet), 1, "v2 alone can serve");
     fleet.upsert(target("t1", "v1", 50, false), at(2));
-    assert_eq!(usable(&fleet), 0, "orders are not known up to where v1 came back");
+    assert_eq!(usable(&fleet), 0, "orders are not known up to the revision at which v1 returned");
     fleet.versions_mut().apply(list(60, &[order("v3", RolledBack, 31)]), at(2));
     assert_eq!(usable(&fleet), 1, "v1 serves, and no version whose end is not known");
 }
 
 #[test]
-fn a_version_whose_order_is_withdrawn_gets_nothing_while_another_one_can_serve() {
+fn a_withdrawn_version_gets_no_requests_while_another_can_serve() {
     let active = order("v2", RolloutState::Active, 12);
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     versions.apply(list(12, std::slice::from_ref(&active)), at(0));
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn lists_tell_what_changed_and_older_ones_change_nothing() {
+fn newer_lists_report_changes_and_older_ones_are_ignored() {
     use RolloutState::{Active, Ordered, RolledBack};
     let mut versions = versions(&[("v1", 5), ("v2", 11), ("v3", 21)]);
     let ordered = order("v2", Ordered, 10);
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn what_is_told_of_an_earlier_order_changes_nothing_of_a_later_one() {
+fn updates_to_an_earlier_order_do_not_change_a_later_one() {
     use RolloutState::{Active, Ordered};
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     versions.apply(list(12, &[order("v2", Ordered, 12)]), at(0));
@@ -229,7 +230,7 @@
     assert_eq!(told, (Some(Phase::Share(0.0)), Some(ms(10))));
     assert!(versions.set_phase(&second, Phase::Share(0.1)));
     versions.apply(list(22, &[order("v2", Active, 22)]), at(130));
-    assert!(versions.set_phase(&second, Phase::All), "the same, taken up by now");
+    assert!(versions.set_phase(&second, Phase::All), "the same order, now active");
     let own = versions.order_id("engine").expect("it runs");
     assert_eq!((own.since, own.at), (20, 22));
 }
@@ -239,7 +240,7 @@
     use RolloutState::{Active, Ordered};
     let made = |state, revision, made| Rollout { made, ..order("v2", state, revision) };
     let longer = |state, revision| Rollout { lasts_ms: 90_000, ..order("v2", state, revision) };
-    // The order as it was known and as it is told next, and whether that is another one.
+    // The order as it was known, as it is in the next list, and whether that is another order.
     let cases = [
         (order("v2", Ordered, 12), order("v2", Active, 14), false),
         (order("v2", Ordered, 12), order("v2", Ordered, 20), true),
@@ -260,13 +261,13 @@
     }
 }
 
-/// A list in which the order of the service cannot be read.
+/// A list in which the order of the service is unreadable.
 fn unreadable(at: u64) -> Rollouts {
     Rollouts { unreadable: vec!["engine".into()], ..list(at, &[]) }
 }
 
 #[test]
-fn while_an_order_cannot_be_read_versions_that_did_not_serve_get_nothing() {
+fn an_unreadable_order_blocks_versions_that_did_not_serve() {
     let mut versions = versions(&[("v1", 5)]);
     versions.apply(list(8, &[]), at(0));
     versions.apply(unreadable(10), at(1));
@@ -283,12 +284,12 @@
 }
 
 #[test]
-fn an_order_that_becomes_unreadable_goes_on_as_it_was_known() {
+fn an_order_that_becomes_unreadable_keeps_its_last_state() {
     let active = order("v2", RolloutState::Active, 12);
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     versions.apply(list(12, std::slice::from_ref(&active)), at(0));
     versions.set_phase(&id("v2"), Phase::All);
-    // Told by a peer that has read nothing else of it.
+    // The list is from a peer that has read no earlier state of the order.
     assert_eq!(versions.apply(unreadable(20), at(2)), []);
     versions.add_target(&"engine".into(), &"v3".into(), 15, 0);
     assert_eq!((sides(&versions), trial_share(&versions)), ((None, TRIAL), 1.0));
@@ -303,8 +304,8 @@
 }
 
 #[test]
-fn a_node_that_starts_while_an_order_cannot_be_read_uses_the_oldest_version_alone() {
-    // Revisions and starts of both versions' targets; v1 is the older one.
+fn a_node_starting_with_an_unreadable_order_uses_only_the_oldest_version() {
+    // Revisions and start times of both versions' targets; v1 is the older one.
     for (v1, v2) in [((5, 0), (11, 0)), ((15, 100), (11, 200)), ((5, 100), (11, 0))] {
         for is_list_first in [true, false] {
             let mut versions = versions(&[]);
@@ -320,14 +321,15 @@
 }
 
 #[test]
-fn a_node_that_starts_hears_from_others_which_orders_were_withdrawn() {
+fn a_starting_node_learns_withdrawn_orders_from_peers() {
     let active = |revision| [order("v2", RolloutState::Active, revision)];
     let seen = [("v1", 5), ("v2", 11)];
     let mut old = versions(&seen);
     old.apply(list(12, &active(12)), at(0));
     old.apply(list(15, &[]), at(1));
     let told = Rollouts { at: 30, ..old.list().expect("known") };
-    // When the node that starts first heard of orders by itself, and whether it takes that.
+    // Revision of the first list that the starting node read by itself, and whether it adopts the
+    // peer's record.
     for (began, is_taken) in [(None, true), (Some(20), true), (Some(14), false)] {
         let mut new = versions(&seen);
         if let Some(began) = began {
@@ -343,22 +345,22 @@
 }
 
 #[test]
-fn until_peers_have_told_of_withdrawn_orders_the_oldest_version_serves_alone() {
+fn only_the_oldest_version_serves_until_peers_report_withdrawn_orders() {
     let mut versions = versions(&[("v2", 11), ("v1", 5)]);
     versions.set_awaiting_peers(true);
     versions.apply(list(20, &[]), at(0));
     assert_eq!(sides(&versions), (SERVING, None));
     versions.apply(list(21, &[order("v2", RolloutState::Active, 21)]), at(0));
-    assert_eq!(sides(&versions), (SERVING, TRIAL), "an order tells");
+    assert_eq!(sides(&versions), (SERVING, TRIAL), "an order decides");
     versions.apply(list(22, &[order("v2", RolloutState::Completed, 22)]), at(0));
     assert_eq!(sides(&versions), (None, SERVING));
     let mut versions = self::versions(&[("v2", 11), ("v1", 5)]);
     versions.apply(list(20, &[]), at(0));
-    assert_eq!(sides(&versions), (SERVING, SERVING), "they have told of none");
+    assert_eq!(sides(&versions), (SERVING, SERVING), "the peers reported none");
 }
 
 #[test]
-fn no_more_withdrawn_orders_are_remembered_than_versions_may_be_there() {
+fn the_number_of_withdrawn_versions_is_limited() {
     let mut versions = versions(&[("v1", 5)]);
     for n in 0..100 {
         let ordered = order(&format!("w{n}"), RolloutState::Active, 10 + 2 * n);
@@ -371,9 +373,9 @@
 }
 
 #[test]
-fn an_old_target_that_writes_its_entry_anew_after_a_completion_is_no_new_release() {
-    // Revision and start of a target of another version than the completed one, whose own
-    // started at 200, and its side at a node that starts now.
+fn an_old_target_rewriting_its_entry_after_a_completion_is_no_new_release() {
+    // Revision and start time of a target of another version than the completed one, whose own
+    // target started at 200, and its side at a node that starts now.
     for (revision, start, wanted) in
         [(5, 100, None), (25, 100, None), (25, 300, SERVING), (25, 0, SERVING), (25, 200, SERVING)]
     {
@@ -387,9 +389,9 @@
 }
 
 #[test]
-fn a_peer_lacks_what_changed_after_the_list_that_it_knows() {
+fn a_peer_lacks_changes_after_its_list() {
     let mut versions = versions(&[]);
-    assert!(!versions.has_changed_since(None), "nobody can be told what is not known");
+    assert!(!versions.has_changed_since(None), "an unknown list cannot be sent");
     let orders = [order("v2", RolloutState::Active, 5)];
     versions.apply(list(5, &orders), at(0));
     versions.apply(list(9, &orders), at(1));
@@ -400,11 +402,11 @@
 }
 
 #[test]
-fn a_request_goes_by_the_phase_and_always_the_same_way() {
+fn an_attempt_is_routed_by_phase_and_deterministically() {
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     versions.apply(list(12, &[order("v2", RolloutState::Active, 12)]), at(0));
-    assert_eq!(trial_share(&versions), 0.0, "no judge has told a share yet");
-    // Each phase that is told, whether it changes anything, and the part that goes to v2.
+    assert_eq!(trial_share(&versions), 0.0, "no judge has set a share yet");
+    // Each phase that is set, whether it is a change, and the share that goes to v2.
     let cases = [
         (Phase::Share(0.1), true, 0.1),
         (Phase::Share(0.1), false, 0.1),
@@ -438,7 +440,7 @@
 }
 
 #[test]
-fn an_order_is_as_old_as_the_node_that_heard_of_it_first_says() {
+fn an_orders_age_counts_from_its_earliest_observation() {
     let mut versions = versions(&[("v1", 5), ("v2", 11)]);
     assert_eq!(versions.age("engine", at(0)), None);
     versions.apply(list(12, &[order("v2", RolloutState::Active, 12)]), at(1000));
@@ -481,7 +483,7 @@
     Orders(u64),
 }
 
-/// Orders as the store had them at a revision: v2 is ordered at 10 and taken back at 30.
+/// Orders in the store at a revision: v2 is ordered at 10 and rolled back at 30.
 fn orders_at(revision: u64) -> Rollouts {
     let orders = match revision {
         ..10 => vec![],
@@ -492,9 +494,9 @@
 }
 
 proptest! {
-    /// The targets that are chosen from are those that nothing bars, whatever runs.
+    /// Usable targets are exactly those that nothing bars, whichever orders run.
     #[test]
-    fn targets_that_may_be_used_are_those_that_nothing_bars(
+    fn usable_targets_are_those_that_nothing_bars(
         targets in proptest::collection::vec((0usize..4, 1u64..40, any::<bool>()), 0..12),
         known in proptest::option::of((0usize..4, 0usize..4, 1u64..40)),
         is_followed in any::<bool>(),
@@ -525,10 +527,10 @@
         }
     }
 
-    /// In whatever order a node hears of targets and orders, the version that was ordered never
-    /// serves and the old one always does once anything is known.
+    /// In any order of target and order updates, the ordered version never serves, and the old one
+    /// always does once anything is known.
     #[test]
-    fn an_ordered_version_never_serves_whatever_is_heard_of_first(
+    fn an_ordered_version_never_serves_in_any_event_order(
         seed in any::<u64>(),
         known in proptest::collection::vec(1u64..50, 1..6),
     ) {
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_target_that_goes_moves_only_its_own_prefixes() {
+fn removing_a_target_moves_only_its_own_prefixes() {
     let t = table(20, |_| 0);
     let mut smaller = PoolTable::default();
     let rest = t.slots().iter().filter(|s| &*s.info.name != "t3");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn no_policy_takes_a_target_that_is_leaving_unready_or_holds_another_version() {
+fn no_policy_picks_a_leaving_unready_or_mismatched_target() {
     for kind in ALL {
         let mut t = table(4, |_| 0);
         t.mark_leaving("t0");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn what_other_nodes_told_of_a_target_does_not_say_which_models_it_holds() {
+fn reports_from_peers_do_not_determine_the_models_of_a_target() {
     let (name, wanted) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..query(0) });
     let mut board = Board::default();
     board.set_targets([name.clone()].iter());
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn older_news_never_replaces_newer() {
+fn an_older_report_never_replaces_a_newer_one() {
     let mut t = table(1, |_| 0);
     let mut leaving = report("t0", 5);
     leaving.report.leaving = true;
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn the_own_failure_domain_comes_first_and_the_next_when_it_is_full() {
+fn the_own_failure_domain_is_preferred_until_full() {
     let mut t = table(6, |i| u8::from(i >= 3));
     for prefix in 0..100 {
         let name = pick(PolicyKind::Home, &t, prefix).expect("a target");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_hot_prefix_spills_along_its_own_order() {
+fn a_hot_prefix_spills_along_its_rendezvous_order() {
     let mut t = table(20, |_| 0);
     let home = pick(PolicyKind::Home, &t, 9).expect("a home");
     let mut policy = make_policy(PolicyKind::Home, 3);
@@ -153,11 +153,11 @@
         taken.insert(name);
     }
     assert!(taken.contains(&home));
-    assert!((2..=4).contains(&taken.len()), "spill stays on the next few: {taken:?}");
+    assert!((2..=4).contains(&taken.len()), "a spill stays on the next few targets: {taken:?}");
 }
 
 #[test]
-fn a_target_that_fails_is_ejected_but_never_most_of_the_pool() {
+fn failing_targets_are_ejected_but_never_most_of_the_pool() {
     let mut t = table(6, |_| 0);
     let mut ejected = 0;
     for i in 0..6 {
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_slow_target_gets_less_once_its_answers_show_it() {
+fn a_slow_target_gets_fewer_requests() {
     let mut t = table(4, |_| 0);
     let mut rng = Rng::new(4);
     let mut policy = make_policy(PolicyKind::Home, 5);
@@ -188,7 +188,7 @@
         counts[i] += 1;
         let ms = if i == 0 { 500 } else { 10 };
         t.record_first_frame(now, &name, sent, Duration::from_millis(ms));
-        // The slow one holds its calls; the others are done at once.
+        // The slow target holds its calls; the others finish at once.
         if i != 0 || n % 20 == 0 {
             t.record_success(now, &name);
         }
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_changed_pool_keeps_what_is_known_of_those_that_stay() {
+fn a_changed_pool_keeps_the_state_of_remaining_targets() {
     let mut t = table(3, |_| 0);
     t.record_sent(NOW, "t1");
     t.mark_leaving("t2");
--- a/crates/decide/tests/support/rollout/case.rs
+++ b/crates/decide/tests/support/rollout/case.rs
@@ -1,4 +1,4 @@
-//! What is played, and what came of it.
+//! Cases of the simulation and their outcomes.
 
 use std::time::Duration;
 
@@ -14,33 +14,34 @@
     AtOnce,
     /// From this part of the order's time on.
     From(f64),
-    /// While it gets more than this part of the requests.
+    /// While it gets more than this share of the requests.
     Above(f64),
-    /// On the first of the routes.
+    /// On the first route only.
     OneRoute,
 }
 
 /// What a bad version does.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Fails this part of the answers.
+    /// Fails this share of the answers.
     Fails(f64),
-    /// Takes so many times as long for two answers of five.
+    /// Takes this many times as long for two answers of five.
     Slow(f64),
 }
 
-/// What judges.
+/// Method of judging.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
     /// The sequential tests of the judge and the nodes.
     Sequential,
-    /// Fixed counts over the whole time, for comparison: of fifty answers on trial, of a route
-    /// or of all, a tenth more are bad than of the version that serves. The judge sees no bad
-    /// answer then, and is told of the verdict by a report.
+    /// Fixed counts over the whole time, for comparison: bad if, in fifty answers of the trial on
+    /// one route or on all, the share of bad ones is a tenth higher than that of the serving
+    /// version. The judge gets no bad answers then, and learns the verdict from a report.
     FixedCounts,
 }
 
-/// Bad answers and all, as `Way::FixedCounts` counts them; by route, then of all.
+/// Bad answers and all answers, as [`Method::FixedCounts`] counts them; one for each route, then
+/// one for all.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct AnswerCounts {
     serving: (f64, f64),
@@ -63,11 +64,11 @@
 /// How the pieces of a call are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CountMode {
-    /// A call with one that failed is a failure.
+    /// A call with one failed piece is a failure.
     Whole,
-    /// Each is an answer.
+    /// Each piece is an answer.
     Pieces,
-    /// A call is one answer, a failure as far as its pieces are.
+    /// A call is one answer, which fails in proportion to its failed pieces.
     Parts,
 }
 
@@ -75,13 +76,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Calls {
     pub count: CountMode,
-    /// Pieces of a call: of the version that serves, of the one on trial.
+    /// Pieces of a call: serving version, trial version.
     pub pieces: (u32, u32),
-    /// Part of the calls whose pieces all share one fate.
+    /// Share of the calls whose pieces all share one outcome.
     pub shared: f64,
 }
 
-/// One roll-out.
+/// One rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct Case {
     pub method: Method,
@@ -92,22 +93,23 @@
     pub routes: usize,
     pub when: FaultTiming,
     pub fault: Fault,
-    /// Part of the answers that fail whatever the version.
+    /// Share of the answers that fail with either version.
     pub noise: f64,
-    /// Part of the reports and of their answers that is lost.
+    /// Share of the reports and of their replies that is lost.
     pub lost: f64,
-    /// Part of the writes whose answer is lost; half of them land later or never.
+    /// Share of the writes whose response is lost; half of these are applied late or never.
     pub lost_writes: f64,
-    /// Nodes that restart in each second.
+    /// Node restarts a second.
     pub restarts: f64,
     /// Requests are calls of several pieces.
     pub calls: Option<Calls>,
-    /// From when to when half of the nodes are cut off from the others, with a judge each.
+    /// Period in which half of the nodes are partitioned from the others, with a judge on each
+    /// side.
     pub cut_ms: Option<(u64, u64)>,
 }
 
 impl Case {
-    /// Undisturbed, four routes.
+    /// Four routes and no disturbances.
     pub fn plain(seed: u64, rate: f64, nodes: usize, when: FaultTiming, fault: Fault) -> Self {
         Case {
             method: Method::Sequential,
@@ -128,29 +130,29 @@
     }
 }
 
-/// Bounds of the tests.
+/// Bounds used by the tests.
 pub const BOUNDS: Bounds =
     Bounds { share: 0.1, slack: 50, rollback_within: Duration::from_millis(5000) };
 
-/// What came of it.
+/// Outcome of a simulation.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
-    /// Requests from the order to the deadline, and those of them to the version on trial.
+    /// Requests from the order to the deadline, and those of them to the trial version.
     pub sent: u64,
     pub trial_sent: u64,
-    /// Final states that the store took, with the time and the requests that were open at the
-    /// old version then, of nodes in touch with the writer.
+    /// Final states that the store accepted, with their time and the number of requests then open
+    /// at the old version on nodes that the writer could reach.
     pub ends: Vec<(RolloutState, u64, u32)>,
-    /// When it turned bad, and the requests that it got from then on.
+    /// Time at which the version turned bad, and its requests from then on.
     pub bad_from_ms: Option<u64>,
     pub sent_while_bad: u64,
-    /// Requests to the version sent later than `back` after the fiftieth bad answer.
+    /// Requests to the version sent later than `rollback_within` after the fiftieth bad answer.
     pub sent_late: u64,
-    /// When the version got its last request.
+    /// Time of the version's last request.
     pub last_tried_ms: u64,
     /// Judgements: time and cause.
     pub judged: Vec<(u64, &'static str)>,
-    /// Greatest chance that was in force.
+    /// Highest share that was in force.
     pub max_share: f64,
 }
 
--- a/crates/decide/tests/support/rollout/mod.rs
+++ b/crates/decide/tests/support/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! Nodes, one order, its judges and the store's record of it, in simulated time, for the tests
-//! of roll-outs. Requests are drawn at random; nothing is queued and no target is simulated.
+//! Simulated nodes, one order, its judges and the store's record of it, for the rollout tests.
+//! Requests are random; there are no queues and no targets.
 
 mod case;
 mod traffic;
@@ -18,19 +18,19 @@
 pub use case::{BOUNDS, Calls, Case, CountMode, Fault, FaultTiming, Method, Outcome};
 use traffic::Answer;
 
-/// Revision of the first list of orders, after the order and the targets of its version came.
+/// Revision of the first list of orders, after the order and the targets of its version appeared.
 const LISTED_AT: u64 = 12;
 /// Time between two steps.
 const STEP_MS: u64 = 20;
 /// Time between two reports of a node.
 const REPORT_MS: u64 = 240;
-/// Time after which the nodes hear of a change in the store.
+/// Delay until nodes learn of a change in the store.
 const WATCH_MS: u64 = 100;
 
-/// Time after which the judge knows of a node that started.
+/// Delay until the judge knows of a node that started.
 const START_KNOWN_MS: u64 = 500;
 
-/// Time without a report after which a node counts as out of touch.
+/// Time without a report after which a node counts as unreachable.
 const SILENT_MS: u64 = 1000;
 
 struct Node {
@@ -39,14 +39,14 @@
     evidence: Evidence,
     open: u32,
     since_ms: u64,
-    /// When its last report reached the judge.
+    /// Time of its last report that reached the judge.
     last_report_ms: u64,
 }
 
 struct Write {
     judge: usize,
     sent_ms: u64,
-    /// When each node had last told its judge by then.
+    /// For each node, the time of its last report to its judge by then.
     last_report_ms: Vec<u64>,
     state: RolloutState,
     revision: u64,
@@ -63,10 +63,10 @@
     routes: Vec<Name>,
     nodes: Vec<Node>,
     judges: Vec<Option<Judge>>,
-    /// Revision of the order that each judge last heard of.
+    /// Newest revision of the order that each judge knows.
     known_revision: [u64; 2],
     order: Rollout,
-    /// What the store holds, and when.
+    /// History of the store, with times.
     history: Vec<(u64, Rollout)>,
     writes: Vec<Write>,
     pending: BinaryHeap<Reverse<(u64, usize)>>,
@@ -168,12 +168,12 @@
         self.case.cut_ms.is_some_and(|(from, to)| (from..to).contains(&self.now))
     }
 
-    /// Judge that a node reports to.
+    /// Index of the judge that a node reports to.
     fn judge_of(&self, node: usize) -> usize {
         usize::from(self.is_partitioned() && node % 2 == 1)
     }
 
-    /// Plays it to its end.
+    /// Runs the simulation to its end.
     pub fn play(mut self) -> Outcome {
         let over = self.case.lasts_ms + self.case.lasts_ms / 2 + 8000;
         while self.now < over {
@@ -230,14 +230,14 @@
         }
     }
 
-    /// The order as it was in the store some time ago.
+    /// The order as the store held it some time ago.
     fn stored_order(&self, ago_ms: u64) -> Rollout {
         let then = self.now.saturating_sub(ago_ms);
         let known = self.history.iter().rev().find(|(at, _)| *at <= then);
         known.map_or_else(|| order(&self.case), |(_, order)| order.clone())
     }
 
-    /// Nodes and judges hear of a change in the store.
+    /// Delivers a change in the store to nodes and judges.
     fn deliver_changes(&mut self) {
         let then = self.now.saturating_sub(WATCH_MS);
         let Some((at, order)) = self.history.last().cloned() else {
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Writes reach the store, and their ends the judges.
+    /// Applies writes to the store and delivers their results to the judges.
     fn apply_writes(&mut self) {
         for mut write in std::mem::take(&mut self.writes) {
             if write.applied_ms.is_some_and(|at| at <= self.now) {
@@ -289,8 +289,8 @@
     fn record_end(&mut self, judge: usize, sent_ms: u64, last_report_ms: &[u64]) {
         if self.order.state.is_final() {
             let nodes = self.nodes.iter().enumerate();
-            // The judge cannot know of a node that started just before it wrote, or later, and
-            // does not wait for one that it had not heard for long when it wrote.
+            // The judge cannot know of a node that started just before it wrote, or later, and does
+            // not wait for one that had been silent for long when it wrote.
             let known = |n: usize, node: &Node| {
                 node.since_ms + START_KNOWN_MS <= sent_ms
                     && last_report_ms[n] + SILENT_MS >= sent_ms
--- a/crates/decide/tests/support/rollout/traffic.rs
+++ b/crates/decide/tests/support/rollout/traffic.rs
@@ -19,7 +19,7 @@
     took: Duration,
     bad: bool,
     fails: bool,
-    /// Pieces of the call, and those of them that fail.
+    /// Pieces of the call, and how many of them fail.
     pieces: u32,
     failed: u32,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Simulation {
-    /// Pieces of a call that fail.
+    /// Draws the number of failed pieces of a call.
     fn failed_pieces(&mut self, pieces: u32, hit: bool) -> u32 {
         let Some(calls) = self.case.calls else {
             return 0;
@@ -80,11 +80,11 @@
     pub(super) fn send_requests(&mut self) {
         self.arrivals_due += self.case.rate * STEP_MS as f64 / 1000.0;
         let (mut sent, mut to_trial) = (0.0, 0.0);
-        // Arrivals at random: each of many callers sends with a small chance.
-        let callers = (self.arrivals_due * 2.0).ceil() as usize + 1;
-        let chance = self.arrivals_due / callers as f64;
+        // Random arrivals: each of many callers sends with a small probability.
+        let lots = (self.arrivals_due * 2.0).ceil() as usize + 1;
+        let chance = self.arrivals_due / lots as f64;
         self.arrivals_due = 0.0;
-        for _ in 0..callers {
+        for _ in 0..lots {
             if self.rng.unit() < chance {
                 sent += 1.0;
                 to_trial += f64::from(u8::from(self.request() == Side::Trial));
@@ -115,7 +115,7 @@
         let start = node.id.start;
         if self.now < self.case.lasts_ms {
             self.outcome.sent += 1;
-            // Nodes that are cut off are not bound.
+            // Nodes that are partitioned are not bound by the cap.
             self.outcome.trial_sent += u64::from(new && self.judge_of(n) == 0);
         }
         if new {
