--- a/crates/decide/src/resend/budget.rs
+++ b/crates/decide/src/resend/budget.rs
@@ -20,10 +20,10 @@
 /// Part of the allowance that is used; the rest covers windows that nodes see shifted, and repeats
 /// that callers of a failed node bring along.
 const DRAWN_PART: f64 = 0.7;
-/// Part of that slack which a process uses in its first window, unless the whole system starts for
-/// the first time: together with what an earlier process used in the same window, it makes up the
-/// whole slack. Otherwise, nodes that were killed together would spend the slack twice in one
-/// window.
+/// Factor on a process's share of the slack in its first window, unless the whole system starts for
+/// the first time: what it then draws, with what an earlier process drew in the same window, makes
+/// up the whole slack. Otherwise, nodes that were killed together would spend the slack twice in
+/// one window.
 const RESTART_SLACK_PART: f64 = (1.0 - DRAWN_PART) / DRAWN_PART;
 /// Number of windows in which each node of a large fleet gets its turn with every fraction of a
 /// repeat. With more windows, fewer nodes get their turn within one window.
--- a/crates/decide/src/resend/verdict.rs
+++ b/crates/decide/src/resend/verdict.rs
@@ -7,7 +7,7 @@
 /// Minimum time left for a further attempt to be worthwhile.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
 
-/// Multiple of the usual longest pause between events for which a silent stream is waited for.
+/// Multiple of the longest pause between events for which a silent stream is waited for.
 const SILENT_PAUSES: u32 = 5;
 /// Minimum time for which a stream that has begun may be silent.
 const MIN_SILENCE: Duration = Duration::from_millis(1000);
@@ -105,8 +105,9 @@
         self.repeat.may_repeat() && resumable && self.reached < self.max_targets
     }
 
-    /// Time for which a target may be silent before the request is also sent to another one; `None`
-    /// if it is waited for without limit. `pause` is the longest pause between events.
+    /// Time for which a target may be silent before the request is sent to another one in its
+    /// place; `None` if it is waited for without limit. `pause` is the longest pause between
+    /// events.
     pub fn silence_timeout(
         &self,
         objective: Duration,
@@ -129,5 +130,5 @@
     }
 }
 
-/// Number of targets that may reject a request before it is given up.
+/// Number of consecutive targets that may reject a request before it is given up.
 const MAX_REJECTIONS: u32 = 2;
--- a/crates/decide/src/rollout/judge.rs
+++ b/crates/decide/src/rollout/judge.rs
@@ -21,7 +21,7 @@
 use nodes::Nodes;
 use writes::Writes;
 
-/// Time between two ticks.
+/// Interval of [`JudgeEvent::Tick`].
 const TICK: Duration = Duration::from_millis(100);
 
 /// Operator's limits on the harm done by a bad version.
@@ -87,14 +87,14 @@
     phase: Phase,
     /// Start of the step at a larger share.
     step_since: Option<Time>,
-    /// Time since when all requests go to the trial version.
+    /// Time from which all requests go to the trial version.
     all_since: Option<Time>,
     /// Usable warm targets: serving version, trial version.
     targets: (usize, usize),
     pool: EvidencePool,
     nodes: Nodes,
     writes: Writes,
-    /// Time since when the store may hold `Completed`.
+    /// Time from which the store may hold `Completed`.
     completing_since: Option<Time>,
     ended: bool,
 }
--- a/crates/decide/src/rollout/versions.rs
+++ b/crates/decide/src/rollout/versions.rs
@@ -52,8 +52,8 @@
 
     /// Sets whether peers are being asked which orders were withdrawn before this node started.
     /// Until they have answered, only one version of a service serves where no order names one.
-    pub fn set_awaiting_peers(&mut self, asks: bool) {
-        self.awaiting_peers = asks;
+    pub fn set_awaiting_peers(&mut self, awaiting: bool) {
+        self.awaiting_peers = awaiting;
     }
 
     /// Whether orders are known, or none are followed.
--- a/crates/decide/src/rollout/versions/side.rs
+++ b/crates/decide/src/rollout/versions/side.rs
@@ -126,8 +126,8 @@
     }
 
     /// Whether the unreadable order of its service may be for this version, which is so if it did
-    /// not serve before. A node that had no list before lets the oldest version serve, since
-    /// without any the service would be unavailable.
+    /// not serve before. A node that saw none of the service's versions serve before lets the
+    /// oldest one serve, since without any the service would be unavailable.
     pub(super) fn may_be_on_trial(&self, service: &str, version: &str) -> bool {
         let Some(served) = self.served.get(service) else {
             return false;
@@ -154,7 +154,7 @@
         match phase {
             Some(Phase::Back) if is_named => None,
             _ if is_named => Some(Side::Trial),
-            // As long as the new version has targets for all requests.
+            // While the new version has targets to take all requests.
             Some(Phase::All) if self.count(service, &order.version) > 0 => None,
             _ => Some(Side::Serving),
         }
--- a/crates/decide/src/route/table.rs
+++ b/crates/decide/src/route/table.rs
@@ -22,7 +22,7 @@
 /// Configured properties of a target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetInfo {
-    /// Unique name.
+    /// Name, by which the pool finds the target.
     pub name: Name,
     /// IP address and port.
     pub address: Name,
--- a/crates/decide/tests/support/rollout/mod.rs
+++ b/crates/decide/tests/support/rollout/mod.rs
@@ -20,7 +20,7 @@
 
 /// Revision of the first list of orders, after the order and the targets of its version appeared.
 const LISTED_AT: u64 = 12;
-/// Time between two steps.
+/// Simulated time of one step.
 const STEP_MS: u64 = 20;
 /// Time between two reports of a node.
 const REPORT_MS: u64 = 240;
