--- a/crates/decide/tests/rollout_evidence.rs
+++ b/crates/decide/tests/rollout_evidence.rs
@@ -1,4 +1,4 @@
-//! What one node's own requests show of a version on trial.
+//! Evidence from one node's own requests for a trial version.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use model::forward::Side;
 use model::{Name, Time};
 
-/// Answers of one side: failures, and good ones with their time.
-fn take(evidence: &mut Evidence, side: Side, bad: u32, good: u32, ms: u64) {
+/// Records answers of one side: failures, and successful ones that took `ms`.
+fn record(evidence: &mut Evidence, side: Side, bad: u32, good: u32, ms: u64) {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
     for _ in 0..bad {
         evidence.record_sent(&service, &route, side, 1);
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn a_node_judges_alone_only_by_what_the_serving_version_does_not_do_too() {
-    // Failures, good answers and their time: of the version that serves and of the one on
-    // trial; and what that proves.
+fn local_verdict_needs_failures_beyond_the_serving_version() {
+    // Failures, successful answers and their time, of the serving and of the trial version; and the
+    // cause that this proves.
     let cases = [
         ((0, 50, 40), (0, 50, 40), None),
         ((0, 50, 40), (2, 20, 40), None),
@@ -35,8 +35,8 @@
     ];
     for (serving, trial, wanted) in cases {
         let mut evidence = Evidence::default();
-        take(&mut evidence, Side::Serving, serving.0, serving.1, serving.2);
-        take(&mut evidence, Side::Trial, trial.0, trial.1, trial.2);
+        record(&mut evidence, Side::Serving, serving.0, serving.1, serving.2);
+        record(&mut evidence, Side::Trial, trial.0, trial.1, trial.2);
         let verdict = evidence.proves_bad("s");
         assert_eq!(verdict.as_ref().map(|v| v.cause), wanted, "{serving:?} {trial:?}");
         let Some(verdict) = verdict else {
@@ -48,15 +48,15 @@
 }
 
 #[test]
-fn late_answers_that_come_together_were_held_up_by_one_thing() {
+fn late_answers_in_one_burst_count_once() {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
     let (usual, late) = (Duration::from_millis(40), Duration::from_millis(150));
     let mut evidence = Evidence::default();
     let mut note_late = |took, ms| {
         evidence.note_late(&service, &route, took, Time::ZERO + Duration::from_millis(ms))
     };
-    assert!(![0, 1].map(|ms| note_late(late, ms))[1], "nobody knows what is late");
-    take(&mut evidence, Side::Serving, 0, 50, 40);
+    assert!(![0, 1].map(|ms| note_late(late, ms))[1], "without a baseline nothing is late");
+    record(&mut evidence, Side::Serving, 0, 50, 40);
     let cases = [
         (usual, 100, false),
         (late, 101, false),
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn a_report_holds_all_counts_until_the_order_is_over() {
+fn a_report_holds_cumulative_counts_until_the_order_ends() {
     let mut evidence = Evidence::default();
-    take(&mut evidence, Side::Serving, 1, 9, 1);
-    take(&mut evidence, Side::Trial, 2, 3, 2);
+    record(&mut evidence, Side::Serving, 1, 9, 1);
+    record(&mut evidence, Side::Trial, 2, 3, 2);
     let [seen] = &evidence.report("s")[..] else {
         panic!("one route");
     };
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn a_call_is_a_failure_as_far_as_its_pieces_are() {
+fn a_call_counts_as_a_failure_in_proportion_to_its_failed_pieces() {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
-    // Part of each call that failed, calls, and how many of them count as failures.
+    // Part of each call that failed, number of calls, and how many of them count as failures.
     for (part, calls, wanted) in [(0.0, 50, 0), (1.0, 7, 7), (1.0 / 12.0, 120, 10), (0.5, 9, 4)] {
         let mut evidence = Evidence::default();
         for _ in 0..calls {
--- a/crates/decide/tests/rollout_judge.rs
+++ b/crates/decide/tests/rollout_judge.rs
@@ -1,4 +1,4 @@
-//! Roll-outs from order to end: what a judge decides, and what a bad version gets.
+//! Rollouts from order to end: the judge's decisions, and the requests that a bad version gets.
 
 #[path = "support/rollout/mod.rs"]
 #[allow(dead_code, unused_imports, reason = "each test file uses its part")]
@@ -12,11 +12,12 @@
 use model::member::NodeId;
 use model::{Name, Time};
 use proptest::prelude::*;
-use support::{BOUNDS, Case, Fault, Outcome, Run, When};
+use support::{BOUNDS, Case, Fault, FaultTiming, Outcome, Simulation};
 
 const FAULTS: [Fault; 4] =
     [Fault::Fails(0.2), Fault::Fails(0.4), Fault::Slow(3.0), Fault::Slow(8.0)];
-const TIMES: [When; 4] = [When::AtOnce, When::From(0.5), When::Above(0.3), When::OneRoute];
+const TIMES: [FaultTiming; 4] =
+    [FaultTiming::AtOnce, FaultTiming::From(0.5), FaultTiming::Above(0.3), FaultTiming::OneRoute];
 const NODES: [usize; 3] = [4, 82, 300];
 
 fn order(state: RolloutState, revision: u64) -> Rollout {
@@ -30,7 +31,7 @@
     }
 }
 
-/// An order to this version that whoever names it has known all the time.
+/// Identity of an order to this version, known at every revision.
 fn id(version: &str) -> RolloutId {
     RolloutId { service: "s".into(), version: version.into(), made: 0, since: 0, at: u64::MAX }
 }
@@ -56,170 +57,171 @@
     })
 }
 
-/// A judge and what it asked for, fed some times a second.
-struct Bench {
+/// A judge and the actions it returned, driven several times a second.
+struct Harness {
     judge: Judge,
     now: u64,
-    done: Vec<(u64, JudgeAction)>,
+    actions: Vec<(u64, JudgeAction)>,
 }
 
-impl Bench {
+impl Harness {
     fn new(state: RolloutState) -> Self {
         let judge = Judge::new(BOUNDS, order(state, 10), 10, Duration::ZERO, Time::ZERO);
-        let mut bench = Bench { judge, now: 0, done: Vec::new() };
-        bench.on(JudgeEvent::Targets { serving: 4, trial: 4 });
-        bench.on(JudgeEvent::Nodes(vec![node("a"), node("b")]));
-        bench
+        let mut harness = Harness { judge, now: 0, actions: Vec::new() };
+        harness.handle(JudgeEvent::Targets { serving: 4, trial: 4 });
+        harness.handle(JudgeEvent::Nodes(vec![node("a"), node("b")]));
+        harness
     }
 
-    fn on(&mut self, event: JudgeEvent) {
+    fn handle(&mut self, event: JudgeEvent) {
         let actions = self.judge.handle(Time::from_millis(self.now), event);
-        self.done.extend(actions.into_iter().map(|action| (self.now, action)));
+        self.actions.extend(actions.into_iter().map(|action| (self.now, action)));
     }
 
-    /// Until then these nodes report, with as many requests open at the old version.
+    /// Runs until `until`, with reports of these nodes and their numbers of requests open at the
+    /// old version.
     fn run(&mut self, until: u64, nodes: &[(&str, u32)]) {
         while self.now < until {
             self.now += 100;
             let phase = self.judge.phase();
             for (name, open) in nodes {
-                self.on(report(name, phase, *open));
+                self.handle(report(name, phase, *open));
             }
-            self.on(JudgeEvent::Tick);
+            self.handle(JudgeEvent::Tick);
         }
     }
 
-    /// States that were to be written.
+    /// States that the judge asked to write.
     fn writes(&self) -> Vec<RolloutState> {
         let write = |(_, action): &(u64, JudgeAction)| match action {
             JudgeAction::Write(state) => Some(*state),
             JudgeAction::Judged { .. } | JudgeAction::Phase(_) => None,
         };
-        self.done.iter().filter_map(write).collect()
+        self.actions.iter().filter_map(write).collect()
     }
 
-    fn stands(&mut self, state: RolloutState, revision: u64) {
-        self.on(JudgeEvent::WriteEnded(true));
-        self.on(JudgeEvent::Order(order(state, revision)));
+    fn write_applied(&mut self, state: RolloutState, revision: u64) {
+        self.handle(JudgeEvent::WriteEnded(true));
+        self.handle(JudgeEvent::Order(order(state, revision)));
     }
 }
 
 #[test]
-fn an_order_is_taken_up_and_completed_once_nobody_uses_the_old_version() {
-    let mut bench = Bench::new(Ordered);
-    bench.run(100, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [Active]);
-    bench.stands(Active, 12);
-    bench.run(9_900, &[("a", 0), ("b", 1)]);
-    assert_eq!(bench.judge.phase(), Phase::All);
-    assert_eq!(bench.writes(), [Active], "a request is open at the old version");
-    bench.run(11_000, &[("a", 0), ("b", 1)]);
-    assert_eq!(bench.writes(), [Active], "nobody is cut off for the deadline's sake");
-    bench.run(11_200, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [Active, Completed]);
-    bench.stands(Completed, 13);
-    assert_eq!(bench.judge.next_tick(Time::from_millis(bench.now)), Time::NEVER);
+fn an_order_completes_once_no_node_uses_the_old_version() {
+    let mut harness = Harness::new(Ordered);
+    harness.run(100, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [Active]);
+    harness.write_applied(Active, 12);
+    harness.run(9_900, &[("a", 0), ("b", 1)]);
+    assert_eq!(harness.judge.phase(), Phase::All);
+    assert_eq!(harness.writes(), [Active], "a request is open at the old version");
+    harness.run(11_000, &[("a", 0), ("b", 1)]);
+    assert_eq!(harness.writes(), [Active], "no request is cut off to meet the deadline");
+    harness.run(11_200, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [Active, Completed]);
+    harness.write_applied(Completed, 13);
+    assert_eq!(harness.judge.next_tick(Time::from_millis(harness.now)), Time::NEVER);
 }
 
 #[test]
-fn nodes_that_do_not_answer_are_waited_for_until_shortly_before_the_deadline() {
-    let mut bench = Bench::new(Active);
-    bench.run(2_000, &[("a", 0), ("b", 3)]);
-    bench.run(9_100, &[("a", 0)]);
-    assert_eq!((bench.judge.phase(), bench.writes()), (Phase::All, vec![]));
-    bench.run(9_900, &[("a", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+fn silent_nodes_are_awaited_until_shortly_before_the_deadline() {
+    let mut harness = Harness::new(Active);
+    harness.run(2_000, &[("a", 0), ("b", 3)]);
+    harness.run(9_100, &[("a", 0)]);
+    assert_eq!((harness.judge.phase(), harness.writes()), (Phase::All, vec![]));
+    harness.run(9_900, &[("a", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
-fn a_node_that_has_just_started_is_waited_for() {
-    let mut bench = Bench::new(Active);
-    bench.run(9_100, &[("a", 0), ("b", 0)]);
+fn a_node_that_just_started_is_awaited() {
+    let mut harness = Harness::new(Active);
+    harness.run(9_100, &[("a", 0), ("b", 0)]);
     let started = NodeId { start: 2, ..node("b") };
-    bench.on(JudgeEvent::Nodes(vec![node("a"), started]));
-    bench.run(10_000, &[("a", 0)]);
-    assert_eq!(bench.writes(), [], "it may use the old version until it is told");
-    bench.run(10_400, &[("a", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+    harness.handle(JudgeEvent::Nodes(vec![node("a"), started]));
+    harness.run(10_000, &[("a", 0)]);
+    assert_eq!(harness.writes(), [], "it may still use the old version");
+    harness.run(10_400, &[("a", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
-fn a_judge_that_was_paused_does_not_take_the_others_for_silent() {
-    let mut bench = Bench::new(Active);
-    bench.run(8_900, &[("a", 0), ("b", 3)]);
-    assert_eq!(bench.judge.phase(), Phase::All);
-    bench.now = 11_000;
-    bench.on(JudgeEvent::Tick);
-    bench.run(11_900, &[("a", 0)]);
-    assert_eq!(bench.writes(), [], "b had no time to answer");
-    bench.run(12_500, &[("a", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+fn a_paused_judge_does_not_treat_nodes_as_silent() {
+    let mut harness = Harness::new(Active);
+    harness.run(8_900, &[("a", 0), ("b", 3)]);
+    assert_eq!(harness.judge.phase(), Phase::All);
+    harness.now = 11_000;
+    harness.handle(JudgeEvent::Tick);
+    harness.run(11_900, &[("a", 0)]);
+    assert_eq!(harness.writes(), [], "b had no time to answer");
+    harness.run(12_500, &[("a", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
-fn a_judge_that_begins_late_takes_no_good_version_back() {
+fn a_judge_that_starts_late_rolls_back_no_good_version() {
     let judge = Judge::new(BOUNDS, order(Active, 10), 10, Duration::from_millis(9_900), Time::ZERO);
-    let mut bench = Bench { judge, now: 0, done: Vec::new() };
-    bench.on(JudgeEvent::Nodes(vec![node("a"), node("b")]));
-    bench.on(JudgeEvent::Targets { serving: 4, trial: 2 });
-    bench.on(report("a", Phase::Share(0.0), 0));
-    bench.now = 300;
-    bench.on(report("b", Phase::All, 0));
-    assert_eq!(bench.judge.phase(), Phase::All, "b went by it");
-    bench.run(2_000, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+    let mut harness = Harness { judge, now: 0, actions: Vec::new() };
+    harness.handle(JudgeEvent::Nodes(vec![node("a"), node("b")]));
+    harness.handle(JudgeEvent::Targets { serving: 4, trial: 2 });
+    harness.handle(report("a", Phase::Share(0.0), 0));
+    harness.now = 300;
+    harness.handle(report("b", Phase::All, 0));
+    assert_eq!(harness.judge.phase(), Phase::All, "b already worked by it");
+    harness.run(2_000, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
-fn without_targets_that_bear_the_load_it_is_taken_back_and_never_completed() {
+fn too_few_trial_targets_cause_a_rollback() {
     for (serving, trial) in [(4, 0), (4, 2), (0, 0)] {
-        let mut bench = Bench::new(Active);
-        bench.on(JudgeEvent::Targets { serving, trial });
-        bench.run(20_000, &[("a", 0), ("b", 0)]);
-        assert_eq!(bench.writes(), [RolledBack], "{serving} and {trial} targets");
-        assert!(!bench.done.iter().any(|(_, a)| *a == JudgeAction::Phase(Phase::All)));
+        let mut harness = Harness::new(Active);
+        harness.handle(JudgeEvent::Targets { serving, trial });
+        harness.run(20_000, &[("a", 0), ("b", 0)]);
+        assert_eq!(harness.writes(), [RolledBack], "{serving} and {trial} targets");
+        assert!(!harness.actions.iter().any(|(_, a)| *a == JudgeAction::Phase(Phase::All)));
     }
-    let mut bench = Bench::new(Active);
-    bench.run(8_900, &[("a", 1), ("b", 0)]);
-    assert_eq!(bench.judge.phase(), Phase::All);
-    bench.on(JudgeEvent::Targets { serving: 4, trial: 0 });
-    bench.run(20_000, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [RolledBack], "they were lost in the last step");
+    let mut harness = Harness::new(Active);
+    harness.run(8_900, &[("a", 1), ("b", 0)]);
+    assert_eq!(harness.judge.phase(), Phase::All);
+    harness.handle(JudgeEvent::Targets { serving: 4, trial: 0 });
+    harness.run(20_000, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [RolledBack], "the targets were lost in the last step");
 }
 
 #[test]
-fn a_state_is_written_again_only_after_the_store_showed_that_it_is_lacking() {
-    let mut bench = Bench::new(Active);
-    bench.on(report("a", Phase::Back, 0));
-    assert_eq!((bench.judge.phase(), bench.writes()), (Phase::Back, vec![RolledBack]));
-    bench.run(500, &[("a", 0)]);
-    bench.on(JudgeEvent::WriteEnded(false));
-    bench.run(1_000, &[("a", 0)]);
-    assert_eq!(bench.writes(), [RolledBack], "it may still land");
-    bench.on(JudgeEvent::Order(order(Active, 10)));
-    assert_eq!(bench.writes(), [RolledBack, RolledBack]);
-    bench.on(JudgeEvent::Order(order(RolledBack, 14)));
-    bench.on(JudgeEvent::WriteEnded(false));
-    bench.run(2_000, &[("a", 0)]);
-    assert_eq!(bench.writes().len(), 2);
+fn a_write_is_repeated_only_after_the_store_lacks_its_state() {
+    let mut harness = Harness::new(Active);
+    harness.handle(report("a", Phase::Back, 0));
+    assert_eq!((harness.judge.phase(), harness.writes()), (Phase::Back, vec![RolledBack]));
+    harness.run(500, &[("a", 0)]);
+    harness.handle(JudgeEvent::WriteEnded(false));
+    harness.run(1_000, &[("a", 0)]);
+    assert_eq!(harness.writes(), [RolledBack], "the write may still be applied");
+    harness.handle(JudgeEvent::Order(order(Active, 10)));
+    assert_eq!(harness.writes(), [RolledBack, RolledBack]);
+    harness.handle(JudgeEvent::Order(order(RolledBack, 14)));
+    harness.handle(JudgeEvent::WriteEnded(false));
+    harness.run(2_000, &[("a", 0)]);
+    assert_eq!(harness.writes().len(), 2);
 }
 
 #[test]
-fn what_the_store_has_as_final_ends_a_judge_whatever_it_decided() {
-    for (decided, stands, phase) in
+fn a_final_state_in_the_store_ends_the_judge() {
+    for (decided, stored, phase) in
         [(Phase::Back, Completed, Phase::All), (Phase::All, RolledBack, Phase::Back)]
     {
-        let mut bench = Bench::new(Active);
-        bench.on(report("a", decided, 0));
-        bench.on(JudgeEvent::Order(order(stands, 20)));
-        bench.done.clear();
-        bench.run(20_000, &[("a", 0), ("b", 0)]);
-        assert_eq!((bench.judge.phase(), bench.done.len()), (phase, 0), "{decided:?}");
+        let mut harness = Harness::new(Active);
+        harness.handle(report("a", decided, 0));
+        harness.handle(JudgeEvent::Order(order(stored, 20)));
+        harness.actions.clear();
+        harness.run(20_000, &[("a", 0), ("b", 0)]);
+        assert_eq!((harness.judge.phase(), harness.actions.len()), (phase, 0), "{decided:?}");
     }
 }
 
 #[test]
-fn a_call_that_requests_share_is_one_answer() {
+fn a_call_shared_by_requests_counts_as_one_answer() {
     let (service, route) = (Name::from("s"), Name::from("r"));
     let took = Duration::from_millis(5);
     let mut evidence = Evidence::default();
@@ -237,61 +239,61 @@
 }
 
 #[test]
-fn moments_in_which_both_versions_are_late_take_no_good_version_back() {
+fn latency_spikes_of_both_versions_cause_no_rollback() {
     const USUAL: usize = 9;
     const LATE: usize = 16;
-    let mut bench = Bench::new(Active);
+    let mut harness = Harness::new(Active);
     let (mut serving, mut trial) = (Answers::default(), Answers::default());
     for n in 1..=90 {
-        // Each second all that is under way is held up: few answers come, all of them late.
+        // Once a second, all requests in flight are delayed: few answers arrive, all of them late.
         let (bucket, count) = if n % 10 == 0 { (LATE, 12) } else { (USUAL, 50) };
         for (answers, count) in [(&mut serving, count), (&mut trial, 2)] {
             answers.times.resize(LATE + 1, 0);
             answers.times[bucket] += count;
             answers.sent += count;
         }
-        bench.now += 100;
+        harness.now += 100;
         for name in ["a", "b"] {
-            let JudgeEvent::Report(report) = report(name, bench.judge.phase(), 0) else {
+            let JudgeEvent::Report(report) = report(name, harness.judge.phase(), 0) else {
                 unreachable!("a report was made");
             };
             let evidence =
                 RouteEvidence { route: "r".into(), serving: serving.clone(), trial: trial.clone() };
             let report = RolloutReport { evidence: vec![evidence], ..report };
-            bench.on(JudgeEvent::Report(report));
+            harness.handle(JudgeEvent::Report(report));
         }
-        bench.on(JudgeEvent::Tick);
-        assert_ne!(bench.judge.phase(), Phase::Back, "after {n} reports: {:?}", bench.done);
+        harness.handle(JudgeEvent::Tick);
+        assert_ne!(harness.judge.phase(), Phase::Back, "after {n} reports: {:?}", harness.actions);
     }
 }
 
 #[test]
-fn an_order_that_was_replaced_ends_its_judge() {
-    let mut bench = Bench::new(Active);
-    bench.on(JudgeEvent::Order(Rollout { version: "v3".into(), ..order(Ordered, 20) }));
-    bench.run(20_000, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), []);
+fn a_replaced_order_ends_its_judge() {
+    let mut harness = Harness::new(Active);
+    harness.handle(JudgeEvent::Order(Rollout { version: "v3".into(), ..order(Ordered, 20) }));
+    harness.run(20_000, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), []);
 }
 
 #[test]
-fn a_new_judge_takes_the_furthest_phase_that_a_node_works_by() {
+fn a_new_judge_adopts_the_furthest_reported_phase() {
     for (reported, wanted) in [
         (vec![Phase::Share(0.1)], None),
         (vec![Phase::Share(0.1), Phase::All], Some(Phase::All)),
         (vec![Phase::All, Phase::Back], Some(Phase::Back)),
         (vec![Phase::Back, Phase::All], Some(Phase::Back)),
     ] {
-        let mut bench = Bench::new(Active);
+        let mut harness = Harness::new(Active);
         for phase in &reported {
-            bench.on(report("a", *phase, 0));
+            harness.handle(report("a", *phase, 0));
         }
-        let phase = Some(bench.judge.phase()).filter(|p| !matches!(p, Phase::Share(_)));
+        let phase = Some(harness.judge.phase()).filter(|p| !matches!(p, Phase::Share(_)));
         assert_eq!(phase, wanted, "{reported:?}");
     }
 }
 
 #[test]
-fn reports_that_come_twice_late_or_from_another_start_add_up() {
+fn duplicate_late_and_restarted_reports_are_summed_once() {
     let bad = |start: u64, bad: u32| {
         JudgeEvent::Report(RolloutReport {
             node: NodeId { name: "a".into(), start },
@@ -306,19 +308,23 @@
             }],
         })
     };
-    let mut bench = Bench::new(Active);
+    let mut harness = Harness::new(Active);
     for _ in 0..50 {
-        bench.on(bad(1, 2));
-        bench.on(bad(1, 1));
+        harness.handle(bad(1, 2));
+        harness.handle(bad(1, 1));
     }
-    assert_ne!(bench.judge.phase(), Phase::Back, "two bad answers, told a hundred times");
-    bench.on(bad(2, 2));
-    bench.on(bad(3, 2));
-    assert_eq!(bench.judge.phase(), Phase::Back, "six, of three starts");
+    assert_ne!(harness.judge.phase(), Phase::Back, "two bad answers, reported a hundred times");
+    harness.handle(bad(2, 2));
+    harness.handle(bad(3, 2));
+    assert_eq!(
+        harness.judge.phase(),
+        Phase::Back,
+        "six bad answers, from three starts of the node"
+    );
 }
 
 #[test]
-fn a_report_on_an_earlier_order_of_the_version_tells_a_judge_nothing() {
+fn reports_on_an_earlier_order_are_no_evidence() {
     let bad = |since, at| {
         JudgeEvent::Report(RolloutReport {
             node: node("a"),
@@ -333,8 +339,8 @@
             }],
         })
     };
-    // Revisions at which the reporter knows its order, and whether they are of this one, which
-    // the judge knows from 10 to 12.
+    // Revisions at which the reporter knows its order, and whether it is the judge's order, which
+    // is known from 10 to 12.
     for (since, at, is_same) in [
         (4, 9, false),
         (4, 4, false),
@@ -343,19 +349,19 @@
         (10, 10, true),
         (12, 12, true),
     ] {
-        let mut bench = Bench::new(Ordered);
-        bench.on(JudgeEvent::Order(order(Active, 12)));
-        bench.on(bad(since, at));
+        let mut harness = Harness::new(Ordered);
+        harness.handle(JudgeEvent::Order(order(Active, 12)));
+        harness.handle(bad(since, at));
         let (is_back, age) =
-            (bench.judge.phase() == Phase::Back, bench.judge.answer(Time::ZERO).age_ms);
+            (harness.judge.phase() == Phase::Back, harness.judge.answer(Time::ZERO).age_ms);
         assert_eq!((is_back, age > 0), (is_same, is_same), "{since} to {at}");
     }
 }
 
 #[test]
-fn a_node_that_works_by_an_earlier_order_yet_is_waited_for() {
-    let mut bench = Bench::new(Active);
-    bench.run(8_900, &[("a", 0), ("b", 0)]);
+fn a_node_still_on_an_earlier_order_is_awaited() {
+    let mut harness = Harness::new(Active);
+    harness.run(8_900, &[("a", 0), ("b", 0)]);
     let behind = |phase| {
         JudgeEvent::Report(RolloutReport {
             node: node("b"),
@@ -366,36 +372,36 @@
             evidence: Vec::new(),
         })
     };
-    while bench.now < 11_000 {
-        bench.on(behind(Phase::Share(0.0)));
-        bench.run(bench.now + 500, &[("a", 0)]);
+    while harness.now < 11_000 {
+        harness.handle(behind(Phase::Share(0.0)));
+        harness.run(harness.now + 500, &[("a", 0)]);
     }
-    assert_eq!((bench.judge.phase(), bench.writes()), (Phase::All, vec![]));
-    bench.run(11_500, &[("a", 0), ("b", 0)]);
-    assert_eq!(bench.writes(), [Completed]);
+    assert_eq!((harness.judge.phase(), harness.writes()), (Phase::All, vec![]));
+    harness.run(11_500, &[("a", 0), ("b", 0)]);
+    assert_eq!(harness.writes(), [Completed]);
 }
 
 #[test]
-fn a_judge_ends_when_its_order_is_given_again() {
+fn a_judge_ends_when_its_order_is_repeated() {
     for state in [Ordered, Active] {
-        let mut bench = Bench::new(Active);
-        bench.on(JudgeEvent::Order(order(state, 20)));
-        bench.run(20_000, &[("a", 0), ("b", 0)]);
-        assert_eq!(bench.writes(), [], "{state:?}");
+        let mut harness = Harness::new(Active);
+        harness.handle(JudgeEvent::Order(order(state, 20)));
+        harness.run(20_000, &[("a", 0), ("b", 0)]);
+        assert_eq!(harness.writes(), [], "{state:?}");
     }
 }
 
 fn check(case: Case) -> Outcome {
-    let outcome = Run::new(case).play();
-    let is_bad = case.when != When::Never;
+    let outcome = Simulation::new(case).play();
+    let is_bad = case.when != FaultTiming::Never;
     if is_bad {
-        // Of a time so short that not even the last step fits into the cap, that step is
-        // planned to be seen through at once; what delays that comes on top.
+        // In an order so short that not even the full step fits into the cap, that step is planned
+        // to be detected as bad at once; any delay of the detection adds to the cap.
         let slow_to_see = if case.lasts_ms < 30_000 { 0.5 * case.rate } else { 0.0 };
         let most = outcome.cap() + slow_to_see;
-        assert!(outcome.tried as f64 <= most, "{case:?}: {outcome:?}");
+        assert!(outcome.trial_sent as f64 <= most, "{case:?}: {outcome:?}");
         if outcome.state() != Some(Completed) {
-            assert_eq!(outcome.late, 0, "{case:?}: {outcome:?}");
+            assert_eq!(outcome.sent_late, 0, "{case:?}: {outcome:?}");
         }
     }
     assert!(outcome.ends.len() <= 1, "{case:?}: {outcome:?}");
@@ -403,9 +409,9 @@
 }
 
 #[test]
-fn a_bad_version_is_taken_back_having_got_little() {
-    // Rate, time of the order, and the most requests that each kind may get; the cap of the
-    // last kinds is that of the order.
+fn a_bad_version_is_rolled_back_after_few_requests() {
+    // Rate, time of the order, and the maximum number of requests for each timing of the fault; the
+    // last timings are limited by the cap of the order.
     for (rate, lasts_ms, at_once, half) in
         [(100.0, 60_000, 120, 300), (1000.0, 60_000, 200, 1500), (1000.0, 8_000, 150, 850)]
     {
@@ -416,11 +422,11 @@
                     let outcome = check(case);
                     assert_eq!(outcome.state(), Some(RolledBack), "{case:?}: {outcome:?}");
                     let most = match when {
-                        When::AtOnce => at_once,
-                        When::From(_) => half,
+                        FaultTiming::AtOnce => at_once,
+                        FaultTiming::From(_) => half,
                         _ => u64::MAX,
                     };
-                    assert!(outcome.tried <= most, "{case:?}: {outcome:?}");
+                    assert!(outcome.trial_sent <= most, "{case:?}: {outcome:?}");
                 }
             }
         }
@@ -428,24 +434,27 @@
 }
 
 #[test]
-fn a_version_whose_badness_never_shows_stays_within_the_cap_of_a_longer_order() {
+fn an_undetected_bad_version_stays_within_the_cap_of_a_longer_order() {
     for lasts_ms in [30_000, 60_000, 300_000] {
         for rate in [10.0, 100.0, 400.0] {
             let unseen = Fault::Fails(0.0);
-            let case = Case { lasts_ms, ..Case::plain(3, rate, 20, When::AtOnce, unseen) };
+            let case = Case { lasts_ms, ..Case::plain(3, rate, 20, FaultTiming::AtOnce, unseen) };
             assert_eq!(check(case).state(), Some(Completed), "{case:?}");
         }
     }
 }
 
 #[test]
-fn a_good_version_is_completed_before_the_deadline_and_nobody_is_cut() {
+fn a_good_version_completes_before_the_deadline_without_cutting_requests() {
     for (rate, lasts_ms) in [(10.0, 60_000), (100.0, 8_000), (1000.0, 8_000), (100.0, 600_000)] {
         for noise in [0.0, 0.002, 0.05] {
             for seed in 0..4 {
                 let fault = Fault::Fails(0.0);
-                let case =
-                    Case { lasts_ms, noise, ..Case::plain(seed, rate, 82, When::Never, fault) };
+                let case = Case {
+                    lasts_ms,
+                    noise,
+                    ..Case::plain(seed, rate, 82, FaultTiming::Never, fault)
+                };
                 let outcome = check(case);
                 let [(Completed, ended, 0)] = outcome.ends[..] else {
                     panic!("{case:?}: {outcome:?}");
@@ -458,11 +467,11 @@
 
 fn any_case() -> impl Strategy<Value = Case> {
     let when = prop_oneof![
-        Just(When::Never),
-        Just(When::AtOnce),
-        (0.1..0.9f64).prop_map(When::From),
-        (0.05..0.5f64).prop_map(When::Above),
-        Just(When::OneRoute),
+        Just(FaultTiming::Never),
+        Just(FaultTiming::AtOnce),
+        (0.1..0.9f64).prop_map(FaultTiming::From),
+        (0.05..0.5f64).prop_map(FaultTiming::Above),
+        Just(FaultTiming::OneRoute),
     ];
     let fault =
         prop_oneof![(0.2..0.5f64).prop_map(Fault::Fails), (3.0..8.0f64).prop_map(Fault::Slow)];
@@ -483,16 +492,16 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(150))]
 
-    /// Reports and writes are lost or land late, nodes and the judge restart, and half of the
-    /// nodes are cut off with a judge of their own: a bad version stays within the cap and gets
-    /// nothing once it is seen to be bad, the state ends once, and with `Completed` no node in
-    /// touch with the writer is cut off.
+    /// Reports and writes are lost or delayed, nodes and the judge restart, and half of the nodes
+    /// are partitioned with a judge of their own: a bad version stays within the cap and gets no
+    /// requests once it is detected, the order ends once, and `Completed` cuts off no node that the
+    /// writer can reach.
     #[test]
-    fn whatever_fails_a_bad_version_stays_within_the_cap(case in any_case()) {
+    fn a_bad_version_stays_within_the_cap_under_faults(case in any_case()) {
         let outcome = check(case);
         if let [(Completed, _, open)] = outcome.ends[..] {
             prop_assert_eq!(open, 0, "{:?}", outcome);
-            let is_plain_bad = case.when == When::AtOnce && case.rate >= 100.0;
+            let is_plain_bad = case.when == FaultTiming::AtOnce && case.rate >= 100.0;
             prop_assert!(!is_plain_bad, "{:?}", outcome);
         }
     }
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -25,16 +25,16 @@
     t
 }
 
-fn ask(prefix: u64) -> RouteQuery<'static> {
+fn query(prefix: u64) -> RouteQuery<'static> {
     RouteQuery { now: NOW, prefix, model: None, budget: 500.0, tried: &[] }
 }
 
 fn pick(kind: PolicyKind, t: &PoolTable, prefix: u64) -> Option<Name> {
-    let i = make_policy(kind, 1).pick(&ask(prefix), t)?;
+    let i = make_policy(kind, 1).pick(&query(prefix), t)?;
     Some(t.slots()[i].info.name.clone())
 }
 
-fn news(name: &str, seq: u64) -> TargetNews {
+fn report(name: &str, seq: u64) -> TargetNews {
     let report = Report { target: name.into(), seq, ..Report::default() };
     TargetNews { report, seq, ready: true, polled: true }
 }
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_target_that_goes_moves_only_its_own_prefixes() {
+fn removing_a_target_moves_only_its_own_prefixes() {
     let t = table(20, |_| 0);
     let mut smaller = PoolTable::default();
     let rest = t.slots().iter().filter(|s| &*s.info.name != "t3");
@@ -73,57 +73,57 @@
 }
 
 #[test]
-fn no_policy_takes_a_target_that_is_leaving_unready_or_holds_another_version() {
+fn no_policy_picks_a_leaving_unready_or_mismatched_target() {
     for kind in ALL {
         let mut t = table(4, |_| 0);
         t.mark_leaving("t0");
-        let down = TargetNews { ready: false, ..news("t1", 1) };
+        let down = TargetNews { ready: false, ..report("t1", 1) };
         t.update(NOW, &down);
         for (name, model) in [("t2", "m@v1"), ("t3", "m@v2")] {
-            let mut n = news(name, 1);
+            let mut n = report(name, 1);
             n.report.models = vec![model.into()];
             t.update(NOW, &n);
         }
         let mut policy = make_policy(kind, 1);
         for prefix in 0..100 {
-            let ask = RouteQuery { model: Some("m@v2"), ..ask(prefix) };
-            let i = policy.pick(&ask, &t).expect("t3 fits");
+            let wanted = RouteQuery { model: Some("m@v2"), ..query(prefix) };
+            let i = policy.pick(&wanted, &t).expect("t3 fits");
             assert_eq!(&*t.slots()[i].info.name, "t3", "{kind:?}");
         }
     }
 }
 
 #[test]
-fn what_other_nodes_told_of_a_target_does_not_say_which_models_it_holds() {
-    let (name, wanted) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..ask(0) });
+fn reports_from_peers_do_not_determine_the_models_of_a_target() {
+    let (name, wanted) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..query(0) });
     let mut board = LoadTable::default();
     board.set_targets([name.clone()].iter());
     let polled = Report { target: name.clone(), seq: 1, ..Report::default() };
-    let rumor = board.record_poll(polled).expect("news");
+    let rumor = board.record_poll(polled).expect("a new report");
     let holds_none = board.get("t0").expect("polled").clone();
     let mut elsewhere = LoadTable::default();
     elsewhere.set_targets([name.clone()].iter());
-    elsewhere.merge_rumor(rumor).expect("news there");
-    for (news, fits) in [(&holds_none, false), (elsewhere.get("t0").expect("heard"), true)] {
+    elsewhere.merge_rumor(rumor).expect("new to the other node");
+    for (report, fits) in [(&holds_none, false), (elsewhere.get("t0").expect("heard"), true)] {
         let mut t = table(1, |_| 0);
-        t.update(NOW, news);
+        t.update(NOW, report);
         let picked = make_policy(PolicyKind::Home, 1).pick(&wanted, &t);
-        assert_eq!(picked.is_some(), fits, "{news:?}");
+        assert_eq!(picked.is_some(), fits, "{report:?}");
     }
 }
 
 #[test]
-fn older_news_never_replaces_newer() {
+fn an_older_report_never_replaces_a_newer_one() {
     let mut t = table(1, |_| 0);
-    let mut leaving = news("t0", 5);
+    let mut leaving = report("t0", 5);
     leaving.report.leaving = true;
     t.update(NOW, &leaving);
-    t.update(NOW, &news("t0", 4));
+    t.update(NOW, &report("t0", 4));
     assert!(t.slots()[0].leaving);
 }
 
 #[test]
-fn the_own_failure_domain_comes_first_and_the_next_when_it_is_full() {
+fn the_own_failure_domain_is_preferred_until_full() {
     let mut t = table(6, |i| u8::from(i >= 3));
     for prefix in 0..100 {
         let name = pick(PolicyKind::Home, &t, prefix).expect("a target");
@@ -141,23 +141,23 @@
 }
 
 #[test]
-fn a_hot_prefix_spills_along_its_own_order() {
+fn a_hot_prefix_spills_along_its_rendezvous_order() {
     let mut t = table(20, |_| 0);
     let home = pick(PolicyKind::Home, &t, 9).expect("a home");
     let mut policy = make_policy(PolicyKind::Home, 3);
     let mut taken = std::collections::BTreeSet::new();
     for _ in 0..60 {
-        let i = policy.pick(&ask(9), &t).expect("a target");
+        let i = policy.pick(&query(9), &t).expect("a target");
         let name = t.slots()[i].info.name.clone();
         t.record_sent(NOW, &name);
         taken.insert(name);
     }
     assert!(taken.contains(&home));
-    assert!((2..=4).contains(&taken.len()), "spill stays on the next few: {taken:?}");
+    assert!((2..=4).contains(&taken.len()), "a spill stays on the next few targets: {taken:?}");
 }
 
 #[test]
-fn a_target_that_fails_is_ejected_but_never_most_of_the_pool() {
+fn failing_targets_are_ejected_but_never_most_of_the_pool() {
     let mut t = table(6, |_| 0);
     let mut ejected = 0;
     for i in 0..6 {
@@ -175,20 +175,20 @@
 }
 
 #[test]
-fn a_slow_target_gets_less_once_its_answers_show_it() {
+fn a_slow_target_gets_fewer_requests() {
     let mut t = table(4, |_| 0);
     let mut rng = Rng::new(4);
     let mut policy = make_policy(PolicyKind::Home, 5);
     let mut counts = [0u32; 4];
     for n in 0..2000u64 {
         let now = NOW + Duration::from_millis(n);
-        let i = policy.pick(&RouteQuery { now, ..ask(rng.next_u64()) }, &t).expect("a target");
+        let i = policy.pick(&RouteQuery { now, ..query(rng.next_u64()) }, &t).expect("a target");
         let name = t.slots()[i].info.name.clone();
         let sent = t.record_sent(now, &name);
         counts[i] += 1;
         let ms = if i == 0 { 500 } else { 10 };
         t.record_first_frame(now, &name, sent, Duration::from_millis(ms));
-        // The slow one holds its calls; the others are done at once.
+        // The slow target holds its calls; the others finish at once.
         if i != 0 || n % 20 == 0 {
             t.record_success(now, &name);
         }
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_changed_pool_keeps_what_is_known_of_those_that_stay() {
+fn a_changed_pool_keeps_the_state_of_remaining_targets() {
     let mut t = table(3, |_| 0);
     t.record_sent(NOW, "t1");
     t.mark_leaving("t2");
