--- a/crates/decide/src/claim/committer.rs
+++ b/crates/decide/src/claim/committer.rs
@@ -1,4 +1,4 @@
-//! The group commit of one node's claims.
+//! Group commit of the claims of one node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,23 +9,23 @@
 
 use super::{CLAIM_WINDOW_MS, MAX_CLOCK_ERROR_MS};
 
-/// Least time between the starts of two writes of one object.
+/// Minimum time between the starts of two writes of one object.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(50);
-/// Wait after a failed call before the next one.
+/// Delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Most keys that one write adds.
+/// Limit on the keys added by one write.
 const MAX_BATCH: usize = 1000;
-/// How long an idle object's content is kept.
+/// Time for which the cached content of an idle object is kept.
 const IDLE_TTL: Duration = Duration::from_secs(20);
 
-/// What a read of a claim object found.
+/// Result of the read of a claim object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Never written, as far as the store says.
+    /// Never written, according to a possibly stale read.
     NeverWritten,
-    /// Deleted: its keys are too old.
+    /// Deleted, so its keys are too old.
     Deleted,
-    /// Content at a version.
+    /// Present.
     Found {
         /// Version.
         version: u64,
@@ -36,74 +36,74 @@
     Failed,
 }
 
-/// How a write ended.
+/// Result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// Accepted at this version.
     Done(u64),
-    /// The version did not match.
+    /// Rejected: the expected version did not match.
     Conflict,
-    /// Certainly not taken.
+    /// Certainly not applied.
     NotSent,
-    /// The answer was lost.
+    /// The response was lost; the write may have been applied.
     Lost,
 }
 
-/// What the machine hears.
+/// Input to the [`Committer`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A request wants a key; `ticket` comes back with the answer.
+    /// A request claims a key.
     Claim {
-        /// The claim.
+        /// Key and request.
         ask: ClaimAsk,
-        /// Comes back in [`Action::Answer`].
+        /// Correlation id, returned in [`Action::Answer`].
         ticket: u64,
-        /// The node's wall clock, milliseconds.
+        /// The node's wall clock, in milliseconds.
         unix_ms: u64,
-        /// When nobody waits any longer.
+        /// Time after which the claim is abandoned.
         expires: Time,
     },
-    /// A read ended.
+    /// Result of [`Action::Read`].
     Read {
         /// Object.
         object: Name,
-        /// What it found.
+        /// Result.
         found: ReadOutcome,
     },
-    /// The floor was read; `None` if that failed.
+    /// Result of [`Action::ReadFloor`]; `None` if the read failed.
     Floor(Option<u64>),
-    /// A write ended.
+    /// Result of [`Action::Write`].
     Written {
         /// Object.
         object: Name,
-        /// How.
+        /// Result.
         end: WriteOutcome,
     },
-    /// Time passed.
+    /// A timer fired.
     Tick,
 }
 
-/// What the machine wants done.
+/// Effect to be carried out by the caller of the [`Committer`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Read a claim object.
     Read(Name),
     /// Read the floor.
     ReadFloor,
-    /// Write a claim object if its version is `expect` (0: never written).
+    /// Write a claim object if its stored version equals `expect` (0: never written).
     Write {
         /// Object.
         object: Name,
-        /// Version expected.
+        /// Expected version.
         expect: u64,
         /// New content.
         claims: Claims,
     },
     /// Answer a claim.
     Answer {
-        /// From [`Event::Claim`].
+        /// Correlation id from [`Event::Claim`].
         ticket: u64,
-        /// How it ended.
+        /// Result of the claim.
         end: ClaimEnd,
     },
 }
@@ -113,7 +113,7 @@
     ask: ClaimAsk,
     ticket: u64,
     expires: Time,
-    /// A write that carried it may have landed.
+    /// A write that contained the key may have been applied.
     maybe_written: bool,
 }
 
@@ -135,7 +135,7 @@
     last_used: Time,
 }
 
-/// The claims of one node.
+/// Pending claims of one node, grouped by claim object.
 #[derive(Debug, Default)]
 pub struct Committer {
     shards: BTreeMap<Name, Shard>,
@@ -144,7 +144,7 @@
 }
 
 impl Committer {
-    /// Takes one event; returns what is to be done.
+    /// Handles one event and returns the resulting actions.
     pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         match event {
@@ -163,7 +163,7 @@
         out
     }
 
-    /// When [`Event::Tick`] is wanted next.
+    /// Time at which [`Event::Tick`] is due next, if any.
     pub fn next_tick(&self) -> Option<Time> {
         let shard = |s: &Shard| {
             let give_up = s.pending.iter().map(|w| w.expires).min();
@@ -234,7 +234,7 @@
                 }
                 s.answer_cached(out);
             }
-            // Somebody else wrote, or an earlier write of ours landed late: read.
+            // Another node wrote, or an earlier write of this node was applied late: read again.
             WriteOutcome::Conflict => s.cached = None,
             WriteOutcome::NotSent => s.next_call = s.next_call.max(now + RETRY_DELAY),
             WriteOutcome::Lost => {
@@ -265,7 +265,7 @@
                 continue;
             };
             if *version == 0 {
-                // Only a new object needs the floor: it must not bring a deleted one back.
+                // Only creation checks the floor, so that a deleted object is not recreated.
                 match self.floor {
                     None => {
                         need_floor = true;
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Lowest bucket that is certainly still in use at this wall clock.
+    /// Lowest bucket that may still be in use at this wall clock; lower ones can be swept.
     pub fn oldest_bucket(unix_ms: u64) -> u64 {
         unix_ms.saturating_sub(CLAIM_WINDOW_MS + 2 * MAX_CLOCK_ERROR_MS + super::DELETE_MARGIN_MS)
             / BUCKET_MS
@@ -303,7 +303,7 @@
 }
 
 impl Shard {
-    /// Answers every waiting key that the known content holds.
+    /// Answers each pending claim whose key is in the cached content.
     fn answer_cached(&mut self, out: &mut Vec<Action>) {
         let Some((_, claims)) = &self.cached else {
             return;
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Gives up those whose time is over.
+    /// Answers expired claims: in doubt if a write that contained the key may have been applied.
     fn expire(&mut self, now: Time, out: &mut Vec<Action>) {
         let in_flight = &self.in_flight;
         self.pending.retain(|w| {
--- a/crates/decide/src/claim/sweep.rs
+++ b/crates/decide/src/claim/sweep.rs
@@ -1,6 +1,6 @@
-//! Deleting claim objects whose keys nobody may claim any longer. The floor
-//! moves first; objects go only after a margin, so that a node with a slow
-//! clock that still trusts an old floor has refused by then.
+//! Deletion of claim objects whose keys can no longer be claimed. The floor is raised first and
+//! objects are deleted only after [`DELETE_MARGIN_MS`], so that a node with a slow clock and an
+//! outdated floor refuses their keys by then.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 
 use super::{Committer, DELETE_MARGIN_MS};
 
-/// How often the floor moves.
+/// Time between two raises of the floor.
 const INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the sweep wants done.
+/// Effect to be carried out by the caller of the [`Sweep`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SweepAction {
-    /// Raise the floor to this bucket, never lower it.
+    /// Raise the floor to this bucket; never lower it.
     Raise(Floor),
-    /// Delete every claim object of a lower bucket.
+    /// Delete all claim objects of lower buckets.
     DeleteBelow(u64),
 }
 
-/// The sweep, run by the holder of the manifest lease.
+/// Schedule of the sweep, run by the holder of the manifest lease.
 #[derive(Debug, Default)]
 pub struct Sweep {
     raised: Option<(u64, Time)>,
@@ -29,7 +29,7 @@
 }
 
 impl Sweep {
-    /// What is due now, by this wall clock.
+    /// Returns the action due at `now`; `unix_ms` is the node's wall clock.
     pub fn tick(&mut self, now: Time, unix_ms: u64) -> Option<SweepAction> {
         if let Some((bucket, at)) = self.raised
             && now.since(at) >= Duration::from_millis(DELETE_MARGIN_MS)
@@ -44,7 +44,7 @@
         Some(SweepAction::Raise(Floor { bucket: Committer::oldest_bucket(unix_ms) }))
     }
 
-    /// The store took the floor.
+    /// Records that the store accepted a floor at `bucket`.
     pub fn floor_raised(&mut self, now: Time, bucket: u64) {
         self.raised = Some((bucket, now));
     }
--- a/crates/decide/src/config/accept.rs
+++ b/crates/decide/src/config/accept.rs
@@ -1,4 +1,4 @@
-//! Which of the newer declarations can be accepted together.
+//! Selection of the newer declarations that are valid together.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,11 @@
 
 use super::publisher::Declared;
 
-/// Takes every newer object that leaves the whole set without a fault.
+/// Accepts every newer object with which the whole set stays valid; returns the resulting items and
+/// the refusal reason of each refused object.
 ///
-/// Objects at fault are left out and the rest is checked again; what is at
-/// fault only because another was left out goes in the next turn.
+/// Invalid objects are refused and the rest is checked again. An object that is invalid only
+/// because another one was refused is refused in the next iteration.
 pub(super) fn accept(
     base: &BTreeMap<Name, Item>,
     newer: &[&Declared],
@@ -41,7 +42,8 @@
         if refused.len() > before {
             continue;
         }
-        // An object that did not change is at fault, so one that it needs did.
+        // An unchanged object is invalid, so an object that it references has changed. Deletions
+        // are refused first, and all remaining changes if there is no deletion.
         let why = format!("would break {}", faults[0]);
         let remaining = newer.iter().filter(|d| !refused.contains_key(&d.key));
         let blamed: Vec<Name> = match remaining.clone().find(|d| d.spec.is_none()) {
@@ -50,7 +52,7 @@
         };
         refused.extend(blamed.into_iter().map(|k| (k, why.clone())));
         if refused.len() == before {
-            // The published set itself is at fault; leave it as it is.
+            // The published set itself is invalid; keep it unchanged.
             return (base.clone(), refused);
         }
     }
--- a/crates/decide/src/config/chunks.rs
+++ b/crates/decide/src/config/chunks.rs
@@ -1,4 +1,4 @@
-//! Cutting the accepted items into content-addressed chunks.
+//! Splitting of accepted items into content-addressed chunks.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,8 +6,9 @@
 use model::manifest::{CHUNK_BYTES, Item, slot};
 use model::{Name, hash};
 
-/// Cuts items into slots of a few KB; `had` keeps the count while it still fits,
-/// so that one change moves one chunk.
+/// Splits items into slots of a few KB and returns the chunk address of each slot and the text of
+/// each chunk. Keeps `old_count` slots while their sizes are reasonable, so that a change of one
+/// item replaces one chunk.
 pub(super) fn split_chunks(
     items: &BTreeMap<Name, Item>,
     old_count: usize,
--- a/crates/decide/src/config/follower.rs
+++ b/crates/decide/src/config/follower.rs
@@ -1,4 +1,4 @@
-//! One node's copy of the accepted configuration.
+//! Replica of the published configuration on one node.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,86 +8,86 @@
 use model::object::{Set, Spec};
 use model::{Name, Time, hash};
 
-/// Manifests whose slots are remembered, to answer neighbours with a delta.
+/// Number of past manifests kept, so that peers can be answered with a delta.
 const MAX_HISTORY: usize = 32;
-/// A fetch that was not answered by then is given up.
+/// Time after which an unanswered fetch is abandoned.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Where to fetch from.
+/// Where configuration is fetched from.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Source {
     /// The Object API.
     Store,
-    /// A node, by control address.
+    /// Another node, by control address.
     Peer(Name),
 }
 
-/// What the machine hears.
+/// Input to the [`Follower`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowerEvent {
-    /// Somebody has this manifest in force.
+    /// A source announced the number of its current manifest.
     Announced {
-        /// Number.
+        /// Manifest number.
         number: u64,
-        /// Who.
+        /// Source that has it.
         from: Source,
     },
     /// The manifest was read from the store.
     Manifest(Manifest),
-    /// A neighbour's delta arrived.
+    /// A delta was received from a peer.
     Delta {
         /// The delta.
         delta: Delta,
-        /// Who sent it.
+        /// Sender.
         from: Source,
     },
-    /// A chunk arrived.
+    /// A chunk was received.
     Chunk {
-        /// Content address asked for.
+        /// Content address that was requested.
         hash: Name,
-        /// Content.
+        /// Content received; checked against the address.
         text: Arc<str>,
     },
-    /// A fetch failed.
+    /// A fetch from this source failed.
     FetchFailed(Source),
-    /// Time passed.
+    /// A timer fired.
     Tick,
 }
 
-/// What the machine wants done.
+/// Effect to be carried out by the caller of the [`Follower`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowerAction {
-    /// Ask for what is new since `have`.
+    /// Fetch the changes since manifest `have`.
     FetchDelta {
-        /// From here.
+        /// Source to fetch from.
         from: Source,
-        /// Manifest in force.
+        /// Number of the current manifest.
         have: u64,
     },
     /// Fetch chunks.
     FetchChunks {
-        /// From here.
+        /// Source to fetch from.
         from: Source,
         /// Content addresses.
         hashes: Vec<Name>,
     },
-    /// A higher manifest is in force, whole.
+    /// A newer manifest was applied completely.
     Applied(Change),
 }
 
-/// What a new manifest changed.
+/// Difference between two applied manifests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
-    /// Manifest now in force.
+    /// Number of the manifest now applied.
     pub number: u64,
     /// Objects added or replaced.
     pub upserts: Vec<(Name, Spec)>,
-    /// `Kind/name` of objects removed.
+    /// Keys (`Kind/name`) of the objects removed.
     pub removed: Vec<Name>,
 }
 
 impl Change {
-    /// Brings a set from the manifest before to this one.
+    /// Updates `set` from the previous manifest to this one.
     pub fn apply_to(self, set: &mut Set) {
         for key in &self.removed {
             set.remove_key(key);
@@ -107,7 +107,7 @@
     since: Time,
 }
 
-/// One node's copy of the accepted configuration.
+/// Replica of the published configuration on one node.
 #[derive(Debug, Default)]
 pub struct Follower {
     number: u64,
@@ -121,22 +121,22 @@
 }
 
 impl Follower {
-    /// Manifest in force.
+    /// Number of the current manifest, 0 before the first.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Content addresses of the manifest in force.
+    /// Chunk addresses of the current manifest, one per slot.
     pub fn slots(&self) -> &[Name] {
         &self.slots
     }
 
-    /// A chunk in force.
+    /// Text of a chunk held by this replica.
     pub fn chunk(&self, hash: &str) -> Option<&Arc<str>> {
         self.chunks.get(hash)
     }
 
-    /// Everything in force.
+    /// All objects of the current manifest.
     pub fn set(&self) -> Set {
         let mut set = Set::default();
         for (key, spec) in &self.items {
@@ -145,12 +145,13 @@
         set
     }
 
-    /// Bytes of the chunks held.
+    /// Total size of the chunks held, in bytes.
     pub fn bytes(&self) -> usize {
         self.chunks.values().map(|t| t.len()).sum()
     }
 
-    /// What a neighbour at `have` lacks.
+    /// Slots that differ from manifest `have`; all slots if `have` is not in the history or has
+    /// another slot count.
     pub fn delta(&self, have: u64) -> Delta {
         let old = self.history.iter().find(|(n, s)| *n == have && s.len() == self.slots.len());
         let base = old.map_or(0, |(n, _)| *n);
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Takes one event; returns what is to be done.
+    /// Handles one event and returns the resulting actions.
     pub fn handle_event(&mut self, now: Time, event: FollowerEvent) -> Vec<FollowerAction> {
         let mut out = Vec::new();
         match event {
@@ -196,14 +197,14 @@
     fn handle_delta(&mut self, now: Time, d: Delta, from: Source, out: &mut Vec<FollowerAction>) {
         self.fetching.take_if(|(s, _)| *s == from);
         if d.number <= self.number {
-            // The neighbour has nothing newer after all.
+            // The peer has nothing newer, contrary to its announcement.
             self.newest.take_if(|(_, s)| *s == from);
             return;
         }
         let mut slots = match d.base {
             0 => vec![Name::default(); d.count as usize],
             b if b == self.number && self.slots.len() == d.count as usize => self.slots.clone(),
-            // Meant for an older state of this node; ask again.
+            // The delta is based on another manifest than the current one; fetch again.
             _ => return,
         };
         for s in d.slots {
@@ -218,7 +219,7 @@
         self.start_fetch(now, d.number, slots, from, out);
     }
 
-    /// Sets out for a manifest, if it is higher than any before.
+    /// Starts to fetch a manifest if it is newer than the current and the pending one.
     fn start_fetch(
         &mut self,
         now: Time,
@@ -301,8 +302,8 @@
         change
     }
 
-    /// Items of the slots that differ between the manifest in force and `slots`:
-    /// the new ones, or the old ones.
+    /// Items of the slots that differ between the current manifest and `slots`: those of `slots` if
+    /// `new`, else those of the current manifest.
     fn changed_items(&self, slots: &[Name], new: bool) -> BTreeMap<Name, Spec> {
         let (ours, other) = if new { (slots, &self.slots[..]) } else { (&self.slots[..], slots) };
         let same_shape = ours.len() == other.len();
--- a/crates/decide/src/config/mod.rs
+++ b/crates/decide/src/config/mod.rs
@@ -1,9 +1,9 @@
-//! Accepted configuration from the Object API to every node.
+//! Distribution of validated configuration from the Object API to every node.
 //!
-//! The [`Publisher`] runs on the lease holder: it checks what operators
-//! declared as a whole and writes numbered manifests. A [`Follower`] runs on
-//! every node: it applies only higher numbers, and each one whole, whether it
-//! came from the store, from a neighbour, or both, in any order.
+//! The [`Publisher`] runs on the lease holder: it validates the declared objects as one set and
+//! writes numbered manifests. A [`Follower`] runs on every node: it applies manifests in increasing
+//! order of their numbers and each one atomically, whether its parts come from the store, from a
+//! peer, or both, in any order.
 
 mod accept;
 mod chunks;
--- a/crates/decide/src/config/publisher.rs
+++ b/crates/decide/src/config/publisher.rs
@@ -1,8 +1,8 @@
-//! The lease holder's part: from what operators declared to a numbered manifest.
+//! Publication of declared objects as numbered manifests, by the lease holder.
 //!
-//! Each item in a chunk carries the version that its object had in the Object
-//! API, and a deleted object leaves its version behind. A list read stale after
-//! an outage therefore never brings an older spec, or a deleted object, back.
+//! Each item in a chunk carries the version of its object in the Object API, and a deleted object
+//! leaves a tombstone with its version. A stale list read after an outage therefore never reverts
+//! an object to an older spec or restores a deleted object.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,68 +19,69 @@
 /// A declared object as read from the Object API.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Declared {
-    /// `Kind/name`.
+    /// Object key, `Kind/name`.
     pub key: Name,
-    /// Version.
+    /// Object version in the Object API.
     pub version: u64,
-    /// What was declared; `None` if deleted, `Err` if it is not of its kind.
+    /// Declared spec; `None` if deleted, `Err` with a reason if it does not parse as its kind.
     pub spec: Option<Result<Spec, String>>,
 }
 
-/// How a write ended.
+/// Result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
     /// Accepted.
     Done,
-    /// The version did not match.
+    /// Rejected: the expected version did not match.
     Conflict,
-    /// Failed, or the answer was lost.
+    /// Failed, or the response was lost; the write may have been applied.
     Lost,
 }
 
-/// What the machine hears.
+/// Input to the [`Publisher`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum PublisherEvent {
-    /// The lease was taken or lost.
+    /// The lease was acquired with this epoch, or lost.
     Lease(Option<u64>),
-    /// Objects as listed or watched.
+    /// Objects from a list or a watch.
     Objects(Vec<Declared>),
-    /// Statuses as listed; best before [`PublisherEvent::Lease`].
+    /// Statuses from a list; should precede [`PublisherEvent::Lease`], so that known statuses are
+    /// not written again.
     Statuses(Vec<Status>),
-    /// The manifest was read, with its version and its chunks' texts.
+    /// The published manifest was read, with its version and the texts of its chunks.
     Base {
-        /// Version of the manifest object, 0 if never written.
+        /// Version of the manifest object; 0 if never written.
         version: u64,
-        /// The manifest; the default one if never written.
+        /// The manifest; the default if never written.
         manifest: Manifest,
-        /// Text of each chunk it names.
+        /// Text of each chunk in the manifest.
         chunks: Vec<Arc<str>>,
     },
-    /// Reading the manifest failed.
+    /// The read of the manifest failed.
     BaseFailed,
-    /// A chunk was written, or not.
+    /// Result of the write of a chunk.
     Chunk(Name, PutOutcome),
-    /// The manifest with this nonce was written, or not.
+    /// Result of the write of the manifest with this nonce.
     Manifest(u64, PutOutcome),
-    /// Time passed.
+    /// A timer fired.
     Tick,
 }
 
-/// What the machine wants done.
+/// Effect to be carried out by the caller of the [`Publisher`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum PublisherAction {
     /// Read the manifest and its chunks.
     ReadBase,
     /// Write a chunk.
     PutChunk(Name, Arc<str>),
-    /// Write the manifest if its version is `expect`.
+    /// Write the manifest if the stored version equals `expect`.
     PutManifest {
-        /// Version expected.
+        /// Expected version.
         expect: u64,
         /// New content.
         manifest: Manifest,
     },
-    /// Tell operators what became of their objects.
+    /// Report to operators whether their objects were accepted.
     PutStatus(Vec<Status>),
 }
 
@@ -101,7 +102,7 @@
     items: BTreeMap<Name, Item>,
 }
 
-/// Publishes manifests while it holds the lease.
+/// Publishes manifests while this node holds the lease.
 #[derive(Debug)]
 pub struct Publisher {
     epoch: Option<u64>,
@@ -109,20 +110,21 @@
     base: Option<Base>,
     reading: bool,
     draft: Option<Draft>,
-    /// A read failed; the next waits for a tick.
+    /// The last read failed; the next one waits for a tick.
     read_failed: bool,
-    /// Versions whose status is written, as far as is known.
+    /// Versions whose status is known to be written.
     reported: BTreeMap<Name, u64>,
-    /// The former holder may have stopped between a manifest and its statuses.
+    /// Set on lease acquisition: the previous holder may have stopped after writing a manifest and
+    /// before writing its statuses.
     resync_statuses: bool,
-    /// Statuses of manifest writes whose answers were lost, until a read settles them.
+    /// Statuses of manifest writes whose responses were lost, until a read resolves them.
     unconfirmed: Vec<Status>,
     refused: BTreeMap<Name, (u64, String)>,
     rng: Rng,
 }
 
 impl Publisher {
-    /// A publisher; `seed` draws nonces.
+    /// Creates a publisher; `seed` generates the nonces of its manifests.
     pub fn new(seed: u64) -> Self {
         Publisher {
             epoch: None,
@@ -139,12 +141,12 @@
         }
     }
 
-    /// Number of the manifest last known.
+    /// Number of the manifest last read; 0 if none is known.
     pub fn number(&self) -> u64 {
         self.base.as_ref().map_or(0, |b| b.manifest.number)
     }
 
-    /// Takes one event; returns what is to be done.
+    /// Handles one event and returns the resulting actions.
     pub fn handle_event(&mut self, event: PublisherEvent) -> Vec<PublisherAction> {
         let mut out = Vec::new();
         match event {
@@ -166,7 +168,7 @@
             }
             PublisherEvent::Tick => {
                 self.read_failed = false;
-                // Chunks whose write failed are written again.
+                // Retry the chunks whose write failed.
                 if let Some(d) = &self.draft {
                     out.extend(d.put_missing());
                 }
@@ -196,14 +198,14 @@
             let newer = self.declared.get(&d.key).is_none_or(|old| d.version > old.version);
             if newer {
                 self.declared.insert(d.key.clone(), d);
-                // What was refused for want of another object gets a new turn.
+                // Check refused objects again: they may have lacked this object.
                 self.refused.clear();
                 self.drop_draft();
             }
         }
     }
 
-    /// A draft whose manifest is not on its way yet can be made anew.
+    /// Discards a draft whose manifest write has not started, so that it is built again.
     fn drop_draft(&mut self) {
         self.draft.take_if(|d| !d.writing);
     }
@@ -234,7 +236,8 @@
         self.draft = None;
     }
 
-    /// Tells what became of objects whose manifest write was in doubt.
+    /// Writes the unconfirmed statuses that a read has resolved: refusals, and objects published at
+    /// the same or a later version.
     fn resolve_unconfirmed(
         &mut self,
         items: &BTreeMap<Name, Item>,
@@ -248,7 +251,7 @@
         self.put_statuses(confirmed, out);
     }
 
-    /// Writes statuses, but none of an older version after a newer one.
+    /// Writes statuses, except those older than a version already reported.
     fn put_statuses(&mut self, mut list: Vec<Status>, out: &mut Vec<PublisherAction>) {
         list.retain(|s| self.reported.get(&s.object).is_none_or(|v| *v <= s.version));
         self.reported.extend(list.iter().map(|s| (s.object.clone(), s.version)));
@@ -257,7 +260,7 @@
         }
     }
 
-    /// Writes the statuses of objects in force that the former holder did not.
+    /// Writes the statuses of published objects that the previous holder left unwritten.
     fn resync_statuses(
         &mut self,
         number: u64,
@@ -290,16 +293,16 @@
         end: PutOutcome,
         out: &mut Vec<PublisherAction>,
     ) {
-        // An answer to a write before the lease changed hands says nothing of this draft.
+        // The response to a write from an earlier lease term does not concern this draft.
         let Some(d) = self.draft.take_if(|d| d.writing && d.manifest.nonce == nonce) else {
             return;
         };
         match end {
             PutOutcome::Done => {
-                // The version is not assumed; the next draft reads it.
+                // The new version is not assumed; it is read before the next draft.
                 self.put_statuses(d.status, out);
             }
-            // Whoever wrote tells of what it took; refusals are weighed anew.
+            // The other writer reports what it accepted; refused objects are checked again.
             PutOutcome::Conflict => self.refused.clear(),
             PutOutcome::Lost => self.unconfirmed.extend(d.status),
         }
@@ -333,7 +336,7 @@
         }
     }
 
-    /// The next manifest, if anything newer was declared.
+    /// Builds the next manifest if newer objects were declared.
     fn next_draft(&mut self, epoch: u64, out: &mut Vec<PublisherAction>) -> Option<Draft> {
         let base = self.base.as_ref()?;
         let newer: Vec<&Declared> =
@@ -369,14 +372,14 @@
         Some(Draft { manifest, missing, chunks, status, items, writing: false })
     }
 
-    /// Newer than what is published, and not refused before at this version.
+    /// Whether `d` is newer than the published version and was not refused at this version.
     fn is_newer(&self, base: &Base, d: &Declared) -> bool {
         let published = base.items.get(&d.key).map_or(0, |i| i.version);
         let refused = self.refused.get(&d.key).map_or(0, |(v, _)| *v);
         d.version > published.max(refused)
     }
 
-    /// Objects in the manifest being written, for tests and logs.
+    /// Number of objects in the manifest being written, 0 if none.
     pub fn draft_len(&self) -> usize {
         self.draft.as_ref().map_or(0, |d| d.items.len())
     }
--- a/crates/decide/src/lease/mod.rs
+++ b/crates/decide/src/lease/mod.rs
@@ -1,10 +1,10 @@
-//! A lease in the Object API with the epoch as fencing token.
+//! Lease in the Object API with its epoch as fencing token.
 //!
-//! The holder counts its validity from *before* it sent the renewal, by its own
-//! monotonic clock. A taker waits out a full period in which it saw the same
-//! version itself, counted from *after* it first read it. So with clocks whose
-//! rates differ by less than [`MAX_CLOCK_DRIFT`], no two nodes hold the lease at once, and
-//! no wall clock is read. A write whose answer is lost is settled by its nonce.
+//! The holder counts the validity from *before* it sent the renewal, on its own monotonic clock. A
+//! node that acquires the lease waits a full period in which it observed the same version, counted
+//! from *after* it first read that version. With clock rates that differ by less than
+//! [`MAX_CLOCK_DRIFT`], two nodes therefore never hold the lease at once, without reading a wall
+//! clock. If the response to a write is lost, a read resolves it by the nonce.
 
 use std::time::Duration;
 
@@ -13,52 +13,52 @@
 
 use crate::rng::Rng;
 
-/// Stated bound on the difference of two monotonic clocks' rates.
+/// Assumed bound on the relative rate difference of two monotonic clocks.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// Period of a lease.
+/// Default validity of a lease after a renewal.
 pub const PERIOD: Duration = Duration::from_secs(6);
-/// The holder renews after this share of the period.
+/// Fraction of the period after which the holder renews.
 const RENEW_FRACTION: f64 = 0.3;
-/// A follower reads after this share of the period, with jitter on top.
+/// Fraction of the period between two reads by a node without the lease; as much again is jitter.
 const POLL_FRACTION: f64 = 0.25;
-/// Wait after a failed call.
+/// Delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What the machine hears.
+/// Input to the [`LeaseClient`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// Time passed.
+    /// A timer fired.
     Tick,
-    /// A read ended: version (0 if never written) and content.
+    /// The lease object was read.
     Read {
-        /// Version.
+        /// Version; 0 if never written.
         version: u64,
-        /// Content; `None` if there is none.
+        /// Content; `None` if absent.
         lease: Option<Lease>,
     },
-    /// A read failed.
+    /// The read failed.
     ReadFailed,
     /// The write was accepted at this version.
     Written(u64),
-    /// The write met another version.
+    /// The write was rejected: the expected version did not match.
     Conflict,
-    /// The write's answer was lost, or it failed; it may have landed.
+    /// The write failed or its response was lost; it may have been applied.
     WriteLost,
 }
 
-/// What the machine wants done.
+/// Effect to be carried out by the caller of the [`LeaseClient`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Read the lease object.
     Read,
-    /// Write it if its version is `expect`.
+    /// Write the lease object if its stored version equals `expect`.
     Write {
-        /// Version expected.
+        /// Expected version.
         expect: u64,
         /// New content.
         lease: Lease,
     },
-    /// The lease was taken, with this epoch.
+    /// The lease was acquired with this epoch.
     Acquired(u64),
     /// The lease is no longer held.
     Lost,
@@ -81,11 +81,11 @@
 struct Pending {
     sent: Time,
     lease: Lease,
-    /// The write's answer was lost; a read settles it.
+    /// The response was lost; a read resolves it.
     lost: bool,
 }
 
-/// One node's part in one lease.
+/// State of one lease as seen by one node.
 #[derive(Debug)]
 pub struct LeaseClient {
     node: Name,
@@ -99,7 +99,7 @@
 }
 
 impl LeaseClient {
-    /// A node that would hold the lease; `node` must differ at each start.
+    /// Creates a client that tries to acquire the lease; `node` must differ at each process start.
     pub fn new(node: Name, period: Duration, seed: u64) -> Self {
         LeaseClient {
             node,
@@ -113,19 +113,19 @@
         }
     }
 
-    /// The epoch, if the lease is held for at least `spare` more.
+    /// Epoch of this node if it holds the lease for longer than `min_left`.
     pub fn epoch(&self, now: Time, min_left: Duration) -> Option<u64> {
         let held = self.held.as_ref()?;
         (now + min_left < held.expires).then_some(held.epoch)
     }
 
-    /// The highest epoch seen, held by anybody.
+    /// Highest epoch observed, of any holder.
     pub fn highest_epoch(&self) -> u64 {
         let observed = self.observed.as_ref().and_then(|s| s.lease.as_ref()).map_or(0, |l| l.epoch);
         observed.max(self.held.as_ref().map_or(0, |h| h.epoch))
     }
 
-    /// When [`Event::Tick`] is wanted next.
+    /// Time at which [`Event::Tick`] is due next.
     pub fn next_tick(&self) -> Time {
         match &self.held {
             Some(h) => self.next_call.min(h.expires),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Takes one event; returns what is to be done.
+    /// Handles one event and returns the resulting actions.
     pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.expire(now, &mut out);
@@ -181,7 +181,7 @@
             + self.rng.jitter(self.period.mul_f64(POLL_FRACTION));
         let older = self.observed.as_ref().is_some_and(|s| version < s.version);
         if older {
-            // A stale read says nothing new.
+            // Ignore a stale read.
             return;
         }
         let same = self.observed.as_ref().is_some_and(|s| s.version == version);
@@ -198,9 +198,9 @@
             return;
         };
         match lease {
-            // Ours landed; its validity counts from before it was sent.
+            // The write was applied; its validity counts from before it was sent.
             Some(l) if l.nonce == p.lease.nonce => self.confirm(now, p, out),
-            // Not there, but it may still land: the next conditional write settles which.
+            // Not applied yet, but it may still be: the next conditional write decides.
             _ if same => self.next_call = now,
             _ => {}
         }
@@ -241,7 +241,7 @@
         }
         let free = match &observed.lease {
             None => true,
-            // Nobody took it since this node's own last write, or the write conflicts.
+            // This node wrote last; if another node has written since, the write conflicts.
             Some(l) if l.holder == self.node => true,
             Some(l) => {
                 let period = Duration::from_millis(l.period).max(self.period);
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,7 +1,7 @@
-//! Every decision of pumicevale as a state machine without I/O: typed events
-//! and the current time go in, typed actions come out. No runtime, no clock
-//! and no global randomness, so the same code runs in a process, in a property
-//! test with reordered, lost and doubled events, and under a stepped clock.
+//! Decision logic of pumicevale as sans-I/O state machines. Each takes typed events and the current
+//! time and returns typed actions. They use no runtime, no clock and no global randomness, so the
+//! same code runs in a process, in property tests with reordered, lost and duplicated events, and
+//! under a simulated clock.
 
 pub mod admit;
 pub mod batch;
--- a/crates/decide/src/limit/mod.rs
+++ b/crates/decide/src/limit/mod.rs
@@ -1,5 +1,5 @@
-//! Limits: attempts in flight at one target, and a workspace's rate over all
-//! nodes without a centre.
+//! Limits: the concurrency of attempts at one target, and the request rate of a workspace shared by
+//! all nodes without a central coordinator.
 
 mod concurrency;
 mod rate;
--- a/crates/decide/src/limit/rate.rs
+++ b/crates/decide/src/limit/rate.rs
@@ -1,22 +1,23 @@
-//! A workspace's rate, held over all nodes without a centre.
+//! Rate limit of a workspace, shared by all nodes without a central coordinator.
 //!
-//! The home node of a workspace (rendezvous over members) lends slices of its
-//! rate: each node says how much it wants, and gets a share that together never
-//! exceeds the rate. A slice ends with its lease; a node that cannot reach the
-//! home falls back to `rate / nodes`. Error: while a home changes, the old
-//! home's slices and the new one's can add up to twice the rate, for one
-//! [`LEASE_PERIOD`] at most; cut off, the sum of local shares is at most the rate.
+//! The home node of a workspace (rendezvous hashing over the members) lends slices of its rate:
+//! each node reports its demand and receives a share, and all shares together never exceed the
+//! rate. A slice ends with its lease; a node that cannot reach the home node falls back to
+//! `rate / nodes`.
+//! Error bound: while the home moves to another node, the slices of the old and of the new one can
+//! add up to twice the rate, for at most one [`LEASE_PERIOD`]. In a partition, the sum of the local
+//! shares is at most the rate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use model::{Name, Time};
 
-/// How long a slice lasts.
+/// Validity of a slice; the borrower counts it from before it sent the request.
 pub const LEASE_PERIOD: Duration = Duration::from_secs(2);
-/// Burst that a bucket holds, seconds of its rate.
+/// Capacity of a bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 0.5;
-/// Share of the rate divided evenly, so that a newcomer is never shut out.
+/// Fraction of the rate divided evenly, so that a node without prior demand gets a share.
 const EVEN_SHARE: f64 = 0.2;
 
 /// A token bucket.
@@ -28,24 +29,24 @@
 }
 
 impl TokenBucket {
-    /// A full bucket of `rate` a second.
+    /// Creates a full bucket of `rate` tokens per second.
     pub fn new(rate: f64, now: Time) -> Self {
         TokenBucket { rate, tokens: (rate * BURST_SECONDS).max(1.0), refilled: now }
     }
 
-    /// Changes the rate, keeping what is in the bucket.
+    /// Changes the rate and keeps the tokens, up to the new capacity.
     pub fn set_rate(&mut self, rate: f64, now: Time) {
         self.refill(now);
         self.rate = rate;
         self.tokens = self.tokens.min((rate * BURST_SECONDS).max(1.0));
     }
 
-    /// The rate.
+    /// Tokens per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Takes one token, or says when there will be one.
+    /// Takes one token, or returns the time until one is available (at most 60 s).
     pub fn take(&mut self, now: Time) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens >= 1.0 {
@@ -63,14 +64,14 @@
     }
 }
 
-/// A slice as lent.
+/// Share of a rate lent to one node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LentSlice {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// The lender of one workspace's rate.
+/// Lending side of one workspace's rate, on its home node.
 #[derive(Debug, Clone)]
 pub struct Lender {
     rate: f64,
@@ -85,17 +86,17 @@
 }
 
 impl Lender {
-    /// A lender of `rate` a second.
+    /// Creates a lender of `rate` requests per second.
     pub fn new(rate: f64) -> Self {
         Lender { rate, borrowers: BTreeMap::new() }
     }
 
-    /// Changes the rate.
+    /// Changes the rate; slices already lent stay until they expire.
     pub fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
 
-    /// Lends to `node`, which sees `demand` requests a second.
+    /// Lends a slice to `node`, which receives `demand` requests per second.
     pub fn lend(&mut self, now: Time, node: &Name, demand: f64, nodes: usize) -> LentSlice {
         self.borrowers.retain(|_, w| w.expires > now);
         let others: f64 =
@@ -105,14 +106,14 @@
         let even = self.rate * EVEN_SHARE / nodes.max(1) as f64;
         let total = (demands + demand).max(1e-9);
         let fair = even + self.rate * (1.0 - EVEN_SHARE) * demand / total;
-        // What others still hold is not lent twice; shares settle within a lease.
+        // Rate that other nodes still hold is not lent again; shares converge within one lease.
         let lent = fair.min((self.rate - others).max(0.0));
         self.borrowers.insert(node.clone(), Borrower { demand, lent, expires: now + LEASE_PERIOD });
         LentSlice { rate: lent }
     }
 }
 
-/// A node's share of one workspace's rate.
+/// Share of one workspace's rate on one node.
 #[derive(Debug, Clone)]
 pub struct RateSlice {
     rate: f64,
@@ -123,13 +124,13 @@
 }
 
 impl RateSlice {
-    /// A share of `rate` before the home was heard: an even part.
+    /// Creates the share used before the home has answered: `rate / nodes`.
     pub fn new(rate: f64, nodes: usize, now: Time) -> Self {
         let bucket = TokenBucket::new(rate / nodes.max(1) as f64, now);
         RateSlice { rate, bucket, expires: now, requests: 0, window_start: now }
     }
 
-    /// Takes one request's token.
+    /// Takes the token of one request, or returns the time until one is available.
     pub fn take(&mut self, now: Time, nodes: usize) -> Result<(), Duration> {
         self.requests += 1;
         if now > self.expires {
@@ -139,7 +140,7 @@
         self.bucket.take(now)
     }
 
-    /// Requests a second seen since the last call of this.
+    /// Requests per second since the previous call of this method.
     pub fn demand(&mut self, now: Time) -> f64 {
         let seconds = now.since(self.window_start).as_secs_f64().max(0.05);
         let demand = self.requests as f64 / seconds;
@@ -148,7 +149,7 @@
         demand
     }
 
-    /// Takes a slice whose request was sent at `sent`.
+    /// Applies a slice that was requested at `sent`.
     pub fn renew(&mut self, now: Time, sent: Time, slice: LentSlice) {
         self.bucket.set_rate(slice.rate, now);
         self.expires = sent + LEASE_PERIOD;
--- a/crates/decide/src/request/assembly.rs
+++ b/crates/decide/src/request/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts the frames of one attempt together: any order, any number of times.
+//! Reassembles the frames of one attempt, which may arrive reordered and duplicated.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 use model::hash::Digest;
 use model::outcome::Reason;
 
-/// Most chunks held back behind a gap.
+/// Limit on out-of-order chunks buffered behind a gap.
 const MAX_BUFFERED_CHUNKS: usize = 4096;
 
-/// What a frame led to.
+/// Result of receiving one frame.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FrameResult {
-    /// Text that is now contiguous, oldest first; may be empty.
+    /// Text that became contiguous, in order; may be empty.
     Text(Vec<String>),
-    /// The same, and the answer is whole and checked.
+    /// Text that became contiguous; the answer is complete and its digest matches.
     Complete(Vec<String>),
-    /// A frame of another attempt, or one seen before: dropped.
+    /// A frame of another attempt or a duplicate; dropped.
     Stray,
-    /// The frames contradict each other.
+    /// The frames are inconsistent with each other.
     Corrupt(Reason),
 }
 
-/// The answer of one attempt as far as it has arrived.
+/// Partially received answer of one attempt.
 #[derive(Debug)]
 pub struct Reassembler {
     attempt: Attempt,
@@ -40,7 +40,7 @@
 }
 
 impl Reassembler {
-    /// An empty answer of `attempt` that starts at frame `from`.
+    /// Creates an empty answer whose first expected chunk is `first_seq`.
     pub fn new(attempt: Attempt, first_seq: u64) -> Self {
         Reassembler {
             attempt,
@@ -51,22 +51,22 @@
         }
     }
 
-    /// The attempt.
+    /// Attempt whose frames are accepted.
     pub fn attempt(&self) -> &Attempt {
         &self.attempt
     }
 
-    /// Number of the first frame still missing.
+    /// Sequence number of the first missing chunk.
     pub fn next_seq(&self) -> u64 {
         self.next_seq
     }
 
-    /// Microseconds of the target's time, once the end has arrived.
+    /// Processing time reported by the target, in microseconds; `None` before the end frame.
     pub fn busy_us(&self) -> Option<u64> {
         self.end.map(|e| e.busy_us)
     }
 
-    /// Takes one frame.
+    /// Processes one frame.
     pub fn receive(&mut self, frame: Frame) -> FrameResult {
         if *frame.attempt() != self.attempt {
             return FrameResult::Stray;
@@ -81,14 +81,14 @@
 
     fn receive_chunk(&mut self, seq: u64, text: String) -> FrameResult {
         if self.end.is_some_and(|e| seq >= e.count) {
-            return corrupt(format!("chunk {seq} behind the end"));
+            return corrupt(format!("chunk {seq} is past the end frame"));
         }
         if seq < self.next_seq {
             return FrameResult::Stray;
         }
         if let Some(buffered) = self.buffered.get(&seq) {
             if *buffered != text {
-                return corrupt(format!("two texts for chunk {seq}"));
+                return corrupt(format!("conflicting texts for chunk {seq}"));
             }
             return FrameResult::Stray;
         }
@@ -102,12 +102,12 @@
     fn receive_end(&mut self, end: End) -> FrameResult {
         match self.end {
             Some(e) if e == end => return FrameResult::Stray,
-            Some(_) => return corrupt("two ends".into()),
+            Some(_) => return corrupt("conflicting end frames".into()),
             None => {}
         }
         let last = self.buffered.keys().next_back().map_or(self.next_seq, |s| s + 1);
         if end.count < last {
-            return corrupt(format!("end at {} after chunk {}", end.count, last - 1));
+            return corrupt(format!("end frame at {} after chunk {}", end.count, last - 1));
         }
         self.end = Some(end);
         self.advance()
@@ -124,7 +124,7 @@
             Some(e) if e.count == self.next_seq && e.digest == self.digest.value() => {
                 FrameResult::Complete(out)
             }
-            Some(e) if e.count == self.next_seq => corrupt("digest differs".into()),
+            Some(e) if e.count == self.next_seq => corrupt("digest mismatch".into()),
             _ => FrameResult::Text(out),
         }
     }
--- a/crates/decide/src/request/failures.rs
+++ b/crates/decide/src/request/failures.rs
@@ -1,5 +1,5 @@
-//! What the request machine does when an attempt fails: resume, continue, retry
-//! after a wait, hedge, or give up. The one place where a retry is decided.
+//! Failure handling of the request machine: resume, continue, retry with backoff, hedge or abort.
+//! All retry decisions are made here.
 
 use model::Time;
 use model::attempt::Attempt;
@@ -10,7 +10,7 @@
 use crate::retry::backoff;
 
 impl RequestMachine {
-    /// An attempt ended without its whole answer.
+    /// Handles an attempt that ended without a complete answer; `sent` if it may have run.
     pub(super) fn attempt_failed(
         &mut self,
         now: Time,
@@ -33,7 +33,8 @@
         let step = &self.plan.steps[self.step];
         let (repeatable, continues) = (step.repeatable, step.continuable);
         let was_resuming = self.resume.take_if(|(_, a)| a == attempt).is_some();
-        // Reading the rest of a stream is no second run, so it is safe for any step.
+        // Resuming reads the rest of the same stream without running the step again, so it is safe
+        // for any step.
         if sent && continues && !was_resuming && self.pieces > 0 && self.attempts < MAX_ATTEMPTS {
             let target = flight.target.clone();
             let next = Attempt { number: self.attempts, ..attempt.clone() };
@@ -75,7 +76,8 @@
         out.push(Action::WakeAt(until));
     }
 
-    /// What arrived cannot be trusted: start again if nothing was given out, else end.
+    /// Handles a corrupt answer: restarts the step if the caller has received none of it, else ends
+    /// the request.
     pub(super) fn attempt_corrupt(
         &mut self,
         now: Time,
@@ -151,7 +153,7 @@
         let attempt = f.answer.attempt().clone();
         out.push(Action::Cancel { attempt: attempt.clone(), target: f.target.clone() });
         let reason = Reason::Broken("silent".into());
-        // A silent target is not asked to resume.
+        // Marks the attempt as already resumed, so that a silent target is not asked to resume.
         self.resume = Some((f.target.clone(), attempt.clone()));
         self.attempt_failed(now, &attempt, reason, true, retry_policy, out);
     }
@@ -160,7 +162,7 @@
         let peer = self.in_flight.first().map(|f| f.target.clone());
         let error = self.error(peer, reason);
         let outcome = match (self.in_flight.is_empty(), self.sent) {
-            // A claim may still be on its way, but no step was sent.
+            // A claim may still be in flight, but no step was sent.
             (true, false) => Outcome::NotRun,
             (true, true) => Outcome::Failed,
             (false, _) => self.outcome_in_flight(Outcome::Failed),
@@ -168,7 +170,7 @@
         self.finish(now, outcome, Some(error), None, out);
     }
 
-    /// The outcome with an attempt in flight: unknown if it may not be repeated.
+    /// Outcome when an attempt is in flight: unknown if the step is not repeatable.
     fn outcome_in_flight(&self, otherwise: Outcome) -> Outcome {
         if self.plan.steps[self.step].repeatable { otherwise } else { Outcome::Unknown }
     }
--- a/crates/decide/src/request/mod.rs
+++ b/crates/decide/src/request/mod.rs
@@ -1,8 +1,8 @@
-//! One request on its way through the steps of its pipeline.
+//! Execution of one request through the steps of its pipeline.
 //!
-//! [`RequestMachine`] claims the key where a step may not be repeated, sends attempts,
-//! puts late, doubled and reordered frames right, retries where that is safe,
-//! resumes or continues a broken stream, and ends with one typed outcome.
+//! [`RequestMachine`] claims the idempotency key if a step is not repeatable, sends attempts,
+//! handles late, duplicated and reordered frames, retries where that is safe, resumes or continues
+//! a broken stream, and ends with exactly one typed outcome.
 
 mod assembly;
 mod failures;
--- a/crates/decide/src/request/run.rs
+++ b/crates/decide/src/request/run.rs
@@ -1,4 +1,4 @@
-//! The machine of one request.
+//! State machine of one request.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use super::types::{Action, Event, Plan, RetryPolicy};
 use crate::rng::Rng;
 
-/// Most attempts at one step, resumed streams included.
+/// Limit on attempts per step, including resumed streams.
 pub(super) const MAX_ATTEMPTS: u16 = 4;
-/// Attempts at one step that run at the same time: one and its hedge.
+/// Limit on concurrent attempts per step: the first and one hedge.
 pub(super) const MAX_CONCURRENT: usize = 2;
 
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     Ended,
 }
 
-/// One request.
+/// State of one request.
 #[derive(Debug)]
 pub struct RequestMachine {
     pub(super) plan: Plan,
@@ -59,7 +59,7 @@
 }
 
 impl RequestMachine {
-    /// A request that arrived at `now`.
+    /// Creates the machine of a request that arrived at `now`.
     pub fn new(plan: Plan, now: Time) -> Self {
         let rng = Rng::new(plan.seed);
         RequestMachine {
@@ -85,27 +85,27 @@
         }
     }
 
-    /// Texts of the steps that are whole.
+    /// Output texts of the completed steps, in order.
     pub fn results(&self) -> &[String] {
         &self.results
     }
 
-    /// Text of the current step that later attempts go on from.
+    /// Text of the current step received so far, from which later attempts continue.
     pub fn partial_text(&self) -> &str {
         &self.text
     }
 
-    /// Frames dropped because they belong to no live attempt.
+    /// Number of frames dropped as duplicates or because they belong to no attempt in flight.
     pub fn strays(&self) -> u64 {
         self.strays
     }
 
-    /// Whether the request has ended.
+    /// Whether [`Action::Finish`] was returned.
     pub fn is_finished(&self) -> bool {
         self.state == State::Ended
     }
 
-    /// Takes one event; returns what is to be done, in order.
+    /// Handles one event and returns the resulting actions, in order.
     pub fn handle_event(
         &mut self,
         now: Time,
@@ -162,7 +162,7 @@
             ClaimEnd::Old => (Outcome::NotRun, None, Reason::OldKey),
             ClaimEnd::Future => (Outcome::NotRun, None, Reason::FutureKey),
             ClaimEnd::Failed => (Outcome::NotRun, None, Reason::NoClaim),
-            // Nothing was sent, so "not run" is true; only the key is used up.
+            // No step was sent, so the outcome is "not run"; only the key may be used up.
             ClaimEnd::Doubt => (Outcome::NotRun, None, Reason::ClaimDoubt),
         };
         let error = StepError { step: "claim".into(), peer, reason };
@@ -212,7 +212,7 @@
         }
     }
 
-    /// When the flying attempt gets a second one beside it.
+    /// Time at which a hedge is sent beside the attempt in flight.
     pub(super) fn hedge_at(&self) -> Option<Time> {
         let step = &self.plan.steps[self.step];
         let hedge = step.hedge?;
@@ -276,7 +276,7 @@
         }
     }
 
-    /// The first attempt with text wins; its hedge is stopped.
+    /// Cancels all attempts but the first one that delivered text.
     fn cancel_others(&mut self, i: usize, out: &mut Vec<Action>) {
         if self.in_flight.len() < 2 {
             return;
@@ -335,7 +335,7 @@
         out: &mut Vec<Action>,
     ) {
         let in_flight: Vec<_> = self.in_flight.drain(..).collect();
-        // A step that may not be repeated is left to run: half of it helps nobody.
+        // An attempt at a non-repeatable step is left to finish: a partial run has no use.
         let cancels = self.plan.steps[self.step].repeatable;
         for f in in_flight.iter().filter(|_| cancels) {
             self.add_cost(now, f);
@@ -377,7 +377,7 @@
         StepError { step: self.plan.steps[self.step].name.clone(), peer, reason }
     }
 
-    /// When the request arrived.
+    /// Arrival time of the request.
     pub fn arrived(&self) -> Time {
         self.arrived
     }
--- a/crates/decide/src/request/types.rs
+++ b/crates/decide/src/request/types.rs
@@ -1,4 +1,4 @@
-//! What the request machine is given, hears and wants done.
+//! Inputs, events and actions of the request machine.
 
 use std::time::Duration;
 
@@ -9,85 +9,85 @@
 use model::outcome::{Final, Reason};
 use model::{Name, Time};
 
-/// One step as the machine needs it.
+/// Execution parameters of one step.
 #[derive(Debug, Clone)]
 pub struct StepPlan {
     /// Name of the step.
     pub name: Name,
-    /// Whether it may run twice.
+    /// Whether the step may run more than once.
     pub repeatable: bool,
-    /// Whether another target can go on from text already delivered.
+    /// Whether another target can continue from text already delivered.
     pub continuable: bool,
-    /// Longest silence of an attempt before it is given up.
+    /// Time without a frame after which an attempt is abandoned.
     pub timeout: Duration,
-    /// When to send a second attempt beside the first, if ever.
+    /// Delay after which a second, concurrent attempt is sent; `None` disables hedging.
     pub hedge: Option<Duration>,
-    /// Cost of a second of a target.
+    /// Cost per second of target time.
     pub cost: f64,
 }
 
-/// One request as the machine needs it.
+/// Execution parameters of one request.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Request id.
     pub request: Name,
-    /// Steps in order; at least one.
+    /// Steps in execution order; at least one.
     pub steps: Vec<StepPlan>,
-    /// When the answer is due.
+    /// Latest time at which the answer counts as timely.
     pub deadline: Time,
-    /// When nobody waits any longer; not before the deadline.
+    /// Time at which the request is aborted; not before the deadline.
     pub expires: Time,
-    /// The caller's key, needed if a step is not repeatable.
+    /// Idempotency key, required if a step is not repeatable.
     pub key: Option<Key>,
-    /// Whether pieces go to the caller as they come.
+    /// Whether pieces are streamed to the caller as they arrive.
     pub streamed: bool,
     /// Seed for jitter.
     pub seed: u64,
 }
 
-/// What the machine hears.
+/// Input to the machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The request was admitted.
     Start,
-    /// The claim ended.
+    /// Result of [`Action::Claim`].
     Claim(ClaimEnd),
-    /// The router chose a target.
+    /// The router selected a target.
     TargetPicked(Name),
-    /// The router has none; asking again makes sense after this time.
+    /// The router has no target available; retry after this time.
     NoTarget(Duration),
-    /// This attempt certainly did not reach its target, or was refused unrun.
+    /// The attempt certainly did not run: it did not reach its target or was refused.
     NotSent {
         /// Attempt.
         attempt: Attempt,
-        /// Why.
+        /// Cause.
         reason: Reason,
     },
-    /// A frame arrived.
+    /// A frame was received.
     Frame(Frame),
-    /// The stream of this attempt ended or broke.
+    /// The stream of the attempt ended or broke.
     Closed {
         /// Attempt.
         attempt: Attempt,
-        /// Why.
+        /// Cause.
         reason: Reason,
     },
-    /// Time passed.
+    /// A timer fired.
     Tick,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// What the machine wants done.
+/// Effect to be carried out by the caller of the machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Claim the key.
+    /// Claim the idempotency key.
     Claim(Key),
-    /// Choose a target for a step, none of `tried` if it can be helped.
+    /// Select a target for a step.
     PickTarget {
-        /// Step.
+        /// Index of the step.
         step: usize,
-        /// Targets that failed this step.
+        /// Targets that failed this step, to be avoided if another is available.
         exclude: Vec<Name>,
     },
     /// Send an attempt.
@@ -96,30 +96,30 @@
         attempt: Attempt,
         /// Target.
         target: Name,
-        /// First frame wanted.
+        /// Sequence number of the first chunk wanted.
         from: u64,
-        /// Attempt at the same target to resume.
+        /// Earlier attempt at the same target whose stream is resumed.
         resume: Option<Attempt>,
-        /// Time left.
+        /// Time left until the request is aborted.
         budget: Duration,
     },
-    /// Stop an attempt that nobody waits for.
+    /// Cancel an attempt whose answer is no longer needed.
     Cancel {
         /// Attempt.
         attempt: Attempt,
         /// Target.
         target: Name,
     },
-    /// Give the caller a piece.
+    /// Stream a piece to the caller.
     Emit(Piece),
-    /// Send [`Event::Tick`] at this time.
+    /// Deliver [`Event::Tick`] at this time.
     WakeAt(Time),
     /// The request has ended.
     Finish(Final),
 }
 
-/// Says whether a step's budget has a retry left, and takes it.
+/// Retry budget of each step.
 pub trait RetryPolicy {
-    /// Takes one retry of `step`.
+    /// Takes one retry or hedge from the budget of `step`; false if it is exhausted.
     fn allow_retry(&mut self, step: usize) -> bool;
 }
--- a/crates/decide/src/tally.rs
+++ b/crates/decide/src/tally.rs
@@ -1,8 +1,8 @@
-//! Counts of things by what they have in common.
+//! Occurrence counts by key.
 
 use std::collections::BTreeMap;
 
-/// How many there are of each key; keys of which there are none are not kept.
+/// Number of occurrences of each key. A key is removed when its count reaches 0.
 #[derive(Debug, Clone)]
 pub(crate) struct Tally<K>(BTreeMap<K, usize>);
 
@@ -13,12 +13,11 @@
 }
 
 impl<K: Ord + Clone> Tally<K> {
-    /// Counts one more.
     pub(crate) fn add(&mut self, key: &K) {
         *self.0.entry(key.clone()).or_default() += 1;
     }
 
-    /// Counts one less.
+    /// Decrements the count of a key; no effect if the key is absent.
     pub(crate) fn remove(&mut self, key: &K) {
         let Some(count) = self.0.get_mut(key) else {
             return;
@@ -29,12 +28,12 @@
         }
     }
 
-    /// How many there are of a key.
+    /// Count of a key, 0 if absent.
     pub(crate) fn count(&self, key: &K) -> usize {
         self.0.get(key).copied().unwrap_or(0)
     }
 
-    /// Keys of which there are any.
+    /// Keys with a count above 0, in order.
     pub(crate) fn keys(&self) -> impl DoubleEndedIterator<Item = &K> {
         self.0.keys()
     }
