--- a/crates/decide/src/config/follower.rs
+++ b/crates/decide/src/config/follower.rs
@@ -305,10 +305,11 @@
     /// Items of the slots that differ between the current manifest and `slots`: those of `slots` if
     /// `new`, else those of the current manifest.
     fn changed_items(&self, slots: &[Name], new: bool) -> BTreeMap<Name, Spec> {
-        let (ours, other) = if new { (slots, &self.slots[..]) } else { (&self.slots[..], slots) };
-        let same_shape = ours.len() == other.len();
+        let (selected, other) =
+            if new { (slots, &self.slots[..]) } else { (&self.slots[..], slots) };
+        let same_shape = selected.len() == other.len();
         let mut items = BTreeMap::new();
-        for (i, hash) in ours.iter().enumerate() {
+        for (i, hash) in selected.iter().enumerate() {
             if same_shape && other[i] == *hash {
                 continue;
             }
--- a/crates/decide/src/config/publisher.rs
+++ b/crates/decide/src/config/publisher.rs
@@ -244,11 +244,11 @@
         out: &mut Vec<PublisherAction>,
     ) {
         let published = |s: &Status| items.get(&s.object).map_or(0, |i| i.version);
-        let (confirmed, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unconfirmed)
+        let (resolved, unresolved): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unconfirmed)
             .into_iter()
             .partition(|s| !s.accepted || published(s) >= s.version);
-        self.unconfirmed = open;
-        self.put_statuses(confirmed, out);
+        self.unconfirmed = unresolved;
+        self.put_statuses(resolved, out);
     }
 
     /// Writes statuses, except those older than a version already reported.
--- a/crates/decide/src/lease/mod.rs
+++ b/crates/decide/src/lease/mod.rs
@@ -179,8 +179,8 @@
         self.next_call = now
             + self.period.mul_f64(POLL_FRACTION)
             + self.rng.jitter(self.period.mul_f64(POLL_FRACTION));
-        let older = self.observed.as_ref().is_some_and(|s| version < s.version);
-        if older {
+        let stale = self.observed.as_ref().is_some_and(|s| version < s.version);
+        if stale {
             // Ignore a stale read.
             return;
         }
--- a/crates/decide/tests/claim.rs
+++ b/crates/decide/tests/claim.rs
@@ -24,14 +24,14 @@
 }
 
 impl Store {
-    fn now(&self, object: &Name) -> (u64, Option<Claims>) {
+    fn current(&self, object: &Name) -> (u64, Option<Claims>) {
         self.objects.get(object).and_then(|h| h.last().cloned()).unwrap_or((0, None))
     }
 
-    fn read(&self, object: &Name, back: usize) -> ReadOutcome {
+    fn read(&self, object: &Name, versions_back: usize) -> ReadOutcome {
         let history = self.objects.get(object).cloned().unwrap_or_default();
-        let at = history.len().saturating_sub(back + 1);
-        if history.is_empty() || back >= history.len() {
+        let at = history.len().saturating_sub(versions_back + 1);
+        if history.is_empty() || versions_back >= history.len() {
             return ReadOutcome::NeverWritten;
         }
         match history[at].clone() {
@@ -42,7 +42,7 @@
 
     fn write(&mut self, object: &Name, expect: u64, claims: Option<Claims>) -> Option<u64> {
         self.writes += 1;
-        let (version, _) = self.now(object);
+        let (version, _) = self.current(object);
         if version != expect {
             return None;
         }
@@ -51,38 +51,38 @@
     }
 }
 
-struct Late {
+struct DelayedWrite {
     object: Name,
     expect: u64,
     claims: Claims,
 }
 
-struct World {
+struct Simulation {
     rng: Rng,
     store: Store,
     nodes: Vec<Committer>,
     inbox: Vec<(usize, Event)>,
-    late: Vec<Late>,
+    delayed_writes: Vec<DelayedWrite>,
     answers: BTreeMap<u64, ClaimEnd>,
     asks: BTreeMap<u64, ClaimAsk>,
     now: Time,
-    trouble: usize,
+    fault_percent: usize,
 }
 
 const UNIX_MS: u64 = 1_700_000_000_000;
 
-impl World {
-    fn new(seed: u64, nodes: usize, trouble: usize) -> Self {
-        World {
+impl Simulation {
+    fn new(seed: u64, nodes: usize, fault_percent: usize) -> Self {
+        Simulation {
             rng: Rng::new(seed),
             store: Store::default(),
             nodes: (0..nodes).map(|_| Committer::default()).collect(),
             inbox: Vec::new(),
-            late: Vec::new(),
+            delayed_writes: Vec::new(),
             answers: BTreeMap::new(),
             asks: BTreeMap::new(),
             now: Time::ZERO,
-            trouble,
+            fault_percent,
         }
     }
 
@@ -95,23 +95,23 @@
         ticket
     }
 
-    fn unlucky(&mut self) -> bool {
-        self.trouble > 0 && self.rng.below(100) < self.trouble
+    fn inject_fault(&mut self) -> bool {
+        self.fault_percent > 0 && self.rng.below(100) < self.fault_percent
     }
 
-    fn act(&mut self, node: usize, action: Action) {
+    fn perform(&mut self, node: usize, action: Action) {
         let event = match action {
             Action::Answer { ticket, end } => {
                 assert!(self.answers.insert(ticket, end).is_none(), "one answer a claim");
                 return;
             }
-            Action::ReadFloor if self.unlucky() => Event::Floor(None),
+            Action::ReadFloor if self.inject_fault() => Event::Floor(None),
             Action::ReadFloor => Event::Floor(Some(self.store.floor)),
-            Action::Read(object) if self.unlucky() => {
+            Action::Read(object) if self.inject_fault() => {
                 Event::Read { object, found: ReadOutcome::Failed }
             }
             Action::Read(object) => {
-                let back = if self.unlucky() { 1 + self.rng.below(2) } else { 0 };
+                let back = if self.inject_fault() { 1 + self.rng.below(2) } else { 0 };
                 let found = self.store.read(&object, back);
                 Event::Read { object, found }
             }
@@ -124,11 +124,15 @@
     }
 
     fn write(&mut self, object: &Name, expect: u64, claims: Claims) -> WriteOutcome {
-        if self.unlucky() {
+        if self.inject_fault() {
             // Lost: landed, never landed, or lands later.
             match self.rng.below(3) {
                 0 => drop(self.store.write(object, expect, Some(claims))),
-                1 => self.late.push(Late { object: object.clone(), expect, claims }),
+                1 => self.delayed_writes.push(DelayedWrite {
+                    object: object.clone(),
+                    expect,
+                    claims,
+                }),
                 _ => {}
             }
             return WriteOutcome::Lost;
@@ -140,9 +144,9 @@
     }
 
     fn step(&mut self) {
-        if !self.late.is_empty() && self.rng.below(10) == 0 {
-            let i = self.rng.below(self.late.len());
-            let l = self.late.remove(i);
+        if !self.delayed_writes.is_empty() && self.rng.below(10) == 0 {
+            let i = self.rng.below(self.delayed_writes.len());
+            let l = self.delayed_writes.remove(i);
             self.store.write(&l.object, l.expect, Some(l.claims));
         }
         self.now = self.now + Duration::from_millis(1 + self.rng.below(5) as u64);
@@ -153,13 +157,13 @@
             self.inbox.remove(i)
         };
         for action in self.nodes[node].handle_event(self.now, event) {
-            self.act(node, action);
+            self.perform(node, action);
         }
     }
 
     fn run(&mut self) {
         for _ in 0..20_000 {
-            if self.answers.len() == self.asks.len() && self.late.is_empty() {
+            if self.answers.len() == self.asks.len() && self.delayed_writes.is_empty() {
                 return;
             }
             self.step();
@@ -176,7 +180,7 @@
             }
             let other = winners.insert(ask.key, ask.request.clone());
             assert!(other.is_none(), "{} won twice: {other:?}", ask.key);
-            let (_, claims) = self.store.now(&ask.key.object());
+            let (_, claims) = self.store.current(&ask.key.object());
             let held = claims.and_then(|c| c.keys.get(&ask.key).cloned());
             assert_eq!(held.as_ref(), Some(&ask.request), "a winner stands in the store");
         }
@@ -187,31 +191,34 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(SEED), ..Default::default() })]
 
     #[test]
-    fn a_key_is_won_at_most_once_whatever_the_store_does(seed in any::<u64>(), trouble in 0usize..50) {
-        let mut world = World::new(seed, 3, trouble);
+    fn a_key_is_won_at_most_once_under_store_faults(
+        seed in any::<u64>(),
+        fault_percent in 0usize..50,
+    ) {
+        let mut sim = Simulation::new(seed, 3, fault_percent);
         for i in 0..12u64 {
             let key = Key::new(UNIX_MS - 40, u128::from(i % 4) << 40);
-            let node = world.rng.below(3);
-            world.ask(node, key);
+            let node = sim.rng.below(3);
+            sim.ask(node, key);
         }
-        world.run();
-        world.check();
+        sim.run();
+        sim.check();
     }
 }
 
 #[test]
-fn without_trouble_every_key_is_won() {
-    let mut world = World::new(1, 2, 0);
+fn every_key_is_won_without_faults() {
+    let mut sim = Simulation::new(1, 2, 0);
     for i in 0..50u64 {
-        world.ask((i % 2) as usize, Key::new(UNIX_MS, u128::from(i) << 30));
+        sim.ask((i % 2) as usize, Key::new(UNIX_MS, u128::from(i) << 30));
     }
-    world.run();
-    world.check();
-    assert!(world.answers.values().all(|e| *e == ClaimEnd::Won));
+    sim.run();
+    sim.check();
+    assert!(sim.answers.values().all(|e| *e == ClaimEnd::Won));
 }
 
 #[test]
-fn a_lost_answer_is_settled_for_each_key_of_the_batch() {
+fn a_lost_response_is_resolved_for_each_key_of_the_batch() {
     let key = |i: u64| Key::new(UNIX_MS, u128::from(i) << 40);
     let mut c = Committer::default();
     let object = key(0).object();
@@ -246,7 +253,7 @@
 }
 
 #[test]
-fn a_deleted_object_is_never_made_again_by_a_node_with_a_slow_clock() {
+fn a_node_with_a_slow_clock_never_recreates_a_deleted_object() {
     // The key's bucket is over, swept and deleted; this node's clock is hours slow.
     let key = Key::new(UNIX_MS, 5);
     let slow_clock = UNIX_MS + 1000;
@@ -282,12 +289,12 @@
             }
         }
         assert_eq!(answer, Some(ClaimEnd::Old), "stale read: {stale}");
-        assert_eq!(store.now(&key.object()).1, None, "it stays deleted");
+        assert_eq!(store.current(&key.object()).1, None, "it stays deleted");
     }
 }
 
 #[test]
-fn keys_outside_the_window_are_refused_without_a_call() {
+fn keys_outside_the_window_are_refused_without_a_store_call() {
     let cases = [
         (UNIX_MS - decide::claim::CLAIM_WINDOW_MS - 1, ClaimEnd::Old),
         (UNIX_MS + decide::claim::MAX_CLOCK_ERROR_MS + 1, ClaimEnd::Future),
@@ -303,10 +310,10 @@
 }
 
 #[test]
-fn store_writes_per_claim_fall_with_the_rate() {
+fn store_writes_per_claim_decrease_with_the_rate() {
     // Counted, not timed: a second of claims at each rate, 5 ms a store call.
     let bounds = [(1u64, 1.0), (100, 0.75), (1000, 0.1)];
-    for (rate, most) in bounds {
+    for (rate, max_writes) in bounds {
         let mut c = Committer::default();
         let mut store = Store::default();
         let mut inbox: BTreeMap<(Time, u64), Event> = BTreeMap::new();
@@ -356,6 +363,9 @@
         assert_eq!(won, rate);
         let per_claim = store.writes as f64 / rate as f64;
         println!("{rate} claims a second: {per_claim:.3} writes a claim");
-        assert!(per_claim <= most, "{rate}/s: {per_claim} writes a claim, {most} allowed");
+        assert!(
+            per_claim <= max_writes,
+            "{rate}/s: {per_claim} writes a claim, {max_writes} allowed"
+        );
     }
 }
--- a/crates/decide/tests/config.rs
+++ b/crates/decide/tests/config.rs
@@ -43,7 +43,7 @@
 #[derive(Default)]
 struct Store {
     declared: BTreeMap<Name, (u64, Option<Spec>)>,
-    former: BTreeMap<Name, (u64, Option<Spec>)>,
+    previous: BTreeMap<Name, (u64, Option<Spec>)>,
     chunks: BTreeMap<Name, Arc<str>>,
     manifests: Vec<Manifest>,
 }
@@ -55,7 +55,7 @@
     }
 
     fn list(&self, stale: bool) -> Vec<Declared> {
-        let all = if stale { &self.former } else { &self.declared };
+        let all = if stale { &self.previous } else { &self.declared };
         let one = |(key, (version, spec)): (&Name, &(u64, Option<Spec>))| Declared {
             key: key.clone(),
             version: *version,
@@ -64,8 +64,8 @@
         all.iter().map(one).collect()
     }
 
-    fn base(&self, back: usize) -> PublisherEvent {
-        let n = self.manifests.len().saturating_sub(back);
+    fn base(&self, versions_back: usize) -> PublisherEvent {
+        let n = self.manifests.len().saturating_sub(versions_back);
         let manifest = n.checked_sub(1).map(|i| self.manifests[i].clone()).unwrap_or_default();
         let chunks = manifest.slots.iter().map(|h| self.chunks[h].clone()).collect();
         PublisherEvent::Base { version: n as u64, manifest, chunks }
@@ -105,45 +105,45 @@
     }
 }
 
-struct World {
+struct Simulation {
     rng: Rng,
     store: Store,
     publishers: Vec<Publisher>,
     held: Vec<bool>,
     epoch: u64,
     followers: Vec<Follower>,
-    numbers: Vec<u64>,
-    late: Vec<(u64, Manifest)>,
-    late_chunks: Vec<(Name, Arc<str>)>,
+    applied: Vec<u64>,
+    delayed_writes: Vec<(u64, Manifest)>,
+    delayed_chunks: Vec<(Name, Arc<str>)>,
     inbox: Vec<(usize, PublisherEvent)>,
     messages: Vec<(usize, FollowerEvent)>,
     statuses: Vec<Status>,
     now: Time,
-    trouble: usize,
+    fault_percent: usize,
 }
 
-impl World {
-    fn new(seed: u64, trouble: usize) -> Self {
-        World {
+impl Simulation {
+    fn new(seed: u64, fault_percent: usize) -> Self {
+        Simulation {
             rng: Rng::new(seed),
             store: Store::default(),
             publishers: (0..2).map(|i| Publisher::new(seed ^ i)).collect(),
             held: vec![false; 2],
             epoch: 0,
             followers: (0..4).map(|_| Follower::default()).collect(),
-            numbers: vec![0; 4],
-            late: Vec::new(),
-            late_chunks: Vec::new(),
+            applied: vec![0; 4],
+            delayed_writes: Vec::new(),
+            delayed_chunks: Vec::new(),
             inbox: Vec::new(),
             messages: Vec::new(),
             statuses: Vec::new(),
             now: Time::ZERO,
-            trouble,
+            fault_percent,
         }
     }
 
-    fn unlucky(&mut self) -> bool {
-        self.trouble > 0 && self.rng.below(100) < self.trouble
+    fn inject_fault(&mut self) -> bool {
+        self.fault_percent > 0 && self.rng.below(100) < self.fault_percent
     }
 
     fn publisher(&mut self, i: usize, event: PublisherEvent) {
@@ -155,14 +155,14 @@
                     }
                     continue;
                 }
-                PublisherAction::ReadBase if self.unlucky() => PublisherEvent::BaseFailed,
+                PublisherAction::ReadBase if self.inject_fault() => PublisherEvent::BaseFailed,
                 PublisherAction::ReadBase => {
-                    let back = usize::from(self.unlucky());
+                    let back = usize::from(self.inject_fault());
                     self.store.base(back)
                 }
                 PublisherAction::PutChunk(hash, text) => {
-                    let end = if self.unlucky() {
-                        self.late_chunks.push((hash.clone(), text));
+                    let end = if self.inject_fault() {
+                        self.delayed_chunks.push((hash.clone(), text));
                         PutOutcome::Lost
                     } else {
                         self.store.chunks.insert(hash.clone(), text);
@@ -172,8 +172,8 @@
                 }
                 PublisherAction::PutManifest { expect, manifest } => {
                     let nonce = manifest.nonce;
-                    let end = if self.unlucky() {
-                        self.late.push((expect, manifest));
+                    let end = if self.inject_fault() {
+                        self.delayed_writes.push((expect, manifest));
                         PutOutcome::Lost
                     } else if self.put(expect, manifest) {
                         PutOutcome::Done
@@ -218,12 +218,12 @@
         for action in actions {
             match action {
                 FollowerAction::Applied(change) => {
-                    assert!(change.number > self.numbers[i], "node {i} went back");
-                    self.numbers[i] = change.number;
+                    assert!(change.number > self.applied[i], "node {i} went back");
+                    self.applied[i] = change.number;
                     let want = self.store.set(change.number);
                     assert_eq!(self.followers[i].set(), want, "node {i} is half in force");
                 }
-                fetch if self.unlucky() => {
+                fetch if self.inject_fault() => {
                     let from = match fetch {
                         FollowerAction::FetchDelta { from, .. } => from,
                         FollowerAction::FetchChunks { from, .. } => from,
@@ -267,9 +267,9 @@
         self.now = self.now + Duration::from_millis(5);
         match self.rng.below(12) {
             0 if operators => self.operator(),
-            1 if self.trouble > 0 && operators => self.change_holder(),
+            1 if self.fault_percent > 0 && operators => self.change_holder(),
             2 => {
-                let stale = self.unlucky();
+                let stale = self.inject_fault();
                 let list = self.store.list(stale);
                 let i = self.rng.below(2);
                 self.publisher(i, PublisherEvent::Objects(list));
@@ -278,13 +278,13 @@
                 let i = self.rng.below(2);
                 self.publisher(i, PublisherEvent::Tick);
             }
-            4 if !self.late.is_empty() => {
-                let i = self.rng.below(self.late.len());
-                let (expect, manifest) = self.late.remove(i);
+            4 if !self.delayed_writes.is_empty() => {
+                let i = self.rng.below(self.delayed_writes.len());
+                let (expect, manifest) = self.delayed_writes.remove(i);
                 self.put(expect, manifest);
             }
-            5 if !self.late_chunks.is_empty() => {
-                let (hash, text) = self.late_chunks.remove(0);
+            5 if !self.delayed_chunks.is_empty() => {
+                let (hash, text) = self.delayed_chunks.remove(0);
                 self.store.chunks.insert(hash, text);
             }
             6 => self.gossip(),
@@ -297,7 +297,7 @@
     }
 
     fn operator(&mut self) {
-        self.store.former = self.store.declared.clone();
+        self.store.previous = self.store.declared.clone();
         match self.rng.below(8) {
             0 => self.store.declare("Pool/p", Some(pool())),
             1 => self.store.declare("Pipeline/q", Some(pipeline("p"))),
@@ -326,14 +326,14 @@
 
     fn gossip(&mut self) {
         let (from, to) = (self.rng.below(4), self.rng.below(4));
-        let heard = if from == 0 {
+        let announced = if from == 0 {
             let number = self.store.manifests.len() as u64;
             FollowerEvent::Announced { number, from: Source::Store }
         } else {
-            let number = self.numbers[from];
+            let number = self.applied[from];
             FollowerEvent::Announced { number, from: Source::Peer(from.to_string().into()) }
         };
-        self.messages.push((to, heard));
+        self.messages.push((to, announced));
     }
 
     fn deliver(&mut self) {
@@ -347,16 +347,16 @@
         let at = self.rng.below(self.messages.len());
         let (i, event) = self.messages[at].clone();
         // Some are delivered again later, some never.
-        if !self.unlucky() {
+        if !self.inject_fault() {
             self.messages.remove(at);
         }
-        if !self.unlucky() {
+        if !self.inject_fault() {
             self.follower(i, event);
         }
     }
 
-    fn settle(&mut self) {
-        self.trouble = 0;
+    fn converge(&mut self) {
+        self.fault_percent = 0;
         self.epoch += 1;
         self.publisher(1, PublisherEvent::Lease(None));
         self.publisher(0, PublisherEvent::Lease(Some(self.epoch)));
@@ -365,16 +365,16 @@
         }
     }
 
-    fn check_settled(&self) {
+    fn check_converged(&self) {
         let number = self.store.manifests.len() as u64;
-        for (i, n) in self.numbers.iter().enumerate() {
+        for (i, n) in self.applied.iter().enumerate() {
             assert_eq!(*n, number, "node {i} did not catch up");
         }
         for (key, (version, spec)) in &self.store.declared {
             let items = self.store.items(number);
             let published = items.get(key).map_or(0, |(v, _)| *v);
-            let told = self.statuses.iter().rev().find(|s| s.object == *key);
-            let refused = told.is_some_and(|s| s.version == *version && !s.accepted);
+            let reported = self.statuses.iter().rev().find(|s| s.object == *key);
+            let refused = reported.is_some_and(|s| s.version == *version && !s.accepted);
             assert!(
                 published == *version || refused,
                 "{key} version {version} ({spec:?}) is neither in force nor refused"
@@ -387,124 +387,127 @@
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, rng_seed: RngSeed::Fixed(SEED), ..Default::default() })]
 
     #[test]
-    fn never_reverts_never_half_and_arrives(seed in any::<u64>(), trouble in 0usize..35) {
-        let mut world = World::new(seed, trouble);
-        world.epoch = 1;
-        world.publisher(0, PublisherEvent::Lease(Some(1)));
+    fn configuration_never_reverts_applies_atomically_and_converges(
+        seed in any::<u64>(),
+        fault_percent in 0usize..35,
+    ) {
+        let mut sim = Simulation::new(seed, fault_percent);
+        sim.epoch = 1;
+        sim.publisher(0, PublisherEvent::Lease(Some(1)));
         for _ in 0..1500 {
-            world.step(true);
+            sim.step(true);
         }
-        world.settle();
-        world.check_settled();
+        sim.converge();
+        sim.check_converged();
     }
 }
 
-fn publish(declared: &[(&str, Option<Spec>)]) -> World {
-    let mut world = World::new(1, 0);
+fn publish(declared: &[(&str, Option<Spec>)]) -> Simulation {
+    let mut sim = Simulation::new(1, 0);
     for (key, spec) in declared {
-        world.store.declare(key, spec.clone());
+        sim.store.declare(key, spec.clone());
     }
-    world.settle();
-    world
+    sim.converge();
+    sim
 }
 
 #[test]
-fn an_object_at_fault_is_refused_and_the_rest_goes_through() {
-    let world = publish(&[
+fn an_invalid_object_is_refused_and_the_rest_is_published() {
+    let sim = publish(&[
         ("Workspace/good", Some(workspace(100))),
         ("Pipeline/bad", Some(pipeline("nowhere"))),
     ]);
-    let set = world.store.set(1);
+    let set = sim.store.set(1);
     assert!(set.workspaces.contains_key("good"));
     assert!(set.pipelines.is_empty());
-    let bad = world.statuses.iter().find(|s| &*s.object == "Pipeline/bad").expect("a status");
+    let bad = sim.statuses.iter().find(|s| &*s.object == "Pipeline/bad").expect("a status");
     assert!(!bad.accepted);
     assert!(bad.reason.contains("no Pool is named \"nowhere\""), "{}", bad.reason);
 }
 
 #[test]
 fn a_deletion_that_would_break_another_object_is_refused() {
-    let mut world = publish(&[("Pool/p", Some(pool())), ("Pipeline/q", Some(pipeline("p")))]);
-    world.store.declare("Pool/p", None);
-    world.settle();
-    let number = world.store.manifests.len() as u64;
-    assert!(world.store.set(number).pools.contains_key("p"));
-    let last = world.statuses.iter().rev().find(|s| &*s.object == "Pool/p").expect("a status");
+    let mut sim = publish(&[("Pool/p", Some(pool())), ("Pipeline/q", Some(pipeline("p")))]);
+    sim.store.declare("Pool/p", None);
+    sim.converge();
+    let number = sim.store.manifests.len() as u64;
+    assert!(sim.store.set(number).pools.contains_key("p"));
+    let last = sim.statuses.iter().rev().find(|s| &*s.object == "Pool/p").expect("a status");
     assert!(!last.accepted && last.reason.contains("would break"), "{}", last.reason);
 }
 
 #[test]
-fn an_object_refused_for_want_of_another_goes_through_once_that_is_there() {
-    let mut world = publish(&[("Pipeline/q", Some(pipeline("p")))]);
-    assert!(world.store.manifests.is_empty());
-    world.store.declare("Pool/p", Some(pool()));
-    world.settle();
-    let number = world.store.manifests.len() as u64;
-    assert!(world.store.set(number).pipelines.contains_key("q"));
-    let last = world.statuses.iter().rev().find(|s| &*s.object == "Pipeline/q").expect("a status");
+fn an_object_refused_for_a_missing_reference_is_accepted_once_that_exists() {
+    let mut sim = publish(&[("Pipeline/q", Some(pipeline("p")))]);
+    assert!(sim.store.manifests.is_empty());
+    sim.store.declare("Pool/p", Some(pool()));
+    sim.converge();
+    let number = sim.store.manifests.len() as u64;
+    assert!(sim.store.set(number).pipelines.contains_key("q"));
+    let last = sim.statuses.iter().rev().find(|s| &*s.object == "Pipeline/q").expect("a status");
     assert!(last.accepted, "{}", last.reason);
 }
 
 #[test]
-fn a_new_holder_writes_the_statuses_that_the_former_one_did_not() {
-    let mut world = publish(&[("Workspace/w", Some(workspace(100)))]);
-    world.statuses.clear();
-    let list = world.store.list(false);
-    world.publisher(1, PublisherEvent::Objects(list));
-    world.publisher(1, PublisherEvent::Statuses(Vec::new()));
-    world.publisher(1, PublisherEvent::Lease(Some(9)));
+fn a_new_holder_writes_the_statuses_that_the_previous_one_left_unwritten() {
+    let mut sim = publish(&[("Workspace/w", Some(workspace(100)))]);
+    sim.statuses.clear();
+    let list = sim.store.list(false);
+    sim.publisher(1, PublisherEvent::Objects(list));
+    sim.publisher(1, PublisherEvent::Statuses(Vec::new()));
+    sim.publisher(1, PublisherEvent::Lease(Some(9)));
     for _ in 0..100 {
-        world.deliver();
+        sim.deliver();
     }
-    let told = world.statuses.iter().any(|s| &*s.object == "Workspace/w" && s.accepted);
-    assert!(told, "{:?}", world.statuses);
+    let reported = sim.statuses.iter().any(|s| &*s.object == "Workspace/w" && s.accepted);
+    assert!(reported, "{:?}", sim.statuses);
 }
 
 #[test]
-fn one_change_among_thousands_moves_one_chunk() {
-    let mut world = World::new(2, 0);
+fn one_change_among_thousands_replaces_one_chunk() {
+    let mut sim = Simulation::new(2, 0);
     for i in 0..3000 {
-        world.store.declare(&format!("Workspace/w{i}"), Some(workspace(100 + i)));
+        sim.store.declare(&format!("Workspace/w{i}"), Some(workspace(100 + i)));
     }
-    world.settle();
-    let before = world.store.manifests.last().cloned().expect("published");
-    world.store.declare("Workspace/w77", Some(workspace(7)));
-    world.settle();
-    let after = world.store.manifests.last().cloned().expect("published");
+    sim.converge();
+    let before = sim.store.manifests.last().cloned().expect("published");
+    sim.store.declare("Workspace/w77", Some(workspace(7)));
+    sim.converge();
+    let after = sim.store.manifests.last().cloned().expect("published");
     assert_eq!(after.slots.len(), before.slots.len());
     let moved = before.slots.iter().zip(&after.slots).filter(|(a, b)| a != b).count();
     assert_eq!(moved, 1);
 }
 
 #[test]
-fn a_restarted_node_takes_the_configuration_from_a_peer_alone() {
-    let world = publish(&[("Workspace/w", Some(workspace(100)))]);
-    let mut fresh = Follower::default();
+fn a_restarted_node_fetches_the_configuration_from_a_peer_alone() {
+    let sim = publish(&[("Workspace/w", Some(workspace(100)))]);
+    let mut follower = Follower::default();
     let from = Source::Peer("1".into());
-    let number = world.numbers[1];
+    let number = sim.applied[1];
     let out =
-        fresh.handle_event(world.now, FollowerEvent::Announced { number, from: from.clone() });
+        follower.handle_event(sim.now, FollowerEvent::Announced { number, from: from.clone() });
     assert_eq!(out, vec![FollowerAction::FetchDelta { from: from.clone(), have: 0 }]);
-    let delta = world.followers[1].delta(0);
-    let out = fresh.handle_event(world.now, FollowerEvent::Delta { delta, from });
+    let delta = sim.followers[1].delta(0);
+    let out = follower.handle_event(sim.now, FollowerEvent::Delta { delta, from });
     let Some(FollowerAction::FetchChunks { hashes, .. }) = out.first() else {
         panic!("{out:?}");
     };
     for hash in hashes {
-        let text = world.followers[1].chunk(hash).cloned().expect("held");
-        fresh.handle_event(world.now, FollowerEvent::Chunk { hash: hash.clone(), text });
+        let text = sim.followers[1].chunk(hash).cloned().expect("held");
+        follower.handle_event(sim.now, FollowerEvent::Chunk { hash: hash.clone(), text });
     }
-    assert_eq!(fresh.number(), number);
-    assert_eq!(fresh.set(), world.followers[1].set());
+    assert_eq!(follower.number(), number);
+    assert_eq!(follower.set(), sim.followers[1].set());
 }
 
 #[test]
-fn a_chunk_with_another_content_is_not_taken() {
-    let world = publish(&[("Workspace/w", Some(workspace(100)))]);
-    let mut fresh = Follower::default();
-    let manifest = world.store.manifests[0].clone();
+fn a_chunk_that_does_not_match_its_address_is_rejected() {
+    let sim = publish(&[("Workspace/w", Some(workspace(100)))]);
+    let mut follower = Follower::default();
+    let manifest = sim.store.manifests[0].clone();
     let hash = manifest.slots[0].clone();
-    fresh.handle_event(world.now, FollowerEvent::Manifest(manifest));
-    fresh.handle_event(world.now, FollowerEvent::Chunk { hash, text: "[]".into() });
-    assert_eq!(fresh.number(), 0);
+    follower.handle_event(sim.now, FollowerEvent::Manifest(manifest));
+    follower.handle_event(sim.now, FollowerEvent::Chunk { hash, text: "[]".into() });
+    assert_eq!(follower.number(), 0);
 }
--- a/crates/decide/tests/lease.rs
+++ b/crates/decide/tests/lease.rs
@@ -15,64 +15,64 @@
 const SEED: u64 = 1;
 
 struct Node {
-    holder: LeaseClient,
+    client: LeaseClient,
     /// Rate of its clock against true time.
-    rate: f64,
+    clock_rate: f64,
     paused: Time,
     inbox: Vec<(Time, Event)>,
 }
 
-struct Late {
+struct DelayedWrite {
     at: Time,
     expect: u64,
     lease: Lease,
 }
 
-struct World {
+struct Simulation {
     rng: Rng,
     nodes: Vec<Node>,
     history: Vec<(u64, Lease)>,
-    late: Vec<Late>,
+    delayed_writes: Vec<DelayedWrite>,
     now: Time,
-    trouble: usize,
-    down: bool,
+    fault_percent: usize,
+    store_down: bool,
     epochs: BTreeMap<u64, usize>,
-    taken: usize,
+    acquisitions: usize,
 }
 
-impl World {
-    fn new(seed: u64, trouble: usize) -> Self {
+impl Simulation {
+    fn new(seed: u64, fault_percent: usize) -> Self {
         let mut rng = Rng::new(seed);
         let nodes = (0..3)
             .map(|i| Node {
-                holder: LeaseClient::new(format!("n{i}").into(), PERIOD, seed ^ i),
-                rate: 1.0 + (rng.next_f64() - 0.5) * MAX_CLOCK_DRIFT * 0.99,
+                client: LeaseClient::new(format!("n{i}").into(), PERIOD, seed ^ i),
+                clock_rate: 1.0 + (rng.next_f64() - 0.5) * MAX_CLOCK_DRIFT * 0.99,
                 paused: Time::ZERO,
                 inbox: Vec::new(),
             })
             .collect();
-        World {
+        Simulation {
             rng,
             nodes,
             history: Vec::new(),
-            late: Vec::new(),
+            delayed_writes: Vec::new(),
             now: Time::ZERO,
-            trouble,
-            down: false,
+            fault_percent,
+            store_down: false,
             epochs: BTreeMap::new(),
-            taken: 0,
+            acquisitions: 0,
         }
     }
 
-    fn local(&self, i: usize) -> Time {
-        Time((self.now.0 as f64 * self.nodes[i].rate) as u64)
+    fn local_time(&self, i: usize) -> Time {
+        Time((self.now.0 as f64 * self.nodes[i].clock_rate) as u64)
     }
 
     fn version(&self) -> u64 {
         self.history.last().map_or(0, |(v, _)| *v)
     }
 
-    fn store(&mut self, expect: u64, lease: Lease) -> Option<u64> {
+    fn apply_write(&mut self, expect: u64, lease: Lease) -> Option<u64> {
         if self.version() != expect {
             return None;
         }
@@ -80,22 +80,22 @@
         Some(expect + 1)
     }
 
-    fn unlucky(&mut self) -> bool {
-        self.rng.below(100) < self.trouble
+    fn inject_fault(&mut self) -> bool {
+        self.rng.below(100) < self.fault_percent
     }
 
-    fn act(&mut self, i: usize, action: Action) {
+    fn perform(&mut self, i: usize, action: Action) {
         let event = match action {
             Action::Acquired(epoch) => {
                 let other = self.epochs.insert(epoch, i);
                 assert!(other.is_none_or(|o| o == i), "epoch {epoch} held by two nodes");
-                self.taken += 1;
+                self.acquisitions += 1;
                 return;
             }
             Action::Lost => return,
-            Action::Read if self.down || self.unlucky() => Event::ReadFailed,
+            Action::Read if self.store_down || self.inject_fault() => Event::ReadFailed,
             Action::Read => {
-                let back = if self.unlucky() { 1 } else { 0 };
+                let back = if self.inject_fault() { 1 } else { 0 };
                 let at = self.history.len().checked_sub(1 + back);
                 let found = at.map(|at| self.history[at].clone());
                 match found {
@@ -111,14 +111,14 @@
     }
 
     fn write(&mut self, expect: u64, lease: Lease) -> Event {
-        if self.down || self.unlucky() {
-            if !self.down && self.rng.below(2) == 0 {
+        if self.store_down || self.inject_fault() {
+            if !self.store_down && self.rng.below(2) == 0 {
                 let at = self.now + Duration::from_millis(self.rng.below(9000) as u64);
-                self.late.push(Late { at, expect, lease });
+                self.delayed_writes.push(DelayedWrite { at, expect, lease });
             }
             return Event::WriteLost;
         }
-        match self.store(expect, lease) {
+        match self.apply_write(expect, lease) {
             Some(version) => Event::Written(version),
             None => Event::Conflict,
         }
@@ -128,16 +128,16 @@
         self.now = self.now + Duration::from_millis(10);
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.late).into_iter().partition(|l| l.at <= now);
-        self.late = later;
+            std::mem::take(&mut self.delayed_writes).into_iter().partition(|l| l.at <= now);
+        self.delayed_writes = later;
         for l in due {
-            self.store(l.expect, l.lease);
+            self.apply_write(l.expect, l.lease);
         }
         for i in 0..self.nodes.len() {
             if self.nodes[i].paused > now {
                 continue;
             }
-            if self.trouble > 0 && self.rng.below(4000) == 0 {
+            if self.fault_percent > 0 && self.rng.below(4000) == 0 {
                 let length = Duration::from_millis(self.rng.below(20_000) as u64);
                 self.nodes[i].paused = now + length;
                 continue;
@@ -145,19 +145,19 @@
             let (ready, waiting): (Vec<_>, Vec<_>) =
                 std::mem::take(&mut self.nodes[i].inbox).into_iter().partition(|(t, _)| *t <= now);
             self.nodes[i].inbox = waiting;
-            let local = self.local(i);
+            let local = self.local_time(i);
             let mut events: Vec<Event> = ready.into_iter().map(|(_, e)| e).collect();
-            if self.nodes[i].holder.next_tick() <= local {
+            if self.nodes[i].client.next_tick() <= local {
                 events.push(Event::Tick);
             }
             for event in events {
-                for action in self.nodes[i].holder.handle_event(local, event) {
-                    self.act(i, action);
+                for action in self.nodes[i].client.handle_event(local, event) {
+                    self.perform(i, action);
                 }
             }
         }
         let holds =
-            |i: &usize| self.nodes[*i].holder.epoch(self.local(*i), Duration::ZERO).is_some();
+            |i: &usize| self.nodes[*i].client.epoch(self.local_time(*i), Duration::ZERO).is_some();
         let holders: Vec<usize> = (0..self.nodes.len()).filter(holds).collect();
         assert!(holders.len() <= 1, "at {now:?} nodes {holders:?} both hold the lease");
     }
@@ -170,7 +170,7 @@
 
     fn holder(&self) -> Option<usize> {
         let holds =
-            |i: &usize| self.nodes[*i].holder.epoch(self.local(*i), Duration::ZERO).is_some();
+            |i: &usize| self.nodes[*i].client.epoch(self.local_time(*i), Duration::ZERO).is_some();
         (0..self.nodes.len()).find(holds)
     }
 }
@@ -179,45 +179,48 @@
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, rng_seed: RngSeed::Fixed(SEED), ..Default::default() })]
 
     #[test]
-    fn never_two_holders(seed in any::<u64>(), trouble in 0usize..40) {
-        let mut world = World::new(seed, trouble);
-        world.run(120_000);
+    fn at_most_one_node_holds_the_lease(
+        seed in any::<u64>(),
+        fault_percent in 0usize..40,
+    ) {
+        let mut sim = Simulation::new(seed, fault_percent);
+        sim.run(120_000);
     }
 }
 
 #[test]
-fn one_node_takes_it_and_keeps_it() {
-    let mut world = World::new(5, 0);
-    world.run(60_000);
-    assert!(world.holder().is_some());
-    assert_eq!(world.taken, 1, "no change of holder without cause");
+fn one_node_acquires_the_lease_and_keeps_it() {
+    let mut sim = Simulation::new(5, 0);
+    sim.run(60_000);
+    assert!(sim.holder().is_some());
+    assert_eq!(sim.acquisitions, 1, "no change of holder without cause");
 }
 
 #[test]
-fn a_paused_holder_is_followed_and_wakes_without_the_lease() {
-    let mut world = World::new(6, 0);
-    world.run(20_000);
-    let first = world.holder().expect("held");
-    world.nodes[first].paused = world.now + Duration::from_secs(30);
-    world.run(20_000);
-    let second = world.holder().expect("taken over within two periods and a half");
+fn a_paused_holder_is_replaced_and_resumes_without_the_lease() {
+    let mut sim = Simulation::new(6, 0);
+    sim.run(20_000);
+    let first = sim.holder().expect("held");
+    sim.nodes[first].paused = sim.now + Duration::from_secs(30);
+    sim.run(20_000);
+    let second = sim.holder().expect("taken over within two periods and a half");
     assert_ne!(first, second);
-    world.run(15_000);
-    let local = world.local(first);
-    assert_eq!(world.nodes[first].holder.epoch(local, Duration::ZERO), None);
-    assert_eq!(world.holder(), Some(second));
+    sim.run(15_000);
+    let local = sim.local_time(first);
+    assert_eq!(sim.nodes[first].client.epoch(local, Duration::ZERO), None);
+    assert_eq!(sim.holder(), Some(second));
 }
 
 #[test]
-fn it_survives_an_hour_without_the_store() {
-    let mut world = World::new(7, 0);
-    world.run(20_000);
-    world.down = true;
-    world.run(3_600_000);
-    assert_eq!(world.holder(), None, "validity ends without renewals");
-    world.down = false;
-    world.run(20_000);
-    assert!(world.holder().is_some());
+fn the_lease_is_acquired_again_after_an_hour_without_the_store() {
+    let mut sim = Simulation::new(7, 0);
+    sim.run(20_000);
+    sim.store_down = true;
+    sim.run(3_600_000);
+    assert_eq!(sim.holder(), None, "validity ends without renewals");
+    sim.store_down = false;
+    sim.run(20_000);
+    assert!(sim.holder().is_some());
 }
 
 #[test]
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -16,7 +16,7 @@
 
 /// A run well within its deadline, and the deadline.
 const QUICK: Duration = Duration::from_millis(100);
-const DUE: Duration = Duration::from_millis(1000);
+const DEADLINE: Duration = Duration::from_millis(1000);
 
 fn waiter(name: &str, priority: Priority, deadline: u64) -> Waiter {
     Waiter {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn urgent_goes_before_normal_before_patient_and_then_the_earliest_deadline() {
+fn requests_run_by_priority_then_by_earliest_deadline() {
     let mut g = Gate::new(1, 10);
     g.arrive(Time::ZERO, waiter("first", Priority::Normal, 5000));
     g.arrive(Time::ZERO, waiter("patient", Priority::Patient, 1000));
@@ -37,7 +37,7 @@
     let mut order = Vec::new();
     let mut last: Name = "first".into();
     for _ in 0..3 {
-        let out = g.finished(Time::ZERO, &last, QUICK, DUE);
+        let out = g.finished(Time::ZERO, &last, QUICK, DEADLINE);
         let [Verdict::Run(next)] = &out[..] else { panic!("{out:?}") };
         last = next.clone();
         order.push(last.to_string());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_full_queue_sheds_the_last_in_order() {
+fn a_full_queue_sheds_the_lowest_ranked_request() {
     let mut g = Gate::new(1, 1);
     g.arrive(Time::ZERO, waiter("runs", Priority::Normal, 5000));
     g.arrive(Time::ZERO, waiter("patient", Priority::Patient, 5000));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_cannot_finish_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused() {
     let mut g = Gate::new(1, 10);
     g.arrive(Time::ZERO, waiter("runs", Priority::Normal, 5000));
     let out = g.arrive(Time::ZERO, waiter("hopeless", Priority::Urgent, 50));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_idle_node_takes_even_what_looks_hopeless() {
+fn an_idle_node_admits_a_request_expected_to_miss_its_deadline() {
     // Times seen under load must not shut a node that has nothing to do.
     let mut g = Gate::new(4, 10);
     let out = g.arrive(Time::ZERO, waiter("only", Priority::Normal, 50));
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn congestion_narrows_the_gate_and_its_end_widens_it_again() {
+fn the_admission_limit_shrinks_under_congestion_and_recovers() {
     let mut g = Gate::new(64, 10);
     let mut now = Time::ZERO;
     for i in 0..1000 {
         now = now + Duration::from_millis(5);
         let name: Name = format!("r{i}").into();
         g.arrive(now, waiter(&name, Priority::Normal, u64::MAX / 2000));
-        g.finished(now, &name, DUE, DUE);
+        g.finished(now, &name, DEADLINE, DEADLINE);
     }
     let narrow = g.width();
     assert!(narrow <= 8, "{narrow}");
@@ -93,14 +93,14 @@
         names.push_back(name);
         if names.len() > g.width() {
             let old = names.pop_front().expect("one runs");
-            g.finished(now, &old, QUICK, DUE);
+            g.finished(now, &old, QUICK, DEADLINE);
         }
     }
     assert!(g.width() > narrow * 3, "{}", g.width());
 }
 
 #[test]
-fn a_newcomer_behind_too_many_is_refused_at_the_door_not_at_its_deadline() {
+fn a_request_behind_a_long_queue_is_refused_on_arrival() {
     let mut g = Gate::new(1, 100);
     let mut now = Time::ZERO;
     // A turn comes free every 100 ms.
@@ -108,20 +108,20 @@
         let name: Name = format!("r{i}").into();
         g.arrive(now, waiter(&name, Priority::Normal, 1_000_000));
         now = now + Duration::from_millis(100);
-        g.finished(now, &name, QUICK, DUE);
+        g.finished(now, &name, QUICK, DEADLINE);
     }
     let at = |ms: u64| now.0 / 1000 + ms;
     g.arrive(now, waiter("runs", Priority::Normal, at(10_000)));
-    let mut taken = 0;
+    let mut admitted = 0;
     for i in 0..50 {
         let out = g.arrive(now, waiter(&format!("w{i}"), Priority::Normal, at(1000)));
-        taken += usize::from(out.is_empty());
+        admitted += usize::from(out.is_empty());
     }
-    assert!((7..=10).contains(&taken), "ten turns fit before the deadline: {taken} wait");
+    assert!((7..=10).contains(&admitted), "ten turns fit before the deadline: {admitted} wait");
 }
 
 #[test]
-fn patient_work_leaves_room_for_urgent() {
+fn patient_requests_leave_capacity_for_urgent_ones() {
     let mut g = Gate::new(10, 100);
     for i in 0..20 {
         g.arrive(Time::ZERO, waiter(&format!("p{i}"), Priority::Patient, 50_000));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_successes() {
+fn retries_are_limited_to_a_fraction_of_successes() {
     let mut b = Budget::new(0.1, 10.0);
     let (mut sent, mut retried) = (0, 0);
     // A stage that fails outright: after the reserve no retry is left.
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn timeouts_follow_the_observed_times() {
+fn timeouts_follow_the_observed_durations() {
     let mut t = StepTimes::default();
     assert_eq!(t.hedge(), None, "no hedge before there are samples");
     for i in 0..1000 {
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn concurrency_narrows_under_queueing_and_never_closes() {
+fn the_concurrency_limit_decreases_under_queueing_but_keeps_a_minimum() {
     let mut c = ConcurrencyLimit::default();
     let start = c.max_in_flight();
     let mut now = Time::from_millis(1);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_bucket_says_when_to_come_back() {
+fn an_empty_bucket_returns_the_time_until_the_next_token() {
     let mut b = TokenBucket::new(2.0, Time::ZERO);
     assert!(b.take(Time::ZERO).is_ok());
     let wait = b.take(Time::ZERO).expect_err("empty");
@@ -216,39 +216,43 @@
 }
 
 /// Nodes that ask a home for slices; returns requests taken in ten seconds.
-fn limited(nodes: usize, home_up: impl Fn(u64) -> bool, demand: impl Fn(usize) -> u64) -> u64 {
+fn admitted_in_10s(
+    nodes: usize,
+    home_reachable: impl Fn(u64) -> bool,
+    demand: impl Fn(usize) -> u64,
+) -> u64 {
     const RATE: f64 = 100.0;
     let mut home = RateLender::new(RATE);
     let mut slices: Vec<RateSlice> =
         (0..nodes).map(|_| RateSlice::new(RATE, nodes, Time::ZERO)).collect();
-    let mut taken = 0;
+    let mut admitted = 0;
     for ms in 0..12_000u64 {
         let now = Time::from_millis(ms);
         for (i, s) in slices.iter_mut().enumerate() {
-            if ms % 500 == i as u64 && home_up(ms) {
+            if ms % 500 == i as u64 && home_reachable(ms) {
                 let d = s.demand(now);
-                let lend = home.lend(now, &format!("n{i}").into(), d, nodes);
-                s.renew(now, now, lend);
+                let slice = home.lend(now, &format!("n{i}").into(), d, nodes);
+                s.renew(now, now, slice);
             }
             let per_second = demand(i);
             if per_second > 0 && ms % (1000 / per_second) == 0 && s.take(now, nodes).is_ok() {
-                taken += u64::from(ms >= 2000);
+                admitted += u64::from(ms >= 2000);
             }
         }
     }
-    taken
+    admitted
 }
 
 #[test]
-fn a_workspace_rate_holds_over_all_nodes() {
+fn a_workspace_rate_holds_across_all_nodes() {
     // Even, uneven and cut off: never over the rate by more than the stated error.
     let cases: [(&str, u64); 3] = [
-        ("even", limited(8, |_| true, |_| 50)),
-        ("one node has it all", limited(8, |_| true, |i| if i == 0 { 200 } else { 0 })),
-        ("home gone", limited(8, |ms| ms < 3000, |_| 50)),
+        ("even", admitted_in_10s(8, |_| true, |_| 50)),
+        ("one node has it all", admitted_in_10s(8, |_| true, |i| if i == 0 { 200 } else { 0 })),
+        ("home gone", admitted_in_10s(8, |ms| ms < 3000, |_| 50)),
     ];
-    for (name, taken) in cases {
-        assert!(taken <= 1100, "{name}: {taken} in ten seconds at 100 a second");
+    for (name, admitted) in cases {
+        assert!(admitted <= 1100, "{name}: {admitted} in ten seconds at 100 a second");
     }
     let (even, uneven) = (cases[0].1, cases[1].1);
     assert!(even >= 850, "even demand gets nearly all of it: {even}");
@@ -256,7 +260,7 @@
 }
 
 #[test]
-fn each_target_has_two_pollers_and_they_move_little() {
+fn each_target_has_two_pollers_spread_over_the_nodes() {
     let nodes: Vec<Name> = (0..57).map(|i| format!("n{i}").into()).collect();
     let mut load: BTreeMap<&Name, usize> = BTreeMap::new();
     for t in 0..217 {
@@ -272,7 +276,7 @@
 }
 
 #[test]
-fn only_changes_worth_telling_go_round_and_old_gossip_is_dropped() {
+fn only_significant_load_changes_are_gossiped_and_stale_ones_are_dropped() {
     let name: Name = "t1".into();
     let report = |wait: u32, seq: u64, leaving: bool| Report {
         target: name.clone(),
--- a/crates/decide/tests/request.rs
+++ b/crates/decide/tests/request.rs
@@ -18,9 +18,9 @@
 /// The same cases on every run.
 const SEED: u64 = 1;
 
-struct Always(bool);
+struct FixedRetries(bool);
 
-impl RetryPolicy for Always {
+impl RetryPolicy for FixedRetries {
     fn allow_retry(&mut self, _: usize) -> bool {
         self.0
     }
@@ -71,34 +71,34 @@
 }
 
 /// Drives a run by hand and keeps what it did.
-struct Hand {
-    run: RequestMachine,
+struct Harness {
+    machine: RequestMachine,
     now: Time,
     actions: Vec<Action>,
-    permit: Always,
+    retries: FixedRetries,
 }
 
-impl Hand {
+impl Harness {
     fn new(plan: Plan) -> Self {
-        let run = RequestMachine::new(plan, Time::ZERO);
-        Hand { run, now: Time::ZERO, actions: Vec::new(), permit: Always(true) }
+        let machine = RequestMachine::new(plan, Time::ZERO);
+        Harness { machine, now: Time::ZERO, actions: Vec::new(), retries: FixedRetries(true) }
     }
 
-    fn on(&mut self, event: Event) -> Vec<Action> {
-        let out = self.run.handle_event(self.now, event, &mut self.permit);
+    fn handle(&mut self, event: Event) -> Vec<Action> {
+        let out = self.machine.handle_event(self.now, event, &mut self.retries);
         self.actions.extend(out.clone());
         out
     }
 
     fn frames(&mut self, frames: Vec<Frame>) {
         for f in frames {
-            self.on(Event::Frame(f));
+            self.handle(Event::Frame(f));
         }
     }
 
-    fn wait(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
-        self.on(Event::Tick);
+        self.handle(Event::Tick);
     }
 
     fn end(&self) -> Option<&Final> {
@@ -122,10 +122,10 @@
 }
 
 #[test]
-fn reordered_and_doubled_frames_make_the_whole_answer() {
-    let mut h = Hand::new(plan(vec![step("generate", true, true)], true));
-    h.on(Event::Start);
-    h.on(Event::TargetPicked("e1".into()));
+fn reordered_and_duplicated_frames_give_the_complete_answer() {
+    let mut h = Harness::new(plan(vec![step("generate", true, true)], true));
+    h.handle(Event::Start);
+    h.handle(Event::TargetPicked("e1".into()));
     let mut all = frames(&attempt(0, 0), &words(5), 0);
     all.reverse();
     let doubled = all.clone();
@@ -137,24 +137,24 @@
 
 #[test]
 fn frames_of_another_request_are_dropped_and_counted() {
-    let mut h = Hand::new(plan(vec![step("generate", true, true)], true));
-    h.on(Event::Start);
-    h.on(Event::TargetPicked("e1".into()));
+    let mut h = Harness::new(plan(vec![step("generate", true, true)], true));
+    h.handle(Event::Start);
+    h.handle(Event::TargetPicked("e1".into()));
     let other = Attempt { request: "r2".into(), step: 0, number: 0 };
     h.frames(frames(&other, &words(3), 0));
     assert_eq!(h.text(), "");
-    assert_eq!(h.run.strays(), 4);
+    assert_eq!(h.machine.strays(), 4);
     h.frames(frames(&attempt(0, 0), &words(2), 0));
     assert_eq!(h.end().map(|e| e.outcome), Some(Outcome::Complete));
 }
 
 #[test]
-fn a_false_end_is_never_passed_off_as_whole() {
+fn an_answer_with_a_missing_chunk_and_an_adjusted_count_is_not_complete() {
     for streamed in [false, true] {
-        let mut h = Hand::new(plan(vec![step("generate", true, true)], streamed));
-        h.permit = Always(false);
-        h.on(Event::Start);
-        h.on(Event::TargetPicked("e1".into()));
+        let mut h = Harness::new(plan(vec![step("generate", true, true)], streamed));
+        h.retries = FixedRetries(false);
+        h.handle(Event::Start);
+        h.handle(Event::TargetPicked("e1".into()));
         let mut all = frames(&attempt(0, 0), &words(5), 0);
         all.remove(4);
         if let Some(Frame::End { count, .. }) = all.last_mut() {
@@ -166,62 +166,62 @@
 }
 
 #[test]
-fn a_broken_stream_is_resumed_then_continued_from_the_text_given() {
-    let mut h = Hand::new(plan(vec![step("generate", true, true)], true));
-    h.on(Event::Start);
-    h.on(Event::TargetPicked("e1".into()));
+fn a_broken_stream_is_resumed_then_continued_from_the_delivered_text() {
+    let mut h = Harness::new(plan(vec![step("generate", true, true)], true));
+    h.handle(Event::Start);
+    h.handle(Event::TargetPicked("e1".into()));
     let all = frames(&attempt(0, 0), &words(6), 0);
     h.frames(all[..2].to_vec());
     let reason = Reason::Broken("cut".into());
-    let out = h.on(Event::Closed { attempt: attempt(0, 0), reason: reason.clone() });
+    let out = h.handle(Event::Closed { attempt: attempt(0, 0), reason: reason.clone() });
     let resumes = out.iter().any(|a| {
         matches!(a, Action::Send { target, from: 2, resume: Some(r), .. }
             if &**target == "e1" && *r == attempt(0, 0))
     });
     assert!(resumes, "{out:?}");
     // The engine forgot the stream: another one goes on behind the two words.
-    h.on(Event::NotSent { attempt: attempt(0, 1), reason });
-    h.wait(300);
-    let out = h.on(Event::TargetPicked("e2".into()));
+    h.handle(Event::NotSent { attempt: attempt(0, 1), reason });
+    h.advance(300);
+    let out = h.handle(Event::TargetPicked("e2".into()));
     assert!(out.iter().any(|a| matches!(a, Action::Send { from: 2, resume: None, .. })));
-    assert_eq!(h.run.partial_text(), words(2).concat());
+    assert_eq!(h.machine.partial_text(), words(2).concat());
     h.frames(frames(&attempt(0, 2), &words(6), 2));
     assert_eq!(h.text(), words(6).concat());
     assert_eq!(h.end().map(|e| e.outcome), Some(Outcome::Complete));
 }
 
 #[test]
-fn a_step_that_may_not_be_repeated_is_never_resent_once_it_may_have_run() {
+fn a_non_repeatable_step_is_not_resent_once_it_may_have_run() {
     let lost = Reason::Broken("cut".into());
     let cases = [
         ("lost before any frame", Event::Closed { attempt: attempt(0, 0), reason: lost.clone() }),
         ("caller gone", Event::CallerGone),
     ];
     for (name, event) in cases {
-        let mut h = Hand::new(plan(vec![step("pay", false, false)], false));
-        h.on(Event::Start);
-        h.on(Event::Claim(ClaimEnd::Won));
-        h.on(Event::TargetPicked("p1".into()));
-        h.on(event);
-        h.wait(1000);
+        let mut h = Harness::new(plan(vec![step("pay", false, false)], false));
+        h.handle(Event::Start);
+        h.handle(Event::Claim(ClaimEnd::Won));
+        h.handle(Event::TargetPicked("p1".into()));
+        h.handle(event);
+        h.advance(1000);
         assert_eq!(h.end().map(|e| e.outcome), Some(Outcome::Unknown), "{name}");
         assert_eq!(h.sends(), 1, "{name}");
     }
     // Certainly not sent: it may be tried elsewhere.
-    let mut h = Hand::new(plan(vec![step("pay", false, false)], false));
-    h.on(Event::Start);
-    h.on(Event::Claim(ClaimEnd::Won));
-    h.on(Event::TargetPicked("p1".into()));
+    let mut h = Harness::new(plan(vec![step("pay", false, false)], false));
+    h.handle(Event::Start);
+    h.handle(Event::Claim(ClaimEnd::Won));
+    h.handle(Event::TargetPicked("p1".into()));
     let reason = Reason::Unreachable("refused".into());
-    h.on(Event::NotSent { attempt: attempt(0, 0), reason });
-    h.wait(1000);
-    h.on(Event::TargetPicked("p2".into()));
+    h.handle(Event::NotSent { attempt: attempt(0, 0), reason });
+    h.advance(1000);
+    h.handle(Event::TargetPicked("p2".into()));
     assert_eq!(h.sends(), 2);
     assert!(h.end().is_none());
 }
 
 #[test]
-fn claims_end_the_request_truly() {
+fn a_failed_claim_ends_the_request_without_a_send() {
     let cases = [
         (ClaimEnd::Lost("r0".into()), Outcome::Unknown),
         (ClaimEnd::Old, Outcome::NotRun),
@@ -230,22 +230,22 @@
         (ClaimEnd::Doubt, Outcome::NotRun),
     ];
     for (end, outcome) in cases {
-        let mut h = Hand::new(plan(vec![step("pay", false, false)], false));
-        h.on(Event::Start);
-        h.on(Event::Claim(end.clone()));
+        let mut h = Harness::new(plan(vec![step("pay", false, false)], false));
+        h.handle(Event::Start);
+        h.handle(Event::Claim(end.clone()));
         assert_eq!(h.end().map(|e| e.outcome), Some(outcome), "{end:?}");
         assert_eq!(h.sends(), 0, "{end:?}");
     }
 }
 
 #[test]
-fn unreachable_targets_only_is_not_run() {
-    let mut h = Hand::new(plan(vec![step("encode", true, false)], false));
-    h.permit = Always(false);
-    h.on(Event::Start);
-    h.on(Event::TargetPicked("t1".into()));
+fn a_request_with_only_unreachable_targets_is_not_run() {
+    let mut h = Harness::new(plan(vec![step("encode", true, false)], false));
+    h.retries = FixedRetries(false);
+    h.handle(Event::Start);
+    h.handle(Event::TargetPicked("t1".into()));
     let reason = Reason::Unreachable("refused".into());
-    h.on(Event::NotSent { attempt: attempt(0, 0), reason });
+    h.handle(Event::NotSent { attempt: attempt(0, 0), reason });
     let end = h.end().cloned().expect("it ended");
     assert_eq!(end.outcome, Outcome::NotRun);
     assert_eq!(end.error.and_then(|e| e.peer), Some("t1".into()));
@@ -253,16 +253,16 @@
 }
 
 #[test]
-fn the_deadline_ends_the_request_at_once_and_stops_what_runs() {
+fn the_deadline_ends_the_request_and_cancels_running_attempts() {
     let mut slow = step("encode", true, false);
     slow.timeout = Duration::from_secs(60);
-    let mut h = Hand::new(plan(vec![slow], false));
-    h.on(Event::Start);
-    h.on(Event::TargetPicked("t1".into()));
+    let mut h = Harness::new(plan(vec![slow], false));
+    h.handle(Event::Start);
+    h.handle(Event::TargetPicked("t1".into()));
     h.frames(vec![frames(&attempt(0, 0), &words(3), 0).remove(0)]);
-    h.wait(4999);
+    h.advance(4999);
     assert!(h.end().is_none());
-    h.wait(1);
+    h.advance(1);
     let end = h.end().cloned().expect("it ended at its deadline");
     assert_eq!(end.outcome, Outcome::Failed);
     let error = end.error.expect("an error");
@@ -272,59 +272,59 @@
 }
 
 #[test]
-fn a_late_hedge_wins_and_the_first_is_stopped() {
+fn a_winning_hedge_cancels_the_first_attempt() {
     let mut hedged = step("encode", true, false);
     hedged.hedge = Some(Duration::from_millis(20));
-    let mut h = Hand::new(plan(vec![hedged], false));
-    h.on(Event::Start);
-    h.on(Event::TargetPicked("t1".into()));
-    h.wait(21);
-    h.on(Event::TargetPicked("t2".into()));
+    let mut h = Harness::new(plan(vec![hedged], false));
+    h.handle(Event::Start);
+    h.handle(Event::TargetPicked("t1".into()));
+    h.advance(21);
+    h.handle(Event::TargetPicked("t2".into()));
     h.frames(frames(&attempt(0, 1), &words(2), 0));
     assert!(h.actions.contains(&Action::Cancel { attempt: attempt(0, 0), target: "t1".into() }));
     assert_eq!(h.end().map(|e| e.outcome), Some(Outcome::Complete));
     h.frames(frames(&attempt(0, 0), &words(2), 0));
-    assert_eq!(h.run.strays(), 3);
+    assert_eq!(h.machine.strays(), 3);
 }
 
 /// What a target does with one call.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Fate {
+enum Behavior {
     Unreachable,
     Refuse,
-    LoseUnrun,
-    Whole,
-    Cut,
-    Short,
+    DropUnrun,
+    Complete,
+    Truncate,
+    MissingChunk,
     Silent,
 }
 
-const FATES: [Fate; 7] = [
-    Fate::Unreachable,
-    Fate::Refuse,
-    Fate::LoseUnrun,
-    Fate::Whole,
-    Fate::Cut,
-    Fate::Short,
-    Fate::Silent,
+const BEHAVIORS: [Behavior; 7] = [
+    Behavior::Unreachable,
+    Behavior::Refuse,
+    Behavior::DropUnrun,
+    Behavior::Complete,
+    Behavior::Truncate,
+    Behavior::MissingChunk,
+    Behavior::Silent,
 ];
 
 /// A world of failing targets around one run.
-struct World {
+struct Simulation {
     rng: Rng,
-    run: RequestMachine,
+    machine: RequestMachine,
     now: Time,
     steps: Vec<StepPlan>,
     pending: Vec<Event>,
-    begun: Vec<usize>,
+    run_counts: Vec<usize>,
     emitted: Vec<String>,
-    ends: Vec<Final>,
+    finals: Vec<Final>,
     claimed: bool,
-    known: BTreeSet<Attempt>,
-    trouble: f64,
+    sent: BTreeSet<Attempt>,
+    fault_rate: f64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, once: Option<usize>, streamed: bool) -> Self {
         let mut rng = Rng::new(seed);
         let n = 1 + rng.below(4);
@@ -337,18 +337,18 @@
             .collect();
         let mut p = plan(steps.clone(), streamed);
         p.seed = seed;
-        World {
-            trouble: rng.next_f64(),
+        Simulation {
+            fault_rate: rng.next_f64(),
             rng,
-            run: RequestMachine::new(p, Time::ZERO),
+            machine: RequestMachine::new(p, Time::ZERO),
             now: Time::ZERO,
-            begun: vec![0; n],
+            run_counts: vec![0; n],
             steps,
             pending: Vec::new(),
             emitted: Vec::new(),
-            ends: Vec::new(),
+            finals: Vec::new(),
             claimed: false,
-            known: BTreeSet::new(),
+            sent: BTreeSet::new(),
         }
     }
 
@@ -356,18 +356,18 @@
         (0..3 + step).map(|i| format!("s{step}w{i} ")).collect()
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            let mut permit = Always(self.rng.below(8) > 0);
-            for action in self.run.handle_event(self.now, event, &mut permit) {
-                events.extend(self.act(action));
+            let mut retries = FixedRetries(self.rng.below(8) > 0);
+            for action in self.machine.handle_event(self.now, event, &mut retries) {
+                events.extend(self.perform(action));
             }
         }
     }
 
-    fn act(&mut self, action: Action) -> Option<Event> {
-        assert!(self.ends.is_empty(), "an action after the end: {action:?}");
+    fn perform(&mut self, action: Action) -> Option<Event> {
+        assert!(self.finals.is_empty(), "an action after the end: {action:?}");
         match action {
             Action::Claim(_) => {
                 let ends = [ClaimEnd::Won, ClaimEnd::Lost("x".into()), ClaimEnd::Doubt];
@@ -387,7 +387,7 @@
                 assert_eq!(p.seq as usize, self.emitted.len(), "pieces have no gaps");
                 self.emitted.push(p.text);
             }
-            Action::Finish(end) => self.ends.push(end),
+            Action::Finish(end) => self.finals.push(end),
             Action::Cancel { .. } | Action::WakeAt(_) => {}
         }
         None
@@ -395,33 +395,35 @@
 
     fn send(&mut self, attempt: Attempt, from: u64, resume: Option<Attempt>) {
         let step = usize::from(attempt.step);
-        assert!(self.known.insert(attempt.clone()), "an attempt is sent once");
+        assert!(self.sent.insert(attempt.clone()), "an attempt is sent once");
         if self.steps.iter().any(|s| !s.repeatable) {
             assert!(self.claimed, "nothing is sent without the claim");
         }
-        let troubled = self.rng.next_f64() < self.trouble;
-        let fate = if troubled { FATES[self.rng.below(FATES.len())] } else { Fate::Whole };
+        let faulty = self.rng.next_f64() < self.fault_rate;
+        let behavior =
+            if faulty { BEHAVIORS[self.rng.below(BEHAVIORS.len())] } else { Behavior::Complete };
         let reason = Reason::Broken("test".into());
-        let runs = !matches!(fate, Fate::Unreachable | Fate::Refuse | Fate::LoseUnrun);
-        if runs && resume.is_none() {
-            self.begun[step] += 1;
+        let has_run =
+            !matches!(behavior, Behavior::Unreachable | Behavior::Refuse | Behavior::DropUnrun);
+        if has_run && resume.is_none() {
+            self.run_counts[step] += 1;
         }
-        let mut all = frames(&attempt, &World::text(step), from);
-        match fate {
-            Fate::Unreachable | Fate::Refuse => {
+        let mut all = frames(&attempt, &Simulation::text(step), from);
+        match behavior {
+            Behavior::Unreachable | Behavior::Refuse => {
                 return self.pending.push(Event::NotSent { attempt, reason });
             }
-            Fate::LoseUnrun => return self.pending.push(Event::Closed { attempt, reason }),
-            Fate::Silent => return,
-            Fate::Whole => {}
-            Fate::Cut => all.truncate(self.rng.below(all.len())),
-            Fate::Short if all.len() > 1 => {
+            Behavior::DropUnrun => return self.pending.push(Event::Closed { attempt, reason }),
+            Behavior::Silent => return,
+            Behavior::Complete => {}
+            Behavior::Truncate => all.truncate(self.rng.below(all.len())),
+            Behavior::MissingChunk if all.len() > 1 => {
                 all.remove(all.len() - 2);
                 if let Some(Frame::End { count, .. }) = all.last_mut() {
                     *count -= 1;
                 }
             }
-            Fate::Short => {}
+            Behavior::MissingChunk => {}
         }
         for f in all {
             for _ in 0..1 + self.rng.below(6) / 5 {
@@ -438,58 +440,59 @@
     }
 
     /// Delivers mostly in order, sometimes from the middle.
-    fn next(&mut self) -> Option<Event> {
+    fn next_event(&mut self) -> Option<Event> {
         if self.pending.is_empty() {
             return None;
         }
-        let far = self.rng.below(3) == 0;
-        let i = if far { self.rng.below(self.pending.len()) } else { 0 };
+        let reorder = self.rng.below(3) == 0;
+        let i = if reorder { self.rng.below(self.pending.len()) } else { 0 };
         Some(self.pending.remove(i))
     }
 
-    fn go(&mut self) {
-        self.feed(Event::Start);
+    fn run(&mut self) {
+        self.handle(Event::Start);
         for _ in 0..3000 {
-            if !self.ends.is_empty() && self.pending.is_empty() {
+            if !self.finals.is_empty() && self.pending.is_empty() {
                 return;
             }
-            match self.next() {
+            match self.next_event() {
                 Some(event) if self.rng.below(10) > 0 => {
                     self.now = self.now + Duration::from_micros(200);
-                    self.feed(event);
+                    self.handle(event);
                 }
-                put_back => {
-                    self.pending.extend(put_back);
+                delayed => {
+                    self.pending.extend(delayed);
                     self.now = self.now + Duration::from_millis(20);
-                    self.feed(Event::Tick);
+                    self.handle(Event::Tick);
                 }
             }
             if self.rng.below(3000) == 0 {
-                self.feed(Event::CallerGone);
+                self.handle(Event::CallerGone);
             }
         }
     }
 
     fn check(&self) {
-        assert_eq!(self.ends.len(), 1, "exactly one final word");
-        let end = &self.ends[0];
+        assert_eq!(self.finals.len(), 1, "exactly one final word");
+        let end = &self.finals[0];
         for (i, s) in self.steps.iter().enumerate() {
             if !s.repeatable {
-                assert!(self.begun[i] <= 1, "step {i} ran {} times", self.begun[i]);
+                assert!(self.run_counts[i] <= 1, "step {i} ran {} times", self.run_counts[i]);
             }
         }
         if end.outcome == Outcome::NotRun {
-            assert!(self.begun.iter().all(|n| *n == 0), "not run, but {:?}", self.begun);
+            assert!(self.run_counts.iter().all(|n| *n == 0), "not run, but {:?}", self.run_counts);
         }
         let last = self.steps.len() - 1;
-        let whole = World::text(last);
+        let whole = Simulation::text(last);
         assert!(whole.concat().starts_with(&self.emitted.concat()), "{:?}", self.emitted);
         if end.outcome == Outcome::Complete {
-            assert_eq!(self.run.results().last(), Some(&whole.concat()));
+            assert_eq!(self.machine.results().last(), Some(&whole.concat()));
             assert_eq!(end.steps.len(), self.steps.len());
         }
-        let doubt = self.steps.iter().zip(&self.begun).any(|(s, n)| !s.repeatable && *n > 0);
-        if end.outcome == Outcome::Failed && doubt {
+        let in_doubt =
+            self.steps.iter().zip(&self.run_counts).any(|(s, n)| !s.repeatable && *n > 0);
+        if end.outcome == Outcome::Failed && in_doubt {
             let once = self.steps.iter().position(|s| !s.repeatable);
             assert!(end.steps.len() > once.unwrap_or(0), "a step in doubt must be unknown");
         }
@@ -500,13 +503,13 @@
     #![proptest_config(ProptestConfig { cases: 4000, failure_persistence: None, rng_seed: RngSeed::Fixed(SEED), ..Default::default() })]
 
     #[test]
-    fn any_order_of_events_keeps_every_promise(
+    fn any_event_order_keeps_the_outcome_guarantees(
         seed in any::<u64>(),
         once in proptest::option::of(0usize..4),
         streamed in any::<bool>(),
     ) {
-        let mut world = World::new(seed, once, streamed);
-        world.go();
-        world.check();
+        let mut sim = Simulation::new(seed, once, streamed);
+        sim.run();
+        sim.check();
     }
 }
