--- a/crates/decide/tests/claim.rs
+++ b/crates/decide/tests/claim.rs
@@ -1,5 +1,5 @@
-//! Claims over several nodes and one store that loses answers, delays writes,
-//! reads stale and conflicts.
+//! Claims by several nodes on one store with lost responses, delayed writes, stale reads and
+//! conflicts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases on every run.
+/// Fixed seed, so that every run has the same cases.
 const SEED: u64 = 1;
 
-/// Versions and content of claim objects, with the history for stale reads.
+/// Version history of the claim objects, which allows stale reads.
 #[derive(Default)]
 struct Store {
     objects: BTreeMap<Name, Vec<(u64, Option<Claims>)>>,
@@ -102,7 +102,7 @@
     fn perform(&mut self, node: usize, action: Action) {
         let event = match action {
             Action::Answer { ticket, end } => {
-                assert!(self.answers.insert(ticket, end).is_none(), "one answer a claim");
+                assert!(self.answers.insert(ticket, end).is_none(), "one answer per claim");
                 return;
             }
             Action::ReadFloor if self.inject_fault() => Event::Floor(None),
@@ -125,7 +125,7 @@
 
     fn write(&mut self, object: &Name, expect: u64, claims: Claims) -> WriteOutcome {
         if self.inject_fault() {
-            // Lost: landed, never landed, or lands later.
+            // The response is lost; the write is applied, delayed or dropped.
             match self.rng.below(3) {
                 0 => drop(self.store.write(object, expect, Some(claims))),
                 1 => self.delayed_writes.push(DelayedWrite {
@@ -182,7 +182,7 @@
             assert!(other.is_none(), "{} won twice: {other:?}", ask.key);
             let (_, claims) = self.store.current(&ask.key.object());
             let held = claims.and_then(|c| c.keys.get(&ask.key).cloned());
-            assert_eq!(held.as_ref(), Some(&ask.request), "a winner stands in the store");
+            assert_eq!(held.as_ref(), Some(&ask.request), "the store holds the winner");
         }
     }
 }
@@ -254,7 +254,8 @@
 
 #[test]
 fn a_node_with_a_slow_clock_never_recreates_a_deleted_object() {
-    // The key's bucket is over, swept and deleted; this node's clock is hours slow.
+    // The key's bucket has been swept, but the clock of this node is hours slow, so that the key
+    // appears to be within the window.
     let key = Key::new(UNIX_MS, 5);
     let slow_clock = UNIX_MS + 1000;
     for stale in [false, true] {
@@ -289,7 +290,7 @@
             }
         }
         assert_eq!(answer, Some(ClaimEnd::Old), "stale read: {stale}");
-        assert_eq!(store.current(&key.object()).1, None, "it stays deleted");
+        assert_eq!(store.current(&key.object()).1, None, "the object stays deleted");
     }
 }
 
@@ -311,7 +312,7 @@
 
 #[test]
 fn store_writes_per_claim_decrease_with_the_rate() {
-    // Counted, not timed: a second of claims at each rate, 5 ms a store call.
+    // Counts the writes for one second of claims at each rate, in simulated time with 5 ms a call.
     let bounds = [(1u64, 1.0), (100, 0.75), (1000, 0.1)];
     for (rate, max_writes) in bounds {
         let mut c = Committer::default();
--- a/crates/decide/tests/config.rs
+++ b/crates/decide/tests/config.rs
@@ -1,6 +1,6 @@
-//! Configuration from racing operators to every node, with two publishers that
-//! both believe they hold the lease, lost and late writes, stale lists, lost and
-//! reordered messages: never reverts, never half, and arrives.
+//! Configuration from concurrent operators to every node, with two publishers that both believe
+//! that they hold the lease, lost and delayed writes, stale lists, and lost and reordered messages.
+//! It must never revert, never be applied in part, and reach every node.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases on every run.
+/// Fixed seed, so that every run has the same cases.
 const SEED: u64 = 1;
 
 fn workspace(deadline: u64) -> Spec {
@@ -39,7 +39,7 @@
     Spec::Pipeline(Pipeline { stages: vec![stage] })
 }
 
-/// The platform's store, as far as configuration goes.
+/// The platform's store, reduced to configuration objects.
 #[derive(Default)]
 struct Store {
     declared: BTreeMap<Name, (u64, Option<Spec>)>,
@@ -76,13 +76,13 @@
             return false;
         }
         for hash in &manifest.slots {
-            assert!(self.chunks.contains_key(hash), "a manifest names only chunks that are there");
+            assert!(self.chunks.contains_key(hash), "a manifest refers only to stored chunks");
         }
         self.manifests.push(manifest);
         true
     }
 
-    /// What a manifest says, with each object's version.
+    /// Version and spec of each object in a manifest.
     fn items(&self, number: u64) -> BTreeMap<Name, (u64, Option<Spec>)> {
         let mut out = BTreeMap::new();
         if let Some(m) = number.checked_sub(1).map(|i| &self.manifests[i as usize]) {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// As the control process does: an older version's status never replaces a newer one's.
+    /// Stores a status unless one of a newer version exists, as the control process does.
     fn put_status(&mut self, s: Status) {
         let newer = |o: &Status| o.object == s.object && o.version > s.version;
         if !self.statuses.iter().any(newer) {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Every accepted manifest is checked against the one before it.
+    /// Writes a manifest and checks an accepted one against its predecessor.
     fn put(&mut self, expect: u64, manifest: Manifest) -> bool {
         let before = self.store.items(self.store.manifests.len() as u64);
         let number = manifest.number;
@@ -209,7 +209,7 @@
             assert!(now >= Some(*version), "{key} reverted from {version} to {now:?}");
         }
         let faults = model::object::check(&self.store.set(number));
-        assert!(faults.is_empty(), "a manifest with faults: {faults:?}");
+        assert!(faults.is_empty(), "invalid manifest: {faults:?}");
         true
     }
 
@@ -218,10 +218,10 @@
         for action in actions {
             match action {
                 FollowerAction::Applied(change) => {
-                    assert!(change.number > self.applied[i], "node {i} went back");
+                    assert!(change.number > self.applied[i], "node {i} reverted");
                     self.applied[i] = change.number;
                     let want = self.store.set(change.number);
-                    assert_eq!(self.followers[i].set(), want, "node {i} is half in force");
+                    assert_eq!(self.followers[i].set(), want, "node {i} applied a part");
                 }
                 fetch if self.inject_fault() => {
                     let from = match fetch {
@@ -312,7 +312,7 @@
         }
     }
 
-    /// A new holder, while the former one may not have noticed.
+    /// Gives the lease to a new holder, while the previous one may not know yet.
     fn change_holder(&mut self) {
         let i = self.rng.below(2);
         self.epoch += 1;
@@ -346,7 +346,7 @@
         }
         let at = self.rng.below(self.messages.len());
         let (i, event) = self.messages[at].clone();
-        // Some are delivered again later, some never.
+        // A fault duplicates or drops the message.
         if !self.inject_fault() {
             self.messages.remove(at);
         }
--- a/crates/decide/tests/lease.rs
+++ b/crates/decide/tests/lease.rs
@@ -1,5 +1,5 @@
-//! Leases under pauses, drifting clocks, lost and late writes and stale reads:
-//! never two holders at one time, never an epoch twice.
+//! Leases with paused nodes, drifting clocks, lost and delayed writes and stale reads: never two
+//! holders at once, and never two holders of one epoch.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases on every run.
+/// Fixed seed, so that every run has the same cases.
 const SEED: u64 = 1;
 
 struct Node {
     client: LeaseClient,
-    /// Rate of its clock against true time.
+    /// Rate of the node's clock relative to true time.
     clock_rate: f64,
     paused: Time,
     inbox: Vec<(Time, Event)>,
@@ -225,7 +225,7 @@
 
 #[test]
 fn validity_counts_from_before_the_write_was_sent() {
-    // The answer is read only after a long pause: by then the lease has lapsed.
+    // The response is handled after a long pause, when the lease has already expired.
     let mut h = LeaseClient::new("n".into(), PERIOD, 1);
     h.handle_event(Time::ZERO, Event::Tick);
     let out = h.handle_event(Time::ZERO, Event::Read { version: 0, lease: None });
@@ -236,7 +236,7 @@
     let late = now + PERIOD + Duration::from_secs(1);
     h.handle_event(late, Event::Written(1));
     assert_eq!(h.epoch(late, Duration::ZERO), None);
-    // Read in time, it lasts until a period after the send.
+    // If handled in time, the lease is valid until one period after the send.
     let mut h = LeaseClient::new("n".into(), PERIOD, 1);
     h.handle_event(Time::ZERO, Event::Tick);
     h.handle_event(Time::ZERO, Event::Read { version: 0, lease: None });
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Admission, budgets of time and retries, concurrency and rates.
+//! Admission, time and retry budgets, concurrency limits and rate limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use model::outcome::Reason;
 use model::{Name, Time};
 
-/// A run well within its deadline, and the deadline.
+/// Duration of a run well within its deadline, and the time to the deadline.
 const QUICK: Duration = Duration::from_millis(100);
 const DEADLINE: Duration = Duration::from_millis(1000);
 
@@ -68,7 +68,7 @@
 
 #[test]
 fn an_idle_node_admits_a_request_expected_to_miss_its_deadline() {
-    // Times seen under load must not shut a node that has nothing to do.
+    // Durations observed under load must not make an idle node refuse requests.
     let mut g = Gate::new(4, 10);
     let out = g.arrive(Time::ZERO, waiter("only", Priority::Normal, 50));
     assert_eq!(out, vec![Verdict::Run("only".into())]);
@@ -103,7 +103,7 @@
 fn a_request_behind_a_long_queue_is_refused_on_arrival() {
     let mut g = Gate::new(1, 100);
     let mut now = Time::ZERO;
-    // A turn comes free every 100 ms.
+    // A slot is released every 100 ms.
     for i in 0..30 {
         let name: Name = format!("r{i}").into();
         g.arrive(now, waiter(&name, Priority::Normal, 1_000_000));
@@ -117,7 +117,7 @@
         let out = g.arrive(now, waiter(&format!("w{i}"), Priority::Normal, at(1000)));
         admitted += usize::from(out.is_empty());
     }
-    assert!((7..=10).contains(&admitted), "ten turns fit before the deadline: {admitted} wait");
+    assert!((7..=10).contains(&admitted), "ten slots fit the deadline: {admitted} wait");
 }
 
 #[test]
@@ -126,7 +126,7 @@
     for i in 0..20 {
         g.arrive(Time::ZERO, waiter(&format!("p{i}"), Priority::Patient, 50_000));
     }
-    assert_eq!(g.running(), 7, "seven tenths");
+    assert_eq!(g.running(), 7, "70 % of the capacity");
     let out = g.arrive(Time::ZERO, waiter("stock", Priority::Urgent, 800));
     assert_eq!(out, vec![Verdict::Run("stock".into())]);
 }
@@ -135,7 +135,7 @@
 fn retries_are_limited_to_a_fraction_of_successes() {
     let mut b = Budget::new(0.1, 10.0);
     let (mut sent, mut retried) = (0, 0);
-    // A stage that fails outright: after the reserve no retry is left.
+    // A stage that always fails: no retry is left once the reserve is used up.
     for _ in 0..1000 {
         sent += 1;
         retried += u32::from(b.take());
@@ -157,7 +157,7 @@
         }
     }
     let first: Vec<_> = (0..20).map(|_| backoff(1, &mut rng)).collect();
-    assert!(first.iter().any(|d| *d != first[0]), "not all the same");
+    assert!(first.iter().any(|d| *d != first[0]), "jitter makes the delays differ");
 }
 
 #[test]
@@ -172,7 +172,7 @@
     assert!((395..=410).contains(&later.as_millis()), "{later:?}");
     let budget = deadline::budget(Time::ZERO, Time::from_millis(1000), later);
     assert!((590..=605).contains(&budget.as_millis()), "{budget:?}");
-    // The need is what most take, and never more than half of what is left.
+    // The need is the time that most runs take, capped at half of the time left.
     let need = deadline::need(&times, Duration::from_secs(10));
     assert!((395..=410).contains(&need.as_millis()), "{need:?}");
     assert_eq!(deadline::need(&times, Duration::from_millis(300)), Duration::from_millis(150));
@@ -181,7 +181,7 @@
 #[test]
 fn timeouts_follow_the_observed_durations() {
     let mut t = StepTimes::default();
-    assert_eq!(t.hedge(), None, "no hedge before there are samples");
+    assert_eq!(t.hedge(), None, "no hedge without samples");
     for i in 0..1000 {
         t.record(Duration::from_millis(20 + i % 10));
     }
@@ -215,7 +215,7 @@
     assert!(b.take(Time::ZERO + wait).is_ok());
 }
 
-/// Nodes that ask a home for slices; returns requests taken in ten seconds.
+/// Simulates nodes that borrow slices from a home; returns the requests admitted in ten seconds.
 fn admitted_in_10s(
     nodes: usize,
     home_reachable: impl Fn(u64) -> bool,
@@ -245,18 +245,19 @@
 
 #[test]
 fn a_workspace_rate_holds_across_all_nodes() {
-    // Even, uneven and cut off: never over the rate by more than the stated error.
+    // With even and uneven demand and in a partition, the rate is exceeded by at most the error
+    // bound of the limiter.
     let cases: [(&str, u64); 3] = [
         ("even", admitted_in_10s(8, |_| true, |_| 50)),
         ("one node has it all", admitted_in_10s(8, |_| true, |i| if i == 0 { 200 } else { 0 })),
-        ("home gone", admitted_in_10s(8, |ms| ms < 3000, |_| 50)),
+        ("home unreachable", admitted_in_10s(8, |ms| ms < 3000, |_| 50)),
     ];
     for (name, admitted) in cases {
         assert!(admitted <= 1100, "{name}: {admitted} in ten seconds at 100 a second");
     }
     let (even, uneven) = (cases[0].1, cases[1].1);
-    assert!(even >= 850, "even demand gets nearly all of it: {even}");
-    assert!(uneven >= 700, "one busy node gets most of it: {uneven}");
+    assert!(even >= 850, "even demand uses nearly the whole rate: {even}");
+    assert!(uneven >= 700, "one busy node gets most of the rate: {uneven}");
 }
 
 #[test]
@@ -290,10 +291,10 @@
     a.set_targets([&name].into_iter());
     b.set_targets([&name].into_iter());
     let first = a.polled(report(100, 10, false)).expect("new");
-    assert!(a.polled(report(101, 11, false)).is_none(), "a small change stays at home");
-    let leaving = a.polled(report(101, 12, true)).expect("leaving is news");
+    assert!(a.polled(report(101, 11, false)).is_none(), "a small change is not gossiped");
+    let leaving = a.polled(report(101, 12, true)).expect("leaving is gossiped");
     assert!(b.heard(leaving).is_some());
-    assert!(b.heard(first).is_none(), "older gossip is dropped");
-    assert!(b.heard(leaving).is_none(), "and what is known is not passed on");
+    assert!(b.heard(first).is_none(), "a stale report is dropped");
+    assert!(b.heard(leaving).is_none(), "a known report is not forwarded");
     assert!(b.get("t1").is_some_and(|n| n.report.leaving));
 }
--- a/crates/decide/tests/request.rs
+++ b/crates/decide/tests/request.rs
@@ -1,5 +1,5 @@
-//! The request machine under failing targets: fixed cases, then thousands of
-//! seeded event orders in which frames are lost, doubled, reordered and mixed up.
+//! The request machine with failing targets: fixed cases, then thousands of seeded event orders
+//! with lost, duplicated and reordered frames and frames of other requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases on every run.
+/// Fixed seed, so that every run has the same cases.
 const SEED: u64 = 1;
 
 struct FixedRetries(bool);
@@ -53,7 +53,7 @@
     Attempt { request: "r1".into(), step, number }
 }
 
-/// Frames of a whole answer from `from` on.
+/// Frames of a complete answer, starting at chunk `from`.
 fn frames(a: &Attempt, words: &[String], from: u64) -> Vec<Frame> {
     let mut digest = Digest::default();
     let mut out = Vec::new();
@@ -70,7 +70,7 @@
     (0..n).map(|i| format!("w{i} ")).collect()
 }
 
-/// Drives a run by hand and keeps what it did.
+/// Feeds a machine with chosen events and records its actions.
 struct Harness {
     machine: RequestMachine,
     now: Time,
@@ -179,7 +179,7 @@
             if &**target == "e1" && *r == attempt(0, 0))
     });
     assert!(resumes, "{out:?}");
-    // The engine forgot the stream: another one goes on behind the two words.
+    // The engine no longer has the stream: another one continues after the two words.
     h.handle(Event::NotSent { attempt: attempt(0, 1), reason });
     h.advance(300);
     let out = h.handle(Event::TargetPicked("e2".into()));
@@ -195,7 +195,7 @@
     let lost = Reason::Broken("cut".into());
     let cases = [
         ("lost before any frame", Event::Closed { attempt: attempt(0, 0), reason: lost.clone() }),
-        ("caller gone", Event::CallerGone),
+        ("caller disconnected", Event::CallerGone),
     ];
     for (name, event) in cases {
         let mut h = Harness::new(plan(vec![step("pay", false, false)], false));
@@ -207,7 +207,7 @@
         assert_eq!(h.end().map(|e| e.outcome), Some(Outcome::Unknown), "{name}");
         assert_eq!(h.sends(), 1, "{name}");
     }
-    // Certainly not sent: it may be tried elsewhere.
+    // Certainly not sent, so another target may be tried.
     let mut h = Harness::new(plan(vec![step("pay", false, false)], false));
     h.handle(Event::Start);
     h.handle(Event::Claim(ClaimEnd::Won));
@@ -246,7 +246,7 @@
     h.handle(Event::TargetPicked("t1".into()));
     let reason = Reason::Unreachable("refused".into());
     h.handle(Event::NotSent { attempt: attempt(0, 0), reason });
-    let end = h.end().cloned().expect("it ended");
+    let end = h.end().cloned().expect("the request ended");
     assert_eq!(end.outcome, Outcome::NotRun);
     assert_eq!(end.error.and_then(|e| e.peer), Some("t1".into()));
     assert!(end.retry_after.is_some());
@@ -263,7 +263,7 @@
     h.advance(4999);
     assert!(h.end().is_none());
     h.advance(1);
-    let end = h.end().cloned().expect("it ended at its deadline");
+    let end = h.end().cloned().expect("the request ended at its deadline");
     assert_eq!(end.outcome, Outcome::Failed);
     let error = end.error.expect("an error");
     assert_eq!((&*error.step, error.reason), ("encode", Reason::Deadline));
@@ -287,7 +287,7 @@
     assert_eq!(h.machine.strays(), 3);
 }
 
-/// What a target does with one call.
+/// Reaction of a target to one call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Behavior {
     Unreachable,
@@ -309,7 +309,7 @@
     Behavior::Silent,
 ];
 
-/// A world of failing targets around one run.
+/// Failing targets around one machine.
 struct Simulation {
     rng: Rng,
     machine: RequestMachine,
@@ -367,7 +367,7 @@
     }
 
     fn perform(&mut self, action: Action) -> Option<Event> {
-        assert!(self.finals.is_empty(), "an action after the end: {action:?}");
+        assert!(self.finals.is_empty(), "action after the end: {action:?}");
         match action {
             Action::Claim(_) => {
                 let ends = [ClaimEnd::Won, ClaimEnd::Lost("x".into()), ClaimEnd::Doubt];
@@ -397,7 +397,7 @@
         let step = usize::from(attempt.step);
         assert!(self.sent.insert(attempt.clone()), "an attempt is sent once");
         if self.steps.iter().any(|s| !s.repeatable) {
-            assert!(self.claimed, "nothing is sent without the claim");
+            assert!(self.claimed, "nothing is sent without a won claim");
         }
         let faulty = self.rng.next_f64() < self.fault_rate;
         let behavior =
@@ -439,7 +439,7 @@
         self.pending.push(Event::Closed { attempt, reason });
     }
 
-    /// Delivers mostly in order, sometimes from the middle.
+    /// Delivers mostly in order, sometimes at a random position.
     fn next_event(&mut self) -> Option<Event> {
         if self.pending.is_empty() {
             return None;
@@ -473,7 +473,7 @@
     }
 
     fn check(&self) {
-        assert_eq!(self.finals.len(), 1, "exactly one final word");
+        assert_eq!(self.finals.len(), 1, "exactly one final outcome");
         let end = &self.finals[0];
         for (i, s) in self.steps.iter().enumerate() {
             if !s.repeatable {
