--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -21,7 +21,7 @@
     /// Final words that arrived; one is right.
     pub outcomes: Vec<Outcome>,
     /// Whether the connection broke before a final word.
-    pub broken: bool,
+    pub disconnected: bool,
     /// Text that arrived.
     pub text: String,
     /// Text that the request should get if complete.
@@ -38,23 +38,23 @@
     /// Whether it only read the rest of an earlier stream.
     pub resumed: bool,
     /// Whether the work was done to its end.
-    pub done: bool,
+    pub completed: bool,
 }
 
 /// What the pipeline declares.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Rules {
+pub struct PipelineRules {
     /// Every step.
     pub steps: Vec<Name>,
     /// Steps that may not be repeated.
-    pub once: BTreeSet<Name>,
+    pub single_run: BTreeSet<Name>,
 }
 
 /// One broken promise.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum Finding {
     /// call {0} got no final word though its connection held
-    Lost(u64),
+    NoOutcome(u64),
     /// call {0} got {1} final words
     DuplicateOutcome(u64, usize),
     /// call {0} is complete, but its text is not its own or not whole
@@ -81,7 +81,7 @@
     /// By the store: every claim object.
     pub claims: Vec<Claims>,
     /// Declared.
-    pub rules: Rules,
+    pub rules: PipelineRules,
 }
 
 impl Record {
@@ -114,7 +114,7 @@
             }
             Some(Outcome::Complete) => {
                 for step in &self.rules.steps {
-                    if !own.iter().any(|r| r.step == *step && r.done) {
+                    if !own.iter().any(|r| r.step == *step && r.completed) {
                         out.push(Finding::StepNotRun(request.clone(), step.clone()));
                     }
                 }
@@ -132,7 +132,7 @@
         let mut counts: BTreeMap<(Key, Name), usize> = BTreeMap::new();
         let owners: BTreeMap<&Name, Key> = holder.iter().map(|(k, r)| (*r, **k)).collect();
         for (request, list) in runs {
-            for r in list.iter().filter(|r| !r.resumed && self.rules.once.contains(&r.step)) {
+            for r in list.iter().filter(|r| !r.resumed && self.rules.single_run.contains(&r.step)) {
                 match owners.get(request) {
                     Some(key) => *counts.entry((*key, r.step.clone())).or_default() += 1,
                     None => out.push(Finding::Unclaimed((*request).clone(), r.step.clone())),
@@ -146,7 +146,7 @@
 
 fn check_outcomes(s: &CallRecord, out: &mut Vec<Finding>) {
     match s.outcomes.len() {
-        0 if !s.broken => out.push(Finding::Lost(s.call)),
+        0 if !s.disconnected => out.push(Finding::NoOutcome(s.call)),
         0 | 1 => {}
         n => out.push(Finding::DuplicateOutcome(s.call, n)),
     }
--- a/crates/audit/tests/planted.rs
+++ b/crates/audit/tests/planted.rs
@@ -1,6 +1,6 @@
 //! The auditor finds one planted fault of each kind, and nothing in a clean record.
 
-use audit::{CallRecord, Finding, Record, Rules, StepRun};
+use audit::{CallRecord, Finding, PipelineRules, Record, StepRun};
 use model::claim::Claims;
 use model::key::Key;
 use model::outcome::Outcome;
@@ -9,57 +9,60 @@
     Key::new(1_700_000_000_000, n << 40)
 }
 
-fn seen(call: u64, end: Outcome, text: &str) -> CallRecord {
+fn call_record(call: u64, outcome: Outcome, text: &str) -> CallRecord {
     CallRecord {
         call,
         request: Some(format!("r{call}").into()),
         key: Some(key(call.into())),
-        outcomes: vec![end],
-        broken: false,
+        outcomes: vec![outcome],
+        disconnected: false,
         text: text.into(),
         expected_text: "the answer".into(),
     }
 }
 
-fn ran(request: &str, step: &str) -> StepRun {
-    StepRun { request: request.into(), step: step.into(), resumed: false, done: true }
+fn step_run(request: &str, step: &str) -> StepRun {
+    StepRun { request: request.into(), step: step.into(), resumed: false, completed: true }
 }
 
 /// Two complete requests, one refused, one failed half way.
-fn clean() -> Record {
+fn clean_record() -> Record {
     let mut claims = Claims::default();
     for n in [1u64, 2, 4] {
         claims.keys.insert(key(n.into()), format!("r{n}").into());
     }
     Record {
         calls: vec![
-            seen(1, Outcome::Complete, "the answer"),
-            seen(2, Outcome::Complete, "the answer"),
-            seen(3, Outcome::NotRun, ""),
-            seen(4, Outcome::Failed, "the an"),
+            call_record(1, Outcome::Complete, "the answer"),
+            call_record(2, Outcome::Complete, "the answer"),
+            call_record(3, Outcome::NotRun, ""),
+            call_record(4, Outcome::Failed, "the an"),
         ],
         runs: vec![
-            ran("r1", "look"),
-            ran("r1", "pay"),
-            ran("r2", "look"),
-            ran("r2", "pay"),
-            ran("r4", "look"),
+            step_run("r1", "look"),
+            step_run("r1", "pay"),
+            step_run("r2", "look"),
+            step_run("r2", "pay"),
+            step_run("r4", "look"),
         ],
         claims: vec![claims],
-        rules: Rules { steps: vec!["look".into(), "pay".into()], once: ["pay".into()].into() },
+        rules: PipelineRules {
+            steps: vec!["look".into(), "pay".into()],
+            single_run: ["pay".into()].into(),
+        },
     }
 }
 
 #[test]
 fn a_clean_record_has_no_findings() {
-    assert_eq!(clean().audit(), vec![]);
+    assert_eq!(clean_record().audit(), vec![]);
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    type Plant = fn(&mut Record);
-    let cases: [(&str, Plant, Finding); 9] = [
-        ("lost", |r| r.calls[0].outcomes.clear(), Finding::Lost(1)),
+fn each_injected_fault_is_found() {
+    type Inject = fn(&mut Record);
+    let cases: [(&str, Inject, Finding); 9] = [
+        ("lost", |r| r.calls[0].outcomes.clear(), Finding::NoOutcome(1)),
         (
             "doubled",
             |r| r.calls[0].outcomes.push(Outcome::Complete),
@@ -75,38 +78,38 @@
         ),
         (
             "untruly not run",
-            |r| r.runs.push(ran("r3", "look")),
+            |r| r.runs.push(step_run("r3", "look")),
             Finding::FalseNotRun("r3".into(), "look".into()),
         ),
         (
             "run twice",
-            |r| r.runs.push(ran("r2", "pay")),
+            |r| r.runs.push(step_run("r2", "pay")),
             Finding::RanTwice(key(2), "pay".into(), 2),
         ),
         (
             "run without the claim",
-            |r| r.runs.push(ran("r9", "pay")),
+            |r| r.runs.push(step_run("r9", "pay")),
             Finding::Unclaimed("r9".into(), "pay".into()),
         ),
     ];
-    for (name, plant, want) in cases {
-        let mut record = clean();
-        plant(&mut record);
+    for (name, inject, want) in cases {
+        let mut record = clean_record();
+        inject(&mut record);
         assert_eq!(record.audit(), vec![want], "{name}");
     }
 }
 
 #[test]
-fn reading_the_rest_of_a_stream_is_no_second_run() {
-    let mut record = clean();
-    record.runs.push(StepRun { resumed: true, ..ran("r2", "pay") });
+fn resuming_a_stream_does_not_count_as_a_second_run() {
+    let mut record = clean_record();
+    record.runs.push(StepRun { resumed: true, ..step_run("r2", "pay") });
     assert_eq!(record.audit(), vec![]);
 }
 
 #[test]
-fn a_broken_connection_is_not_a_lost_request() {
-    let mut record = clean();
+fn a_disconnected_call_without_an_outcome_is_not_a_finding() {
+    let mut record = clean_record();
     record.calls[3].outcomes.clear();
-    record.calls[3].broken = true;
+    record.calls[3].disconnected = true;
     assert_eq!(record.audit(), vec![]);
 }
--- a/crates/dev/tests/common/mod.rs
+++ b/crates/dev/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use audit::{CallRecord, Record, Rules, StepRun};
+use audit::{CallRecord, PipelineRules, Record, StepRun};
 use bytes::Bytes;
 use cli::declare::{self, Declaration};
 use dev::{Options, Stack};
@@ -171,13 +171,13 @@
             request: None,
             key: self.key,
             outcomes: Vec::new(),
-            broken: false,
+            disconnected: false,
             text: String::new(),
             expected_text: self.want(),
         };
         let peer = to.to_string();
         match client.send(&peer, self.request(to)).await {
-            Err(_) => seen.broken = true,
+            Err(_) => seen.disconnected = true,
             Ok(response) => {
                 let events = response
                     .headers()
@@ -196,7 +196,7 @@
 
 async fn read_whole(seen: &mut CallRecord, response: Response<Incoming>) {
     let Ok(body) = response.into_body().collect().await else {
-        seen.broken = true;
+        seen.disconnected = true;
         return;
     };
     let bytes = body.to_bytes();
@@ -220,11 +220,11 @@
         let line = match lines.next().await {
             Ok(Some(line)) => String::from_utf8(line).expect("UTF-8"),
             Ok(None) => {
-                seen.broken = seen.outcomes.is_empty();
+                seen.disconnected = seen.outcomes.is_empty();
                 return;
             }
             Err(_) => {
-                seen.broken = true;
+                seen.disconnected = true;
                 return;
             }
         };
@@ -251,12 +251,15 @@
 }
 
 /// Rules of the two pipelines.
-pub fn rules(pipeline: &str) -> Rules {
+pub fn rules(pipeline: &str) -> PipelineRules {
     let steps: &[&str] = match pipeline {
         "minutes" => &["encode", "retrieve", "generate"],
         _ => &["look", "pay"],
     };
-    Rules { steps: steps.iter().map(|s| (*s).into()).collect(), once: ["pay".into()].into() }
+    PipelineRules {
+        steps: steps.iter().map(|s| (*s).into()).collect(),
+        single_run: ["pay".into()].into(),
+    }
 }
 
 /// The auditor's record of one pipeline's requests on an in-process stack.
@@ -267,7 +270,7 @@
             request: r.attempt.request,
             step: r.step,
             resumed: r.resumed,
-            done: r.done,
+            completed: r.done,
         })
         .collect();
     let claims = stack
--- a/crates/dev/tests/faults.rs
+++ b/crates/dev/tests/faults.rs
@@ -209,7 +209,7 @@
     }
     assert_eq!(record(&stack, "minutes", seen).audit(), vec![]);
     let gone = Ask::minutes(99, false).send(&client(), callers[0]).await;
-    assert!(gone.broken, "the stopped node takes nothing any more");
+    assert!(gone.disconnected, "the stopped node takes nothing any more");
     stack.stop().await;
 }
 
--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -278,7 +278,7 @@
                 request: r.attempt.request,
                 step: r.step,
                 resumed: r.resumed,
-                done: r.done,
+                completed: r.done,
             }));
         }
         let listing: Listing = read(&self.store_address(), "/v1/claim").await;
@@ -396,7 +396,7 @@
         kill(pid, Signal::SIGTERM).expect("our own child");
         load.await
     };
-    let cut = part.1.iter().filter(|s| s.broken && !s.text.is_empty()).count();
+    let cut = part.1.iter().filter(|s| s.disconnected && !s.text.is_empty()).count();
     assert_eq!(cut, 0, "a planned stop cuts off no stream");
     orders.extend(part.0);
     minutes.extend(part.1);
