--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,6 +1,6 @@
-//! The auditor: takes what callers, targets and the store each saw, joins it by
-//! request id, and names every request that was lost, doubled, given to another
-//! request, run twice, or untruly said not to have run.
+//! Consistency audit of a test run. Joins the records of callers, targets and the store by request
+//! id and reports every request that was lost, answered twice, answered with the text of another
+//! request, run twice, or falsely reported as not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,61 +9,61 @@
 use model::key::Key;
 use model::outcome::Outcome;
 
-/// What a caller saw of one request that it sent.
+/// Record of one request on the caller's side.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallRecord {
-    /// The caller's own number for the request.
+    /// Number that the caller assigned to the request.
     pub call: u64,
-    /// Request id, once an answer named one.
+    /// Request id, if a response contained one.
     pub request: Option<Name>,
-    /// Key, if the request had one.
+    /// Idempotency key, if the request had one.
     pub key: Option<Key>,
-    /// Final words that arrived; one is right.
+    /// Outcomes received; exactly one is correct.
     pub outcomes: Vec<Outcome>,
-    /// Whether the connection broke before a final word.
+    /// Whether the connection broke before an outcome was received.
     pub disconnected: bool,
-    /// Text that arrived.
+    /// Text received.
     pub text: String,
-    /// Text that the request should get if complete.
+    /// Text of the complete answer.
     pub expected_text: String,
 }
 
-/// One run at a target.
+/// Record of one run of a step on a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StepRun {
     /// Request id.
     pub request: Name,
     /// Step.
     pub step: Name,
-    /// Whether it only read the rest of an earlier stream.
+    /// Whether the run only resumed the stream of an earlier run.
     pub resumed: bool,
-    /// Whether the work was done to its end.
+    /// Whether the run finished.
     pub completed: bool,
 }
 
-/// What the pipeline declares.
+/// Declaration of the pipeline under audit.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PipelineRules {
-    /// Every step.
+    /// All steps.
     pub steps: Vec<Name>,
-    /// Steps that may not be repeated.
+    /// Steps that must not run more than once.
     pub single_run: BTreeSet<Name>,
 }
 
-/// One broken promise.
+/// Violation of a guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum Finding {
-    /// call {0} got no final word though its connection held
+    /// call {0} received no outcome although its connection stayed open
     NoOutcome(u64),
-    /// call {0} got {1} final words
+    /// call {0} received {1} outcomes
     DuplicateOutcome(u64, usize),
-    /// call {0} is complete, but its text is not its own or not whole
+    /// call {0} is complete, but its text is wrong or truncated
     WrongText(u64),
-    /// call {0} got text that is no beginning of its own answer
+    /// call {0} received text that is not a prefix of its answer
     ForeignText(u64),
-    /// request {0} is complete, but step {1} never ran to its end
+    /// request {0} is complete, but step {1} never finished
     StepNotRun(Name, Name),
-    /// request {0} is said not to have run, but step {1} did
+    /// request {0} is reported as not run, but step {1} ran
     FalseNotRun(Name, Name),
     /// key {0}: step {1} ran {2} times
     RanTwice(Key, Name, usize),
@@ -71,21 +71,21 @@
     Unclaimed(Name, Name),
 }
 
-/// Everything that was seen.
+/// Records of all parties in one test run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Record {
-    /// By callers.
+    /// Requests, as recorded by the callers.
     pub calls: Vec<CallRecord>,
-    /// By targets.
+    /// Runs, as recorded by the targets.
     pub runs: Vec<StepRun>,
-    /// By the store: every claim object.
+    /// All claim objects in the store.
     pub claims: Vec<Claims>,
-    /// Declared.
+    /// Pipeline that the requests ran.
     pub rules: PipelineRules,
 }
 
 impl Record {
-    /// Every broken promise.
+    /// Returns all violations.
     pub fn audit(&self) -> Vec<Finding> {
         let mut out = Vec::new();
         let mut runs: BTreeMap<&Name, Vec<&StepRun>> = BTreeMap::new();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Over all requests of one key together.
+    /// Counts the runs of single-run steps per key, over all requests that hold it.
     fn check_single_runs(&self, runs: &BTreeMap<&Name, Vec<&StepRun>>, out: &mut Vec<Finding>) {
         let mut holder: BTreeMap<&Key, &Name> = BTreeMap::new();
         for c in &self.claims {
--- a/crates/audit/tests/planted.rs
+++ b/crates/audit/tests/planted.rs
@@ -1,4 +1,4 @@
-//! The auditor finds one planted fault of each kind, and nothing in a clean record.
+//! The audit reports an injected fault of each kind and nothing for a clean record.
 
 use audit::{CallRecord, Finding, PipelineRules, Record, StepRun};
 use model::claim::Claims;
@@ -25,7 +25,7 @@
     StepRun { request: request.into(), step: step.into(), resumed: false, completed: true }
 }
 
-/// Two complete requests, one refused, one failed half way.
+/// Two complete requests, one not run, one failed midway.
 fn clean_record() -> Record {
     let mut claims = Claims::default();
     for n in [1u64, 2, 4] {
@@ -62,22 +62,22 @@
 fn each_injected_fault_is_found() {
     type Inject = fn(&mut Record);
     let cases: [(&str, Inject, Finding); 9] = [
-        ("lost", |r| r.calls[0].outcomes.clear(), Finding::NoOutcome(1)),
+        ("no outcome", |r| r.calls[0].outcomes.clear(), Finding::NoOutcome(1)),
         (
-            "doubled",
+            "duplicate outcome",
             |r| r.calls[0].outcomes.push(Outcome::Complete),
             Finding::DuplicateOutcome(1, 2),
         ),
-        ("misdelivered", |r| r.calls[1].text = "another answer".into(), Finding::WrongText(2)),
-        ("cut short", |r| r.calls[1].text = "the an".into(), Finding::WrongText(2)),
-        ("spliced", |r| r.calls[3].text = "the xx".into(), Finding::ForeignText(4)),
+        ("wrong text", |r| r.calls[1].text = "another answer".into(), Finding::WrongText(2)),
+        ("truncated", |r| r.calls[1].text = "the an".into(), Finding::WrongText(2)),
+        ("foreign text", |r| r.calls[3].text = "the xx".into(), Finding::ForeignText(4)),
         (
-            "unfounded",
+            "step not run",
             |r| r.runs.retain(|x| !(&*x.request == "r1" && &*x.step == "look")),
             Finding::StepNotRun("r1".into(), "look".into()),
         ),
         (
-            "untruly not run",
+            "falsely not run",
             |r| r.runs.push(step_run("r3", "look")),
             Finding::FalseNotRun("r3".into(), "look".into()),
         ),
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -1,5 +1,5 @@
-//! Carries out what [`decide::config::Follower`] wants: fetches deltas and
-//! chunks from the store or from a neighbour. Used by entry and control alike.
+//! Executes the fetches of [`decide::config::Follower`]: deltas and chunks, from the store or from
+//! a peer. Shared by the entry and control processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use store::{Budgeted, Reason, Store};
 use util::http::Client;
 
-/// Longest wait for a neighbour.
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Chunks asked for in one call.
+/// Limit on chunks requested in one call.
 const MAX_CHUNKS_PER_CALL: usize = 64;
 
-/// Fetches for one follower.
+/// Fetch client of one follower.
 #[derive(Clone)]
 pub struct Fetcher {
     client: Client,
@@ -25,12 +25,12 @@
 }
 
 impl Fetcher {
-    /// A fetcher that reaches neighbours, and the store if there is one.
+    /// Creates a fetcher; without a store, fetches from it fail.
     pub fn new(client: Client, store: Option<Arc<Budgeted>>) -> Self {
         Fetcher { client, store }
     }
 
-    /// Carries out a fetch and returns what it brought.
+    /// Executes a fetch and returns the resulting events.
     pub async fn fetch(&self, action: FollowerAction) -> Vec<FollowerEvent> {
         match action {
             FollowerAction::FetchDelta { from: Source::Store, .. } => self.fetch_manifest().await,
@@ -97,7 +97,7 @@
     }
 }
 
-/// The manifest and the version of its object; `None` if the store did not answer.
+/// Reads the manifest and the version of its object; `None` if that failed.
 pub async fn read_manifest(store: &Budgeted) -> Option<(u64, Manifest)> {
     let stored = store.with(Reason::Config).get(kind::MANIFEST, NAME).await;
     let stored = stored.map_err(|e| log::debug!("config: {e}")).ok()?;
@@ -107,7 +107,8 @@
     }
 }
 
-/// A chunk's text; stored as one JSON string, so that its address holds.
+/// Reads the text of a chunk. It is stored as one JSON string, so that its bytes keep matching the
+/// content address.
 pub async fn read_chunk(store: &Budgeted, hash: &str) -> Option<Arc<str>> {
     let stored = store.with(Reason::Config).get(kind::CHUNK, hash).await.ok()?;
     stored.value?.as_str().map(Arc::from)
