--- a/crates/decide/src/request/assembly.rs
+++ b/crates/decide/src/request/assembly.rs
@@ -36,7 +36,7 @@
 struct End {
     count: u64,
     digest: u64,
-    busy_us: u64,
+    busy: u64,
 }
 
 impl Reassembler {
@@ -63,7 +63,7 @@
 
     /// Processing time reported by the target, in microseconds; `None` before the end frame.
     pub fn busy_us(&self) -> Option<u64> {
-        self.end.map(|e| e.busy_us)
+        self.end.map(|e| e.busy)
     }
 
     /// Processes one frame.
@@ -73,9 +73,7 @@
         }
         match frame {
             Frame::Chunk { seq, text, .. } => self.receive_chunk(seq, text),
-            Frame::End { count, digest, busy, .. } => {
-                self.receive_end(End { count, digest, busy_us: busy })
-            }
+            Frame::End { count, digest, busy, .. } => self.receive_end(End { count, digest, busy }),
         }
     }
 
--- a/crates/dev/tests/common/mod.rs
+++ b/crates/dev/tests/common/mod.rs
@@ -263,9 +263,9 @@
 }
 
 /// The auditor's record of one pipeline's requests on an in-process stack.
-pub fn record(stack: &Stack, pipeline: &str, seen: Vec<CallRecord>) -> Record {
-    let runs = stack.targets.values().flat_map(|t| t.runs());
-    let ran = runs
+pub fn record(stack: &Stack, pipeline: &str, calls: Vec<CallRecord>) -> Record {
+    let step_runs = stack.targets.values().flat_map(|t| t.runs());
+    let runs = step_runs
         .map(|r| StepRun {
             request: r.attempt.request,
             step: r.step,
@@ -279,7 +279,7 @@
         .into_iter()
         .filter_map(|v| serde_json::from_value::<Claims>(v).ok())
         .collect();
-    Record { calls: seen, runs: ran, claims, rules: rules(pipeline) }
+    Record { calls, runs, claims, rules: rules(pipeline) }
 }
 
 /// A client for callers.
--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -270,11 +270,11 @@
     }
 
     /// What the targets that are up ran, and the claims in the store.
-    async fn record(&self, pipeline: &str, seen: Vec<CallRecord>) -> Record {
-        let mut ran = Vec::new();
+    async fn record(&self, pipeline: &str, calls: Vec<CallRecord>) -> Record {
+        let mut runs = Vec::new();
         for (at, _) in &self.targets {
             let journal: Vec<Journal> = read(at, "/journal").await;
-            ran.extend(journal.into_iter().map(|r| StepRun {
+            runs.extend(journal.into_iter().map(|r| StepRun {
                 request: r.attempt.request,
                 step: r.step,
                 resumed: r.resumed,
@@ -284,7 +284,7 @@
         let listing: Listing = read(&self.store_address(), "/v1/claim").await;
         let values = listing.objects.into_iter().filter_map(|o| o.value);
         let claims = values.filter_map(|v| serde_json::from_value::<Claims>(v).ok()).collect();
-        Record { calls: seen, runs: ran, claims, rules: rules(pipeline) }
+        Record { calls, runs, claims, rules: rules(pipeline) }
     }
 }
 
