--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Admission, budgets of time and retries, concurrency and rates.
+//! Admission, time and retry budgets, concurrency limits and rate limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,9 +14,9 @@
 use model::outcome::Reason;
 use model::{Name, Time};
 
-/// A run well within its deadline, and the deadline.
+/// Duration of a run well within its deadline, and the time to the deadline.
 const QUICK: Duration = Duration::from_millis(100);
-const DUE: Duration = Duration::from_millis(1000);
+const DEADLINE: Duration = Duration::from_millis(1000);
 
 fn waiter(name: &str, priority: Priority, deadline: u64) -> PendingRequest {
     PendingRequest {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn urgent_goes_before_normal_before_patient_and_then_the_earliest_deadline() {
+fn requests_run_by_priority_then_by_earliest_deadline() {
     let mut g = AdmissionQueue::new(1, 10);
     g.submit(Time::ZERO, waiter("first", Priority::Normal, 5000));
     g.submit(Time::ZERO, waiter("patient", Priority::Patient, 1000));
@@ -37,7 +37,7 @@
     let mut order = Vec::new();
     let mut last: Name = "first".into();
     for _ in 0..3 {
-        let out = g.complete(Time::ZERO, &last, QUICK, DUE);
+        let out = g.complete(Time::ZERO, &last, QUICK, DEADLINE);
         let [Verdict::Run(next)] = &out[..] else { panic!("{out:?}") };
         last = next.clone();
         order.push(last.to_string());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_full_queue_sheds_the_last_in_order() {
+fn a_full_queue_sheds_the_lowest_ranked_request() {
     let mut g = AdmissionQueue::new(1, 1);
     g.submit(Time::ZERO, waiter("runs", Priority::Normal, 5000));
     g.submit(Time::ZERO, waiter("patient", Priority::Patient, 5000));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_cannot_finish_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused() {
     let mut g = AdmissionQueue::new(1, 10);
     g.submit(Time::ZERO, waiter("runs", Priority::Normal, 5000));
     let out = g.submit(Time::ZERO, waiter("hopeless", Priority::Urgent, 50));
@@ -67,22 +67,22 @@
 }
 
 #[test]
-fn an_idle_node_takes_even_what_looks_hopeless() {
-    // Times seen under load must not shut a node that has nothing to do.
+fn an_idle_node_admits_a_request_expected_to_miss_its_deadline() {
+    // Durations observed under load must not make an idle node refuse requests.
     let mut g = AdmissionQueue::new(4, 10);
     let out = g.submit(Time::ZERO, waiter("only", Priority::Normal, 50));
     assert_eq!(out, vec![Verdict::Run("only".into())]);
 }
 
 #[test]
-fn congestion_narrows_the_gate_and_its_end_widens_it_again() {
+fn the_admission_limit_shrinks_under_congestion_and_recovers() {
     let mut g = AdmissionQueue::new(64, 10);
     let mut now = Time::ZERO;
     for i in 0..1000 {
         now = now + Duration::from_millis(5);
         let name: Name = format!("r{i}").into();
         g.submit(now, waiter(&name, Priority::Normal, u64::MAX / 2000));
-        g.complete(now, &name, DUE, DUE);
+        g.complete(now, &name, DEADLINE, DEADLINE);
     }
     let narrow = g.limit();
     assert!(narrow <= 8, "{narrow}");
@@ -93,49 +93,49 @@
         names.push_back(name);
         if names.len() > g.limit() {
             let old = names.pop_front().expect("one runs");
-            g.complete(now, &old, QUICK, DUE);
+            g.complete(now, &old, QUICK, DEADLINE);
         }
     }
     assert!(g.limit() > narrow * 3, "{}", g.limit());
 }
 
 #[test]
-fn a_newcomer_behind_too_many_is_refused_at_the_door_not_at_its_deadline() {
+fn a_request_behind_a_long_queue_is_refused_on_arrival() {
     let mut g = AdmissionQueue::new(1, 100);
     let mut now = Time::ZERO;
-    // A turn comes free every 100 ms.
+    // A slot is released every 100 ms.
     for i in 0..30 {
         let name: Name = format!("r{i}").into();
         g.submit(now, waiter(&name, Priority::Normal, 1_000_000));
         now = now + Duration::from_millis(100);
-        g.complete(now, &name, QUICK, DUE);
+        g.complete(now, &name, QUICK, DEADLINE);
     }
     let at = |ms: u64| now.0 / 1000 + ms;
     g.submit(now, waiter("runs", Priority::Normal, at(10_000)));
-    let mut taken = 0;
+    let mut admitted = 0;
     for i in 0..50 {
         let out = g.submit(now, waiter(&format!("w{i}"), Priority::Normal, at(1000)));
-        taken += usize::from(out.is_empty());
+        admitted += usize::from(out.is_empty());
     }
-    assert!((7..=10).contains(&taken), "ten turns fit before the deadline: {taken} wait");
+    assert!((7..=10).contains(&admitted), "ten slots fit the deadline: {admitted} wait");
 }
 
 #[test]
-fn patient_work_leaves_room_for_urgent() {
+fn patient_requests_leave_capacity_for_urgent_ones() {
     let mut g = AdmissionQueue::new(10, 100);
     for i in 0..20 {
         g.submit(Time::ZERO, waiter(&format!("p{i}"), Priority::Patient, 50_000));
     }
-    assert_eq!(g.running(), 7, "seven tenths");
+    assert_eq!(g.running(), 7, "70 % of the capacity");
     let out = g.submit(Time::ZERO, waiter("stock", Priority::Urgent, 800));
     assert_eq!(out, vec![Verdict::Run("stock".into())]);
 }
 
 #[test]
-fn retries_are_a_share_of_successes() {
+fn retries_are_limited_to_a_fraction_of_successes() {
     let mut b = RetryBudget::new(0.1, 10.0);
     let (mut sent, mut retried) = (0, 0);
-    // A stage that fails outright: after the reserve no retry is left.
+    // A stage that always fails: no retry is left once the reserve is used up.
     for _ in 0..1000 {
         sent += 1;
         retried += u32::from(b.take());
@@ -157,7 +157,7 @@
         }
     }
     let first: Vec<_> = (0..20).map(|_| backoff(1, &mut rng)).collect();
-    assert!(first.iter().any(|d| *d != first[0]), "not all the same");
+    assert!(first.iter().any(|d| *d != first[0]), "jitter makes the delays differ");
 }
 
 #[test]
@@ -172,7 +172,7 @@
     assert!((395..=410).contains(&later.as_millis()), "{later:?}");
     let budget = deadline::budget(Time::ZERO, Time::from_millis(1000), later);
     assert!((590..=605).contains(&budget.as_millis()), "{budget:?}");
-    // The need is what most take, and never more than half of what is left.
+    // The need is the time that most runs take, capped at half of the time left.
     let need = deadline::required_time(&times, Duration::from_secs(10));
     assert!((395..=410).contains(&need.as_millis()), "{need:?}");
     assert_eq!(
@@ -182,9 +182,9 @@
 }
 
 #[test]
-fn timeouts_follow_the_observed_times() {
+fn timeouts_follow_the_observed_durations() {
     let mut t = StepTimes::default();
-    assert_eq!(t.hedge(), None, "no hedge before there are samples");
+    assert_eq!(t.hedge(), None, "no hedge without samples");
     for i in 0..1000 {
         t.record(Duration::from_millis(20 + i % 10));
     }
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn concurrency_narrows_under_queueing_and_never_closes() {
+fn the_concurrency_limit_decreases_under_queueing_but_keeps_a_minimum() {
     let mut c = ConcurrencyLimit::default();
     let start = c.max_in_flight();
     let mut now = Time::from_millis(1);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_bucket_says_when_to_come_back() {
+fn an_empty_bucket_returns_the_time_until_the_next_token() {
     let mut b = TokenBucket::new(2.0, Time::ZERO);
     assert!(b.take(Time::ZERO).is_ok());
     let wait = b.take(Time::ZERO).expect_err("empty");
@@ -218,48 +218,53 @@
     assert!(b.take(Time::ZERO + wait).is_ok());
 }
 
-/// Nodes that ask a home for slices; returns requests taken in ten seconds.
-fn limited(nodes: usize, home_up: impl Fn(u64) -> bool, demand: impl Fn(usize) -> u64) -> u64 {
+/// Simulates nodes that borrow slices from a home; returns the requests admitted in ten seconds.
+fn admitted_in_10s(
+    nodes: usize,
+    home_reachable: impl Fn(u64) -> bool,
+    demand: impl Fn(usize) -> u64,
+) -> u64 {
     const RATE: f64 = 100.0;
     let mut home = RateLender::new(RATE);
     let mut slices: Vec<RateSlice> =
         (0..nodes).map(|_| RateSlice::new(RATE, nodes, Time::ZERO)).collect();
-    let mut taken = 0;
+    let mut admitted = 0;
     for ms in 0..12_000u64 {
         let now = Time::from_millis(ms);
         for (i, s) in slices.iter_mut().enumerate() {
-            if ms % 500 == i as u64 && home_up(ms) {
+            if ms % 500 == i as u64 && home_reachable(ms) {
                 let d = s.demand(now);
-                let lend = home.lend(now, &format!("n{i}").into(), d, nodes);
-                s.renew(now, now, lend);
+                let slice = home.lend(now, &format!("n{i}").into(), d, nodes);
+                s.renew(now, now, slice);
             }
             let per_second = demand(i);
             if per_second > 0 && ms % (1000 / per_second) == 0 && s.take(now, nodes).is_ok() {
-                taken += u64::from(ms >= 2000);
+                admitted += u64::from(ms >= 2000);
             }
         }
     }
-    taken
+    admitted
 }
 
 #[test]
-fn a_workspace_rate_holds_over_all_nodes() {
-    // Even, uneven and cut off: never over the rate by more than the stated error.
+fn a_workspace_rate_holds_across_all_nodes() {
+    // With even and uneven demand and in a partition, the rate is exceeded by at most the error
+    // bound of the limiter.
     let cases: [(&str, u64); 3] = [
-        ("even", limited(8, |_| true, |_| 50)),
-        ("one node has it all", limited(8, |_| true, |i| if i == 0 { 200 } else { 0 })),
-        ("home gone", limited(8, |ms| ms < 3000, |_| 50)),
+        ("even", admitted_in_10s(8, |_| true, |_| 50)),
+        ("one node has it all", admitted_in_10s(8, |_| true, |i| if i == 0 { 200 } else { 0 })),
+        ("home unreachable", admitted_in_10s(8, |ms| ms < 3000, |_| 50)),
     ];
-    for (name, taken) in cases {
-        assert!(taken <= 1100, "{name}: {taken} in ten seconds at 100 a second");
+    for (name, admitted) in cases {
+        assert!(admitted <= 1100, "{name}: {admitted} in ten seconds at 100 a second");
     }
     let (even, uneven) = (cases[0].1, cases[1].1);
-    assert!(even >= 850, "even demand gets nearly all of it: {even}");
-    assert!(uneven >= 700, "one busy node gets most of it: {uneven}");
+    assert!(even >= 850, "even demand uses nearly the whole rate: {even}");
+    assert!(uneven >= 700, "one busy node gets most of the rate: {uneven}");
 }
 
 #[test]
-fn each_target_has_two_pollers_and_they_move_little() {
+fn each_target_has_two_pollers_spread_over_the_nodes() {
     let nodes: Vec<Name> = (0..57).map(|i| format!("n{i}").into()).collect();
     let mut load: BTreeMap<&Name, usize> = BTreeMap::new();
     for t in 0..217 {
@@ -275,7 +280,7 @@
 }
 
 #[test]
-fn only_changes_worth_telling_go_round_and_old_gossip_is_dropped() {
+fn only_significant_load_changes_are_gossiped_and_stale_ones_are_dropped() {
     let name: Name = "t1".into();
     let report = |wait: u32, seq: u64, leaving: bool| Report {
         target: name.clone(),
@@ -289,10 +294,10 @@
     a.set_targets([&name].into_iter());
     b.set_targets([&name].into_iter());
     let first = a.record_poll(report(100, 10, false)).expect("new");
-    assert!(a.record_poll(report(101, 11, false)).is_none(), "a small change stays at home");
-    let leaving = a.record_poll(report(101, 12, true)).expect("leaving is news");
+    assert!(a.record_poll(report(101, 11, false)).is_none(), "a small change is not gossiped");
+    let leaving = a.record_poll(report(101, 12, true)).expect("leaving is gossiped");
     assert!(b.merge_rumor(leaving).is_some());
-    assert!(b.merge_rumor(first).is_none(), "older gossip is dropped");
-    assert!(b.merge_rumor(leaving).is_none(), "and what is known is not passed on");
+    assert!(b.merge_rumor(first).is_none(), "a stale report is dropped");
+    assert!(b.merge_rumor(leaving).is_none(), "a known report is not forwarded");
     assert!(b.get("t1").is_some_and(|n| n.report.leaving));
 }
--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -270,21 +270,21 @@
     }
 
     /// What the targets that are up ran, and the claims in the store.
-    async fn record(&self, pipeline: &str, seen: Vec<CallRecord>) -> Record {
-        let mut ran = Vec::new();
+    async fn record(&self, pipeline: &str, calls: Vec<CallRecord>) -> Record {
+        let mut runs = Vec::new();
         for (at, _) in &self.targets {
             let journal: Vec<Journal> = read(at, "/journal").await;
-            ran.extend(journal.into_iter().map(|r| StepRun {
+            runs.extend(journal.into_iter().map(|r| StepRun {
                 request: r.attempt.request,
                 step: r.step,
                 resumed: r.resumed,
-                done: r.done,
+                completed: r.done,
             }));
         }
         let listing: Listing = read(&self.store_address(), "/v1/claim").await;
         let values = listing.objects.into_iter().filter_map(|o| o.value);
         let claims = values.filter_map(|v| serde_json::from_value::<Claims>(v).ok()).collect();
-        Record { calls: seen, runs: ran, claims, rules: rules(pipeline) }
+        Record { calls, runs, claims, rules: rules(pipeline) }
     }
 }
 
@@ -396,7 +396,7 @@
         kill(pid, Signal::SIGTERM).expect("our own child");
         load.await
     };
-    let cut = part.1.iter().filter(|s| s.broken && !s.text.is_empty()).count();
+    let cut = part.1.iter().filter(|s| s.disconnected && !s.text.is_empty()).count();
     assert_eq!(cut, 0, "a planned stop cuts off no stream");
     orders.extend(part.0);
     minutes.extend(part.1);
