--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -81,7 +81,10 @@
             assert!(!fleet.observe(&id(before), end, at(50)), "{end:?}");
         }
         let belief = fleet.get(&id(after)).expect("known");
-        assert_eq!((belief.outstanding, belief.prefill_tokens, belief.failure_rate(at(40))), (1, 300, 0.0));
+        assert_eq!(
+            (belief.outstanding, belief.prefill_tokens, belief.failure_rate(at(40))),
+            (1, 300, 0.0)
+        );
         assert!(!belief.is_ejected(at(50)) && belief.next_start == at(0));
     }
 }
@@ -329,7 +332,11 @@
     assert_eq!(scheduler.queued_tokens(&id(18)), 17_000);
     scheduler.finish_prompt(&id(17), &"p2".into(), at(20_200));
     scheduler.cancel_prompt(&id(17), &"p2".into());
-    assert_eq!(scheduler.queued_tokens(&id(18)), 17_000, "events of the previous start do not affect it");
+    assert_eq!(
+        scheduler.queued_tokens(&id(18)),
+        17_000,
+        "events of the previous start do not affect it"
+    );
     scheduler.finish_prompt(&id(18), &"p2".into(), at(20_200));
     assert_eq!(scheduler.queued_tokens(&id(18)), 0);
 }
