--- a/crates/decide/src/prefill/mod.rs
+++ b/crates/decide/src/prefill/mod.rs
@@ -6,11 +6,11 @@
 //! of them, the scheduler, which tracks the tokens queued at each engine of one service in one
 //! failure domain.
 //!
-//! The scheduler needs no lease: two schedulers each see part of the work, prompts are placed
-//! without a lost one, and a prompt whose end is not reported expires. Work is counted in prompt
-//! tokens, and engine throughput is learned from finished prompts. A prompt whose first event is in
-//! time at the engine with its prefix goes there even if another engine would be sooner, which
-//! avoids reading the prefix twice.
+//! The scheduler needs no lease: two schedulers each see part of the work, nodes can do without one
+//! that is lost, and a prompt whose end is not reported expires. Work is counted in prompt tokens,
+//! and engine throughput is learned from finished prompts. A prompt whose first event is in time at
+//! the engine with its prefix goes there even if another engine would be sooner, which avoids
+//! reading the prefix twice.
 
 mod throughput;
 
--- a/crates/decide/tests/batch.rs
+++ b/crates/decide/tests/batch.rs
@@ -1,4 +1,4 @@
-//! The batch coordinator: what goes into a call, where, and what is answered.
+//! Batch coordinator: the contents and placement of calls, and the answers to orders.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -16,21 +16,21 @@
 fn orders_queued_while_workers_are_busy_share_the_next_call() {
     let mut c = coordinator(&[("m1", "a")]);
     let first = calls(&c.handle(at(0), order_event(1, order("r1", 2))));
-    assert_eq!(first.len(), 1, "a free worker does not wait for more");
+    assert_eq!(first.len(), 1, "a free worker gets a call at once");
     for id in 2..=4 {
         let more = c.handle(at(10), order_event(id, order(&format!("r{id}"), 3)));
         assert!(calls(&more).is_empty(), "one call at a time at a worker with one slot");
     }
     let next = c.handle(at(120), Event::CallEnded(first[0].number, made(&first[0])));
     assert_eq!(answers(&next).len(), 1);
-    assert_eq!(calls(&next)[0].pieces.len(), 9, "three requests ride together");
+    assert_eq!(calls(&next)[0].pieces.len(), 9, "three requests share a call");
 }
 
 #[test]
 fn an_order_late_in_a_typically_filled_call_goes_last() {
     let mut c = coordinator(&[("m1", "a")]);
     let first = calls(&c.handle(at(0), order_event(1, order("busy", 1))));
-    // One piece takes 110 ms, a call as full as usual 170 ms.
+    // One piece takes 110 ms, a typically filled call 170 ms.
     let late = BatchOrder { slack_ms: 300, ..order("late", 1) };
     let in_time = BatchOrder { slack_ms: 330, ..order("in-time", 5) };
     for (id, order) in [(2, late), (3, in_time)] {
@@ -58,9 +58,9 @@
 
 fn piece_of(result: &PieceResult) -> String {
     let PieceResult::Made(handle) = result else {
-        panic!("{result:?} was not made");
+        panic!("{result:?} is no completed piece");
     };
-    handle.text.rsplit_once('/').expect("a call's number ends it").0.to_string()
+    handle.text.rsplit_once('/').expect("handles end with the call number").0.to_string()
 }
 
 #[test]
@@ -78,7 +78,7 @@
     assert_eq!(in_order[..6], ["urgent"; 6]);
     assert_eq!(in_order[6..], ["patient"; 4], "the call is filled with part of the next order");
     let then = calls(&c.handle(at(300), Event::CallEnded(next[0].number, made(&next[0]))));
-    assert_eq!(&*then[0].pieces[0].attempt, "patient", "a begun order is ended first");
+    assert_eq!(&*then[0].pieces[0].attempt, "patient", "a started order is completed first");
     assert_eq!(&*then[0].pieces[2].attempt, "hopeless");
 }
 
@@ -93,8 +93,13 @@
         ..order("large", 2)
     };
     let cases = [
-        ("waits for a worker at home", large(2, 2000), &[("m1", "a"), ("m2", "b")][..], "m2"),
-        ("goes elsewhere if home has no worker", large(2, 2000), &[("m1", "a")][..], "m1"),
+        (
+            "waits for a worker in its own domain",
+            large(2, 2000),
+            &[("m1", "a"), ("m2", "b")][..],
+            "m2",
+        ),
+        ("goes elsewhere if its domain has no worker", large(2, 2000), &[("m1", "a")][..], "m1"),
     ];
     for (what, order, present, worker) in cases {
         let mut c = coordinator(present);
@@ -105,9 +110,9 @@
     let busy = BatchOrder { near: Some("b".into()), ..large(2, 2000) };
     c.handle(at(0), order_event(1, busy));
     let patient = c.handle(at(1), order_event(2, large(2, 200)));
-    assert!(calls(&patient).is_empty(), "a patient one waits for its busy home");
+    assert!(calls(&patient).is_empty(), "a patient order waits for its busy domain");
     let pressed = calls(&c.handle(at(2), order_event(3, large(1, 200))));
-    assert_eq!(&*pressed[0].worker.name, "m1", "an urgent one that is pressed for time does not");
+    assert_eq!(&*pressed[0].worker.name, "m1", "an urgent order short of time does not");
 }
 
 #[test]
@@ -119,7 +124,10 @@
     assert_eq!(first[0].pieces.len(), 4);
     let ended = c.handle(at(150), Event::CallEnded(first[0].number, made(&first[0])));
     let kept = answers(&ended)[0].1.clone();
-    assert!(calls(&c.handle(at(160), order_event(2, heavy("r2")))).is_empty(), "4 of 4.5 MB kept");
+    assert!(
+        calls(&c.handle(at(160), order_event(2, heavy("r2")))).is_empty(),
+        "4 of 4.5 MB are in use"
+    );
     let handles = kept
         .into_iter()
         .filter_map(|r| match r {
@@ -140,9 +148,9 @@
     let light = calls(&c.handle(at(3), order_event(2, order("light", 2)))).remove(0);
     assert!(light.pieces.iter().all(|p| &*p.attempt == "light"));
     let ended = c.handle(at(100), Event::CallEnded(light.number, made(&light)));
-    assert!(calls(&ended).is_empty(), "there was no room a moment ago");
+    assert!(calls(&ended).is_empty(), "the lack of room was reported recently");
     let again = calls(&c.handle(at(200), Event::Tick)).pop();
-    assert!(again.is_some_and(|call| &*call.pieces[0].attempt == "heavy"), "it is tried again");
+    assert!(again.is_some_and(|call| &*call.pieces[0].attempt == "heavy"), "it is retried");
 }
 
 #[test]
@@ -200,7 +208,7 @@
         seen.push(call.worker.clone());
     };
     assert_eq!(results, [PieceResult::Failed, PieceResult::Failed]);
-    assert_ne!(seen[0], seen[1], "the worker that failed is left out for a while");
+    assert_ne!(seen[0], seen[1], "the failed worker is ejected");
     assert_eq!(seen.len(), 4);
 }
 
@@ -212,7 +220,7 @@
     let mut failed = first.worker.clone();
     for ms in (100..900).step_by(50) {
         let out = c.handle(at(ms), Event::Tick);
-        assert!(calls(&out).is_empty(), "the other worker is at work, this one is in doubt");
+        assert!(calls(&out).is_empty(), "the other worker is busy, this one is ejected");
         for worker in probes(&out) {
             assert_eq!(worker, first.worker);
             failed = worker;
@@ -220,9 +228,9 @@
     }
     c.handle(at(900), order_event(2, BatchOrder { slack_ms: 6000, ..order("r2", 2) }));
     c.handle(at(910), Event::Probed(failed.clone(), false));
-    assert!(calls(&c.handle(at(920), Event::Tick)).is_empty(), "it gave none");
+    assert!(calls(&c.handle(at(920), Event::Tick)).is_empty(), "the probe got no answer");
     let again = probes(&c.handle(at(5000), Event::Tick));
-    assert_eq!(again, [failed.clone()], "and is asked again later");
+    assert_eq!(again, [failed.clone()], "it is probed again later");
     let back = calls(&c.handle(at(5001), Event::Probed(failed.clone(), true)));
     assert_eq!(back[0].worker, failed);
 }
@@ -239,7 +247,7 @@
     let ended = answers(&c.handle(at(300), Event::Tick));
     assert_eq!(ended, [(2, vec![PieceResult::Late; 2])]);
     let next = calls(&c.handle(at(310), Event::CallEnded(first[0].number, made(&first[0]))));
-    assert_eq!(next[0].pieces.len(), 2, "who came too late is made when nobody else waits");
+    assert_eq!(next[0].pieces.len(), 2, "an order late on arrival runs when no other waits");
 }
 
 #[test]
@@ -261,7 +269,7 @@
     c.handle(at(0), order_event(1, order("busy", 10)));
     c.handle(at(0), order_event(2, BatchOrder { slack_ms: 300, ..order("starved", 2) }));
     assert!(answers(&c.handle(at(2000), Event::Tick)).is_empty());
-    assert_eq!(answers(&c.handle(at(8000), Event::Tick)).len(), 2, "its time is over");
+    assert_eq!(answers(&c.handle(at(8000), Event::Tick)).len(), 2, "its deadline has passed");
 }
 
 #[test]
@@ -295,9 +303,9 @@
     assert_eq!(c.handle(at(2), Event::HandOver), [Action::HandOver(2)]);
     let kept = Event::Order { id: 3, order: order("kept", 1), pinned: true };
     c.handle(at(3), kept);
-    assert!(c.handle(at(4), Event::HandOver).is_empty(), "nobody else is to make a pinned one");
+    assert!(c.handle(at(4), Event::HandOver).is_empty(), "a pinned order is not handed over");
     let ended = c.handle(at(120), Event::CallEnded(first[0].number, made(&first[0])));
-    assert_eq!(answers(&ended).len(), 1, "what was begun is ended here");
+    assert_eq!(answers(&ended).len(), 1, "a started order is completed here");
 }
 
 #[test]
@@ -318,10 +326,10 @@
     );
     let mut none = Coordinator::new(pool(), Policy::default());
     none.handle(at(0), order_event(1, order("r", 1)));
-    assert_eq!(none.waits(at(0)).of(Rank::of(None, 0)), u32::MAX, "nobody makes anything");
+    assert_eq!(none.waits(at(0)).of(Rank::of(None, 0)), u32::MAX, "there is no worker");
 }
 
-/// Steps of a world in which calls end in any order and way.
+/// Steps of a simulation in which calls end in any order and with any outcome.
 #[derive(Debug, Clone)]
 enum Step {
     Order { pieces: u32, rank: u8, near: u8 },
@@ -354,7 +362,7 @@
     in_flight: Vec<Call>,
     probed: Vec<TargetId>,
     ended: Vec<Call>,
-    /// Results that were handed out or freed, by their handles.
+    /// Handles of results that were returned or freed.
     settled: BTreeSet<String>,
 }
 
@@ -365,7 +373,7 @@
                 Action::Start(call) => {
                     prop_assert!(call.pieces.len() <= pool().batch);
                     let same = self.in_flight.iter().filter(|f| f.worker == call.worker).count();
-                    prop_assert!(same < 1, "two calls at once at {}", call.worker);
+                    prop_assert!(same < 1, "concurrent calls at {}", call.worker);
                     self.in_flight.push(call);
                 }
                 Action::Answer(id, results) => {
@@ -382,10 +390,7 @@
                 Action::Probe(worker) => self.probed.push(worker),
                 Action::Free(handles) => {
                     for handle in handles {
-                        prop_assert!(
-                            self.settled.insert(handle.text),
-                            "handed out or freed before"
-                        );
+                        prop_assert!(self.settled.insert(handle.text), "returned or freed before");
                     }
                 }
                 Action::HandOver(_) | Action::Overdue { .. } => {}
@@ -413,8 +418,8 @@
 }
 
 proptest! {
-    /// Whatever calls do, each order is answered once, whole and with its own pieces,
-    /// and no worker gets more calls at once than it has slots.
+    /// For any outcome of calls, each order is answered once and completely with its own pieces,
+    /// and no worker gets more concurrent calls than it has slots.
     #[test]
     fn each_order_is_answered_once_with_its_own_pieces(steps in prop::collection::vec(step(), 1..120)) {
         let all = [("m1", "a"), ("m2", "a"), ("m3", "b"), ("m4", "c")];
@@ -459,7 +464,7 @@
                 world.apply(actions)?;
             }
         }
-        // In the end every worker is back and every call ends well.
+        // At the end all workers are present and every call succeeds.
         let actions = c.handle(at(world.now), workers(&all));
         world.apply(actions)?;
         for _ in 0..2000 {
@@ -502,7 +507,7 @@
     let gap = Duration::from_millis(800);
     c.handle(at(1), cold(Some(gap)));
     let first = calls(&c.handle(at(1), order_event(1, order("r1", 10))));
-    assert_eq!(first.len(), 1, "the first call goes out at once");
+    assert_eq!(first.len(), 1, "the first call starts at once");
     c.handle(at(1), order_event(2, order("r2", 10)));
     let after = c.handle(at(201), Event::CallEnded(first[0].number, made(&first[0])));
     assert_eq!(calls(&after), [], "the next one waits although the worker is free");
@@ -510,8 +515,8 @@
     assert_eq!(calls(&c.handle(at(801), Event::Tick)).len(), 1);
     let mut c = Coordinator::new(pool(), Policy::default());
     c.handle(at(1), cold(Some(Duration::MAX)));
-    assert_eq!(calls(&c.handle(at(1), order_event(1, order("r1", 10)))), [], "it is left alone");
-    assert_eq!(calls(&c.handle(at(900), cold(None))).len(), 1, "it is warm");
+    assert_eq!(calls(&c.handle(at(1), order_event(1, order("r1", 10)))), [], "it gets no calls");
+    assert_eq!(calls(&c.handle(at(900), cold(None))).len(), 1, "it is no longer cold");
 }
 
 #[test]
@@ -528,7 +533,7 @@
     let again = calls(&c.handle(at(50), Event::CallEnded(started[0].number, CallEnd::Failed)));
     assert!(again.is_empty(), "its only worker failed");
     let again = calls(&c.handle(at(51), workers(&[("m2", "a")])));
-    assert_eq!(again[0].pieces.len(), 6, "one failure is chance");
+    assert_eq!(again[0].pieces.len(), 6, "one failure does not isolate an order");
     c.handle(at(100), Event::CallEnded(again[0].number, CallEnd::Failed));
     let alone = calls(&c.handle(at(101), workers(&[("m3", "a"), ("m4", "a")])));
     for call in &alone {
--- a/crates/decide/tests/batch_calls.rs
+++ b/crates/decide/tests/batch_calls.rs
@@ -1,4 +1,4 @@
-//! How long calls are, and what it counts as when several of one order fail.
+//! Sizes of calls, and how several failed calls of one order count.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -8,8 +8,9 @@
 use model::forward::BatchOrder;
 use support::{answers, at, calls, coordinator, made, order, order_event, pool};
 
-/// Twenty workers at which orders of nine pieces come each so many milliseconds and calls take as
-/// long as their pieces say; the mean time of an order in the second half, and pieces a call.
+/// Simulates twenty workers that get an order of nine pieces every `every_ms`, with calls as long
+/// as their pieces require. Returns the mean time of an order in the second half, and the mean
+/// number of pieces in a call.
 fn simulate(every_ms: u64) -> (f64, f64) {
     let names: Vec<String> = (0..20).map(|i| format!("m{i}")).collect();
     let all: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "a")).collect();
@@ -48,7 +49,7 @@
 fn calls_are_short_while_workers_are_idle_and_full_under_load() {
     let (idle_ms, idle_pieces) = simulate(100);
     assert!(idle_ms <= 135.0 && idle_pieces <= 4.0, "{idle_ms} ms, {idle_pieces} pieces a call");
-    // 0.95 of what twenty workers bear in full calls.
+    // 0.95 of the capacity of twenty workers with full calls.
     let (busy_ms, busy_pieces) = simulate(10);
     assert!(busy_ms <= 300.0 && busy_pieces >= 8.5, "{busy_ms} ms, {busy_pieces} pieces a call");
 }
@@ -73,5 +74,5 @@
     let ended = in_flight.into_iter().flat_map(|call| {
         answers(&c.handle(at(400), Event::CallEnded(call.number, CallEnd::Failed)))
     });
-    assert_eq!(ended.count(), 1, "it is given up after the fourth");
+    assert_eq!(ended.count(), 1, "it fails after the fourth failure");
 }
--- a/crates/decide/tests/batch_overdue.rs
+++ b/crates/decide/tests/batch_overdue.rs
@@ -1,4 +1,4 @@
-//! The batch coordinator: calls that are late, slow or lost.
+//! Batch coordinator: calls that are late, slow or lost.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -8,7 +8,7 @@
 use model::forward::{BatchOrder, Policy, Rank, StagePool};
 use support::{answers, at, calls, coordinator, made, order, order_event, pool, probes, workers};
 
-/// Pieces that the actions ask for once more.
+/// Number of pieces that the actions repeat.
 fn repeated_pieces(actions: &[Action]) -> usize {
     let repeated = |a: &Action| match a {
         Action::Overdue { repeated, .. } => *repeated,
@@ -26,7 +26,7 @@
     assert_eq!(repeated_pieces(&overdue), 10);
     let second = calls(&overdue).remove(0);
     assert_ne!(first.worker, second.worker);
-    assert_eq!(repeated_pieces(&c.handle(at(460), Event::Tick)), 0, "once");
+    assert_eq!(repeated_pieces(&c.handle(at(460), Event::Tick)), 0, "pieces are repeated once");
     let answered = c.handle(at(650), Event::CallEnded(second.number, made(&second)));
     assert_eq!(answers(&answered).len(), 1);
     let late = c.handle(at(1900), Event::CallEnded(first.number, made(&first)));
@@ -44,7 +44,7 @@
     assert_eq!(
         repeated_pieces(&c.handle(at(450), Event::Tick)),
         10,
-        "they wait: no other worker is there"
+        "queued: there is no other worker"
     );
     let ended = c.handle(at(600), Event::CallEnded(first.number, made(&first)));
     assert_eq!(answers(&ended).len(), 1);
@@ -60,7 +60,7 @@
     let overdue = c.handle(at(450), Event::Tick);
     assert_eq!((repeated_pieces(&overdue), answers(&overdue).len()), (10, 0));
     let ended = c.handle(at(500), Event::CallEnded(first.number, made(&first)));
-    assert_eq!(answers(&ended).len(), 1, "late, but made");
+    assert_eq!(answers(&ended).len(), 1, "late, but completed");
 }
 
 #[test]
@@ -79,7 +79,7 @@
             now += 10;
             !probes(&c.handle(at(now), Event::Tick)).is_empty()
         });
-        assert!(due.is_some(), "it is asked for a sign of life");
+        assert!(due.is_some(), "it is probed");
         ejections.push(now - ended);
         call = calls(&c.handle(at(now), Event::Probed("m1".into(), true))).remove(0);
     }
@@ -95,12 +95,12 @@
     for call in &late {
         c.handle(at(900), Event::CallEnded(call.number, made(call)));
     }
-    // 300 ms without a call, and no word that nobody works.
+    // 300 ms until calls are accepted again, instead of reporting no worker.
     assert_eq!([900, 1000, 1200].map(|ms| wait(&mut c, ms)), [300, 200, 0]);
     let mut c = coordinator(&[("m1", "a")]);
     let failed = calls(&c.handle(at(0), order_event(1, order("r1", 10)))).remove(0);
     c.handle(at(10), Event::CallEnded(failed.number, CallEnd::Failed));
-    assert_eq!(wait(&mut c, 20), u32::MAX, "one that failed may be gone");
+    assert_eq!(wait(&mut c, 20), u32::MAX, "a failed worker may be lost");
 }
 
 #[test]
@@ -116,7 +116,7 @@
     for ms in (40..4000).step_by(40) {
         repeated += repeated_pieces(&c.handle(at(ms), Event::Tick));
     }
-    assert_eq!(repeated, 50, "half of what ten workers work on at once");
+    assert_eq!(repeated, 50, "half of the capacity of ten workers");
 }
 
 #[test]
@@ -163,7 +163,7 @@
     assert_eq!(
         repeated_pieces(&c.handle(at(now + 1350), Event::Tick)),
         0,
-        "it may take 1.6 of the usual time"
+        "it may take 1.6 of the typical time"
     );
     assert_eq!(repeated_pieces(&c.handle(at(now + 1650), Event::Tick)), 10);
 }
--- a/crates/decide/tests/batch_pool.rs
+++ b/crates/decide/tests/batch_pool.rs
@@ -1,4 +1,4 @@
-//! What a coordinator is told of its workers, and what its work grows with.
+//! Announcements of workers to the coordinator, and its cost by pool size.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -26,7 +26,7 @@
     PoolId { service: "engine".into(), region: None }
 }
 
-/// Workers looked at for each order of two pieces, in a pool of this many.
+/// Worker entries examined per order of two pieces, in a pool of this size.
 fn visited(workers: usize) -> f64 {
     const ORDERS: u64 = 500;
     let mut fleet = Fleet::default();
@@ -43,7 +43,7 @@
     let before = c.visited();
     for i in 0..ORDERS {
         let now = at(10 + i * 4);
-        // A replica is replaced each 40 ms.
+        // One replica is replaced every 40 ms.
         if i % 10 == 0 {
             fleet.upsert(target(&format!("n{i}"), "a"), now);
             fleet.vanish(&format!("m{}", i / 10).as_str().into(), None, at(0));
@@ -64,7 +64,8 @@
     assert!(large < 20.0, "{large}");
 }
 
-/// Nodes that follow evacuations use nothing before the first list, which is empty as a rule.
+/// Nodes that follow evacuations use no target before the first list, which is usually empty. That
+/// list must announce the workers.
 #[test]
 fn an_empty_first_evacuation_list_announces_the_workers() {
     let map = Map::new("a".into(), Regions::default());
@@ -81,7 +82,7 @@
     assert_eq!(announced.len(), 1, "{announced:?}");
 }
 
-/// What may change about five targets.
+/// Changes to five targets.
 #[derive(Debug, Clone)]
 enum Change {
     Entry { which: usize, draining: bool, cold: bool, service: bool, version: bool, start: u64 },
@@ -154,14 +155,14 @@
 
 fn all_of(event: Option<Event>) -> BTreeMap<TargetId, WorkerInfo> {
     let Some(Event::Workers(workers)) = event else {
-        panic!("a first look tells all: {event:?}");
+        panic!("a new feed starts with a snapshot: {event:?}");
     };
     workers.into_iter().map(|m| (m.id.clone(), m)).collect()
 }
 
 proptest! {
-    /// Whatever changes, and when, a feed that tells changes alone knows what one that has just
-    /// begun tells as a whole, and no worker that is unusable.
+    /// After any changes at any time, the accumulated deltas of a feed equal the snapshot of a new
+    /// feed, and contain no unusable worker.
     #[test]
     fn worker_deltas_match_full_snapshots(
         changes in prop::collection::vec(change(), 1..60),
@@ -184,7 +185,7 @@
             match feed.next_event(&fleet, &engines(), &map, Some(COLD), at(now)) {
                 Some(Event::WorkersChanged { updated, removed }) => {
                     for id in removed {
-                        prop_assert!(known.remove(&id).is_some(), "{id} was never told of");
+                        prop_assert!(known.remove(&id).is_some(), "{id} was never announced");
                     }
                     known.extend(updated.into_iter().map(|m| (m.id.clone(), m)));
                 }
--- a/crates/decide/tests/batch_trial.rs
+++ b/crates/decide/tests/batch_trial.rs
@@ -1,4 +1,4 @@
-//! Workers of a version on trial beside those that serve.
+//! Workers of a version on trial beside the serving ones.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -23,8 +23,8 @@
     Event::Workers(serving.chain(trial).collect())
 }
 
-/// Makes orders one after the other; pieces that went to the version on trial after each, and
-/// all pieces until then.
+/// Runs orders one after the other. Returns, after each call, the pieces sent to the version on
+/// trial and all pieces sent.
 fn run(c: &mut Coordinator, sizes: &[u32]) -> Vec<(usize, usize)> {
     let (mut trial, mut all, mut counts) = (0, 0, Vec::new());
     for (n, size) in sizes.iter().enumerate() {
@@ -52,8 +52,8 @@
 }
 
 proptest! {
-    /// A version on trial gets its part of all pieces at most, whatever the orders, and gets
-    /// near to that where its workers can take so much beside the others.
+    /// A version on trial never exceeds its share of all pieces, and comes close to it if its
+    /// workers have the capacity.
     #[test]
     fn a_version_on_trial_gets_its_share_of_the_pieces(
         sizes in proptest::collection::vec(1u32..30, 1..60),
--- a/crates/decide/tests/forecast.rs
+++ b/crates/decide/tests/forecast.rs
@@ -1,4 +1,4 @@
-//! What a request's first event is expected at, and who is refused for it.
+//! Expected time to first event of a request, and the admission decision.
 
 use std::time::Duration;
 
@@ -110,13 +110,13 @@
     let encode = |region, allowed, bytes| queue("encode", Some(region), allowed, bytes);
     let reported = [(encode("north", &any, 0), 90), (encode("north", &north, 0), 700)];
     let cases = [
-        (encode("north", &any, 0), 90, "passed on where it is sooner"),
-        (encode("north", &north, 0), 700, "kept in its region, where all wait"),
-        (encode("north", &any, LARGE), 90, "not heard of large ones: as long as others at least"),
-        (encode("north", &south, 0), 90, "not heard of its kind: as long as any at least"),
-        (encode("south", &any, 0), 0, "another region's workers are not these"),
-        (encode("south", &south, 0), 0, "nor if no other is allowed"),
-        (queue("encode", None, &any, 0), 0, "nor all regions' together"),
+        (encode("north", &any, 0), 90, "spills where it is sooner"),
+        (encode("north", &north, 0), 700, "kept in its region"),
+        (encode("north", &any, LARGE), 90, "no report for large orders: bounded by the others"),
+        (encode("north", &south, 0), 90, "no report for its regions: bounded by the others"),
+        (encode("south", &any, 0), 0, "another region's queue"),
+        (encode("south", &south, 0), 0, "another region's queue, with only that region allowed"),
+        (queue("encode", None, &any, 0), 0, "the common queue of all regions"),
         (queue("draft", Some("north"), &any, 0), 0, "another service"),
     ];
     let mut forecast = Forecast::default();
@@ -141,9 +141,9 @@
     let mut forecast = Forecast::default();
     forecast.record(wider.clone(), one(900), Time::ZERO);
     forecast.record(own.clone(), one(0), Time::from_millis(100));
-    assert_eq!(wait(&forecast), ms(1), "the queue has been worked off since");
+    assert_eq!(wait(&forecast), ms(1), "the later report shows an empty queue");
     forecast.record(wider, one(900), Time::from_millis(100));
-    assert_eq!(wait(&forecast), ms(901), "both are as new: the wider one is a bound");
+    assert_eq!(wait(&forecast), ms(901), "both are equally new: the wider one is a lower bound");
 }
 
 #[test]
@@ -183,12 +183,12 @@
 fn waits_that_exceed_the_spare_time_share_refuse_a_request() {
     let cases = [
         (400, 0, true, "no wait"),
-        (400, 200, true, "a third of the 600 ms that it has to spare"),
-        (400, 300, false, "half of them"),
-        (900, 140, true, "tight, but less than a call's wait"),
-        (900, 200, false, "tight, and more than that"),
-        (1200, 0, true, "never in time: served late, for no wait is to blame"),
-        (1200, 200, false, "never in time, and others wait"),
+        (400, 200, true, "a third of the spare 600 ms"),
+        (400, 300, false, "half of the spare 600 ms"),
+        (900, 140, true, "tight objective, wait within the tolerance"),
+        (900, 200, false, "tight objective, wait above the tolerance"),
+        (1200, 0, true, "never in time: served late, since no wait causes it"),
+        (1200, 200, false, "never in time, and there is a wait"),
     ];
     for (least, waits, is_admitted, why) in cases {
         let admission = decide_admission(times(least, waits), ms(1000), ms(8000));
@@ -203,7 +203,7 @@
         Admission::Admit => panic!("a wait of {waits} ms for an objective of 1 s is refused"),
     };
     let (soon, late) = (retry_after(800), retry_after(4600));
-    assert!(soon < late, "{soon:?} and {late:?}: the later, the more there is to work off");
+    assert!(soon < late, "{soon:?} and {late:?}: a longer queue takes longer to drain");
 }
 
 proptest! {
@@ -232,10 +232,13 @@
     forecast.record(of_service.clone(), waits(u32::MAX), Time::ZERO);
     assert!(expected(&forecast, &[1, 1, 1], 1, 400) > ms(60_000));
     forecast.worker_added(&"second".into());
-    assert!(expected(&forecast, &[1, 1, 1], 1, 400) > ms(60_000), "it is another service's");
+    assert!(
+        expected(&forecast, &[1, 1, 1], 1, 400) > ms(60_000),
+        "another service's worker was added"
+    );
     forecast.worker_added(&service);
     assert_eq!(expected(&forecast, &[1, 1, 1], 1, 400), least);
     forecast.record(of_service, waits(900), Time::ZERO);
     forecast.worker_added(&service);
-    assert!(expected(&forecast, &[1, 1, 1], 1, 0) > least, "a wait is as long as it was told");
+    assert!(expected(&forecast, &[1, 1, 1], 1, 0) > least, "reported waits are kept");
 }
--- a/crates/decide/tests/place.rs
+++ b/crates/decide/tests/place.rs
@@ -1,5 +1,5 @@
-//! Placement: rollouts that never leave a stage without a server, drains that
-//! wait for replacements, damped loads, and fencing at targets.
+//! Placement: rollouts that never leave a stage without a server, drains that wait for
+//! replacements, rate-limited loads, and the lease epochs in orders that fence targets.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -97,8 +97,8 @@
 fn loads_are_limited_and_reach_the_replica_count() {
     let mut w = World::new(6, "", 4);
     let first = w.plan();
-    assert_eq!(first.len(), 2, "two loads at a time: {first:?}");
-    assert!(w.plan().is_empty(), "nothing is sent twice while it is under way");
+    assert_eq!(first.len(), 2, "two concurrent loads: {first:?}");
+    assert!(w.plan().is_empty(), "no order is sent twice while in flight");
     first.iter().for_each(|o| w.apply(o));
     w.settle(|_| {});
     assert_eq!(w.serving(&["m@v1"]), 4);
@@ -110,7 +110,7 @@
     w.set.models.get_mut("m").expect("declared").version = "v2".into();
     w.settle(|w| assert!(w.serving(&["m@v1", "m@v2"]) >= 4));
     assert_eq!(w.serving(&["m@v2"]), 4);
-    assert_eq!(w.serving(&["m@v1"]), 0, "the former version is retired");
+    assert_eq!(w.serving(&["m@v1"]), 0, "the former version is unloaded");
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let mut w = World::new(3, "m@v1", 3);
     w.set.models.get_mut("m").expect("declared").version = "v2".into();
     for _ in 0..20 {
-        // Orders are lost: nothing is obeyed.
+        // Orders are lost, so none takes effect.
         let orders = w.plan();
         assert!(orders.iter().all(|o| !matches!(o.task, Task::Unload(_))), "{orders:?}");
         w.now = w.now + Duration::from_secs(6);
@@ -130,7 +130,8 @@
 fn a_drained_host_is_replaced_before_it_drains() {
     let mut w = World::new(3, "", 1);
     w.settle(|_| {});
-    let holder = w.reports.values().find(|n| !n.report.models.is_empty()).expect("one holds it");
+    let holder =
+        w.reports.values().find(|n| !n.report.models.is_empty()).expect("one target serves it");
     let host: Name = holder.report.target.replace('e', "h").into();
     w.set.drains.insert(host.clone(), Drain { host, reason: String::new() });
     w.settle(|w| assert!(w.serving(&["m@v1"]) >= 1));
--- a/crates/decide/tests/prefill.rs
+++ b/crates/decide/tests/prefill.rs
@@ -1,4 +1,4 @@
-//! Which engine reads a long prompt.
+//! Choice of the engine that prefills a long prompt.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,10 @@
 use model::forward::{Allowed, PrefillAsk, Side, TargetId};
 use model::{Name, Time, hash};
 
-/// Tokens of a long prompt, and of its shared parts.
+/// Tokens of a long prompt, and of its shared prefix.
 const TOKENS: u64 = 17_000;
 const SHARED: u64 = 13_000;
-/// Age from which on a scheduler knows what engines keep.
+/// Age from which a scheduler no longer assumes that prefixes are at their first home.
 const OLD_MS: u64 = 10_000;
 
 fn at(ms: u64) -> Time {
@@ -67,14 +67,14 @@
     let found: Vec<TargetId> =
         (0..5).map(|i| place(&mut scheduler, i, 1 << 40, OLD_MS).engine).collect();
     let distinct: BTreeSet<&TargetId> = found.iter().collect();
-    assert!(distinct.len() >= 2, "one home takes some, others the rest: {found:?}");
+    assert!(distinct.len() >= 2, "prompts of one home are spread: {found:?}");
     let mut scheduler = Scheduler::new(at(0));
     for (i, busy) in homes.iter().take(2).enumerate() {
         let only = [busy.clone()];
         scheduler.place(&ask(i, 90 + i as u64), &only, at(OLD_MS)).expect("an engine");
     }
     let placement = place(&mut scheduler, 7, 1, OLD_MS + 1);
-    assert_eq!(placement.engine, homes[2], "the first that has nothing to read");
+    assert_eq!(placement.engine, homes[2], "the first idle engine");
     assert!(!placement.is_cached);
 }
 
@@ -88,14 +88,14 @@
     assert_eq!(
         scheduler.queued_tokens(&first.engine),
         TOKENS - SHARED,
-        "only its own part is read"
+        "only the tokens beyond its prefix are read"
     );
     let only = [first.engine.clone()];
     for i in 10..12 {
         scheduler.place(&ask(i, 100 + i as u64), &only, at(OLD_MS + 600)).expect("an engine");
     }
     let third = place(&mut scheduler, 2, 1, OLD_MS + 700);
-    assert_ne!(third.engine, first.engine, "two whole prompts wait there");
+    assert_ne!(third.engine, first.engine, "two whole prompts are queued there");
     assert_eq!((third.tokens_ahead, third.is_cached), (0, false));
 }
 
@@ -104,7 +104,8 @@
     let mut scheduler = Scheduler::new(at(0));
     let first = place(&mut scheduler, 0, 1, OLD_MS);
     scheduler.finish_prompt(&first.engine, &attempt(0), at(OLD_MS + 340));
-    // 50 tokens a millisecond were seen. Two whole prompts wait there now: 760 ms with its own part.
+    // The throughput is 50 tokens per millisecond. Two whole prompts are queued there now: 760 ms
+    // with the prompt's own part.
     let only = [first.engine.clone()];
     for i in 10..12 {
         scheduler.place(&ask(i, 100 + i as u64), &only, at(OLD_MS + 400)).expect("an engine");
@@ -128,7 +129,7 @@
     assert_eq!(scheduler.queued_tokens(&placement.engine), 0);
     let lost = place(&mut scheduler, 1, 1, OLD_MS + 100);
     place(&mut scheduler, 2, 55, OLD_MS + 100 + 4_000);
-    assert!(scheduler.queued_tokens(&lost.engine) < TOKENS, "its end will not come any more");
+    assert!(scheduler.queued_tokens(&lost.engine) < TOKENS, "it has expired");
 }
 
 #[test]
@@ -140,7 +141,7 @@
     assert_eq!(
         (&placement.engine, placement.is_cached),
         (&homes[0], true),
-        "another prompt waits there"
+        "despite another prompt queued there"
     );
 }
 
@@ -156,14 +157,14 @@
     assert!(most.unwrap() - least.unwrap() <= 2 * TOKENS, "{waiting:?}");
 }
 
-/// Engines that read one prompt after the other, each at the same speed.
+/// Engines that read one prompt at a time, all at the same speed.
 struct Engines {
     free_at: Vec<f64>,
     cached: BTreeSet<(usize, u64)>,
     read: u64,
 }
 
-/// Speed of an engine, tokens a millisecond.
+/// Speed of an engine in tokens per millisecond.
 const SPEED: f64 = 61.2;
 
 impl Engines {
@@ -171,7 +172,7 @@
         Engines { free_at: vec![0.0; n], cached: BTreeSet::new(), read: 0 }
     }
 
-    /// When a prompt that comes now has been read.
+    /// When a prompt that arrives now has been read.
     fn read_prompt(&mut self, i: usize, home: u64, now: f64) -> f64 {
         let is_cached = !self.cached.insert((i, home));
         let tokens = if is_cached { TOKENS - SHARED } else { TOKENS };
@@ -181,15 +182,14 @@
     }
 }
 
-/// 90th percentile of the times to read in a burst, and tokens read, with the engine of
-/// each prompt found by `choose` from its number, its home and the time; `tell` hears of
-/// each prompt that has been read.
+/// Simulates a burst. `choose` picks the engine of each prompt from its number, home and arrival
+/// time. Returns the 90th percentile of the read times in milliseconds, and the tokens read.
 fn burst(choose: impl Fn(&mut Scheduler, usize, u64, u64) -> usize) -> (f64, u64) {
     const ENGINES: usize = 32;
     const PROMPTS: usize = 1_500;
-    /// A burst of the users' bench: 64 prompts a second for 32 engines.
+    /// Mean arrival interval: 64 prompts a second for 32 engines, a burst of the users' benchmark.
     const GAP_MS: f64 = 15.6;
-    /// So many that most are read for the first time, as in the first burst of a day.
+    /// Enough homes that most are read for the first time, as in the first burst of a day.
     const HOMES: usize = 3_000;
     let mut rng = Rng::new(11);
     let mut engines = Engines::new(ENGINES);
@@ -226,6 +226,6 @@
         let placement = scheduler.place(&ask(i, home), &order(32, home), at(now));
         engine_index(&placement.expect("there are engines").engine)
     });
-    assert!(scheduled < home * 0.7, "{scheduled:.0} ms and not {home:.0} ms for 9 in 10");
+    assert!(scheduled < home * 0.7, "90th percentile {scheduled:.0} ms, {home:.0} ms at home");
     assert!(read as f64 <= read_at_home as f64 * 1.05, "{read} tokens, {read_at_home} at home");
 }
--- a/crates/decide/tests/region_cut.rs
+++ b/crates/decide/tests/region_cut.rs
@@ -1,5 +1,5 @@
-//! Cuts of an hour between regions, in simulated time: who is up, who coordinates, schedules
-//! and owns cold starts on each side, and once it heals.
+//! Hour-long partitions between regions in simulated time: membership, coordinators, schedulers and
+//! owners of cold starts on each side, and after the partition heals.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -13,11 +13,10 @@
 use model::member::{Health, Node, NodeId, Packet};
 use model::{Name, Time};
 
-/// Nodes of each failure domain.
 const NODES_PER_DOMAIN: usize = 2;
 const DOMAINS: [&str; 6] = ["a1", "a2", "b1", "b2", "c1", "c2"];
 const REGIONS: [&str; 3] = ["a", "b", "c"];
-/// Time within which all find out about a cut, or about its end.
+/// Time within which all nodes detect a partition or its end.
 const CONVERGENCE: Duration = Duration::from_secs(20);
 const HOUR: Duration = Duration::from_secs(3600);
 
@@ -35,7 +34,7 @@
     Node { id, address: address(i), entry: address(i), domain: domain.into(), capacity: 0 }
 }
 
-/// Links from one region to another that nothing passes.
+/// Directed links between regions that drop all packets.
 type Links = &'static [(&'static str, &'static str)];
 
 struct Host {
@@ -133,13 +132,13 @@
         self.wire.insert((at, self.sent), (from, to, packet));
     }
 
-    /// Whether a question from one node to another is answered.
+    /// Whether a request from one node to another is answered.
     fn answers(&self, from: usize, to: usize) -> bool {
         let (from, to) = (region(from), region(to));
         !self.cut.contains(&(from, to)) && !self.cut.contains(&(to, from))
     }
 
-    /// The node that coordinates a region's workers, as a node finds it by asking.
+    /// The coordinator of a region's workers, as a node finds it by asking.
     fn coordinator(&mut self, i: usize, region: &str) -> usize {
         let pool = PoolId { service: "encode".into(), region: Some(region.into()) };
         loop {
@@ -157,13 +156,13 @@
         }
     }
 
-    /// Whoever of these nodes owns the cold starts at each of some targets.
+    /// Nodes among these that own the cold starts of a target.
     fn owners(&self, nodes: &[usize], target: &str) -> Vec<usize> {
         let owns = |i: &&usize| self.hosts[**i].roster.owns(target, self.now);
         nodes.iter().filter(owns).copied().collect()
     }
 
-    /// Asserts that these nodes, and no others, work together.
+    /// Asserts that these nodes work together, and with no others.
     fn assert_side(&mut self, regions: &[&str], why: &str) {
         let nodes: Vec<usize> = self.nodes_of(regions);
         for i in &nodes {
@@ -180,7 +179,7 @@
         }
     }
 
-    /// Asserts that nodes of these regions agree on who coordinates and schedules there.
+    /// Asserts that the nodes of these regions agree on the coordinators and schedulers there.
     fn assert_duties(&mut self, regions: &[&str], why: &str) {
         let nodes = self.nodes_of(regions);
         for of in REGIONS {
@@ -228,8 +227,8 @@
 #[test]
 fn each_side_of_an_hour_long_partition_works_alone_and_rejoins_after_it_heals() {
     let cases: [(Links, &[&[&str]], &str); 2] = [
-        (C_ISOLATED, &[&["a", "b"], &["c"]], "two see each other and not the third"),
-        (ALL_ISOLATED, &[&["a"], &["b"], &["c"]], "none sees another"),
+        (C_ISOLATED, &[&["a", "b"], &["c"]], "two regions are connected, the third is isolated"),
+        (ALL_ISOLATED, &[&["a"], &["b"], &["c"]], "all regions are isolated"),
     ];
     for (cut, sides, why) in cases {
         let mut net = Net::new();
@@ -246,7 +245,7 @@
         net.cut = &[];
         net.run(CONVERGENCE);
         net.assert_side(&REGIONS, "healed");
-        assert_eq!(net.coordinators(), before, "{why}: each has its work back");
+        assert_eq!(net.coordinators(), before, "{why}: coordinators are restored");
     }
 }
 
@@ -259,12 +258,12 @@
     for _ in 0..4 {
         for i in net.nodes_of(&REGIONS) {
             let up = net.hosts[i].roster.count();
-            assert_eq!(up, net.hosts.len(), "{i} hears of all through the third region");
+            assert_eq!(up, net.hosts.len(), "{i} sees all nodes through the third region");
         }
         for of in REGIONS {
             for i in net.nodes_of(&[of]) {
                 let own = net.coordinator(i, of);
-                assert_eq!(region(own), of, "{of} goes on by itself");
+                assert_eq!(region(own), of, "{of} coordinates its own workers");
             }
         }
         for (from, to) in [("a", "b"), ("b", "a")] {
@@ -287,6 +286,6 @@
         let now = net.now;
         others.iter().for_each(|id| net.hosts[i].roster.answered(id, now));
     }
-    net.assert_side(&REGIONS, "healed, once silent ones were asked again");
+    net.assert_side(&REGIONS, "healed, once unresponsive nodes were asked again");
     assert_eq!(net.coordinators(), before);
 }
--- a/crates/decide/tests/region_spill.rs
+++ b/crates/decide/tests/region_spill.rs
@@ -1,5 +1,5 @@
-//! What goes to another region: the plays bring load and losses about and look at what callers
-//! get.
+//! Orders that spill to another region. The simulations vary load and failures and check what
+//! callers get.
 
 #[path = "support/batch.rs"]
 #[allow(dead_code, reason = "each test file uses its part")]
@@ -29,17 +29,17 @@
     let tight = BatchOrder { slack_ms: 160, ..small() };
     let dead = LocalLoad { wait: u32::MAX, ..busy };
     let cases = [
-        (small(), busy, 50, true, "late here, in time there"),
-        (small(), LocalLoad { wait: 400, ..busy }, 50, false, "in time here"),
-        (small(), busy, 300, false, "overrun there as well"),
-        (patient, busy, 0, false, "it has the time to wait"),
-        (tight, busy, 0, false, "late there as well"),
-        (large.clone(), busy, 0, false, "its results are too large to cross"),
-        (heavy, busy, 0, false, "its inputs are"),
-        (guest.clone(), busy, 0, false, "it was passed on already"),
-        (small(), dead, 0, true, "no worker works here"),
-        (large, dead, 0, true, "nor for large ones"),
-        (guest, dead, 0, false, "it does not go round"),
+        (small(), busy, 50, true, "late locally, in time remotely"),
+        (small(), LocalLoad { wait: 400, ..busy }, 50, false, "in time locally"),
+        (small(), busy, 300, false, "overloaded remotely as well"),
+        (patient, busy, 0, false, "it has enough slack to wait"),
+        (tight, busy, 0, false, "late remotely as well"),
+        (large.clone(), busy, 0, false, "its results are too large to move"),
+        (heavy, busy, 0, false, "its inputs are too large to move"),
+        (guest.clone(), busy, 0, false, "it has spilled before"),
+        (small(), dead, 0, true, "no local worker is available"),
+        (large, dead, 0, true, "no local worker is available for a large order"),
+        (guest, dead, 0, false, "an order spills only once"),
     ];
     for (order, own, there, spills, why) in cases {
         let mut spill = Spill::default();
@@ -50,21 +50,21 @@
         assert_eq!(chosen.is_some(), spills, "{why}: {chosen:?}");
         let later = spill.choose(&others, &order, own, at(5000));
         let expected = own.wait == u32::MAX && spills;
-        assert_eq!(later.is_some(), expected, "what was told is old: {why}");
+        assert_eq!(later.is_some(), expected, "the reported waits have expired: {why}");
     }
 }
 
-/// Links from one region to another.
+/// Directed links between regions.
 type Links<'a> = &'a [(usize, usize)];
 
-/// Wire time between two regions, in milliseconds.
+/// One-way latency between two regions, in milliseconds.
 const CROSSING: u64 = 20;
-/// Step of a play, in milliseconds.
+/// Time step of the simulation, in milliseconds.
 const STEP: u64 = 5;
-/// Workers of each region; each makes ten orders a second if its calls are full.
+/// Workers of each region; each completes ten orders a second with full calls.
 const WORKERS: [(&str, &str); 4] = [("m1", "d1"), ("m2", "d1"), ("m3", "d2"), ("m4", "d2")];
 
-/// One region: its coordinator, its workers' calls, and what came of its callers' orders.
+/// One region: its coordinator, the calls of its workers, and the outcomes of its callers' orders.
 struct Region {
     name: Name,
     c: Coordinator,
@@ -72,7 +72,7 @@
     is_up: bool,
     calls: Vec<(u64, u64, CallEnd)>,
     open: BTreeMap<OrderId, (usize, u64, BatchOrder)>,
-    /// For each order of its callers: when it came, and whether it was made in time.
+    /// Arrival time of each order of its callers, and whether it was completed in time.
     outcomes: Vec<(u64, bool)>,
     spilled_at: Vec<u64>,
 }
@@ -88,7 +88,7 @@
     spills: bool,
     regions: Vec<Region>,
     messages: Vec<(u64, usize, Message)>,
-    /// Links from one region to another that nothing passes.
+    /// Directed links between regions that drop all messages.
     cuts: Vec<(usize, usize)>,
 }
 
@@ -108,7 +108,7 @@
         Simulation { now: 0, next: 1, spills, regions, messages: Vec::new(), cuts: Vec::new() }
     }
 
-    /// Plays until a time, with this many orders a second in each region.
+    /// Simulates until a time, with this many orders a second in each region.
     fn run(&mut self, until: u64, per_s: [u64; 3]) {
         while self.now < until {
             self.now += STEP;
@@ -140,11 +140,11 @@
         }
     }
 
-    /// An order of region `from` reaches the coordinator of region `i`.
+    /// An order of region `from` arrives at the coordinator of region `i`.
     fn receive(&mut self, i: usize, from: usize, due: u64, order: BatchOrder) {
         let chosen = self.choose(i, &order);
         if let Some(to) = chosen.filter(|to| self.is_cut(i, *to)) {
-            // The question for a sign of life brings none.
+            // The probe gets no answer.
             let region = self.regions[to].name.clone();
             self.regions[i].spill.remove_region(&region);
             let order = BatchOrder { spilled: true, ..order.later(ms(2 * CROSSING)) };
@@ -186,7 +186,7 @@
         Some(self.region_index(&region))
     }
 
-    /// Whether a question to a region, or its answer, is lost.
+    /// Whether a query to a region, or its answer, is lost.
     fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cuts.contains(&(from, to)) || self.cuts.contains(&(to, from))
     }
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Share of a region's orders of this time that were in time.
+    /// Share of a region's orders from this period that were in time.
     fn in_time_share(&self, i: usize, from: u64, until: u64) -> f64 {
         let of_time = |(came, _): &&(u64, bool)| (from..until).contains(came);
         let outcomes: Vec<_> = self.regions[i].outcomes.iter().filter(of_time).collect();
@@ -271,9 +271,9 @@
         [0, 1, 2].map(|i| sim.in_time_share(i, 2000, 8000))
     });
     let [alone, helped] = shares;
-    assert!(alone[0] < 0.75, "half as much again as it can make: {alone:?}");
+    assert!(alone[0] < 0.75, "load is 1.5 times the capacity: {alone:?}");
     assert!(helped[0] > 0.93, "{helped:?}, alone {alone:?}");
-    assert!(helped[1] > 0.97 && helped[2] > 0.97, "those that help stay in time: {helped:?}");
+    assert!(helped[1] > 0.97 && helped[2] > 0.97, "the helping regions stay in time: {helped:?}");
 }
 
 #[test]
@@ -296,9 +296,9 @@
     assert!(during > 0.95, "{during} a second after the loss");
     for i in 0..3 {
         let share = sim.in_time_share(i, 9000, 11_000);
-        assert!(share > 0.97, "region {i} once they are back: {share}");
+        assert!(share > 0.97, "region {i} after recovery: {share}");
     }
-    assert_eq!(sim.spilled_count(0, 9000, 12_000), 0, "its workers have their work again");
+    assert_eq!(sim.spilled_count(0, 9000, 12_000), 0, "its own workers take all orders again");
 }
 
 #[test]
@@ -320,12 +320,12 @@
     let waits = |ms| Waits(vec![(rank, ms)]);
     let others = [("b".into(), ms(40))];
     let cases = [
-        (900, Some(50), 90, "passed on"),
-        (60, Some(50), 60, "sooner here"),
-        (900, Some(800), 900, "the other takes none"),
-        (900, None, 900, "nothing is known of the other"),
-        (u32::MAX, None, 40, "no worker works here: the other is asked anyway"),
-        (u32::MAX, Some(800), u32::MAX, "nobody takes it"),
+        (900, Some(50), 90, "spills"),
+        (60, Some(50), 60, "sooner locally"),
+        (900, Some(800), 900, "the other region accepts none"),
+        (900, None, 900, "no waits of the other region are known"),
+        (u32::MAX, None, 40, "no local worker: spills without known waits"),
+        (u32::MAX, Some(800), u32::MAX, "no region accepts it"),
     ];
     for (own, there, told, why) in cases {
         let mut spill = Spill::default();
@@ -335,15 +335,11 @@
         assert_eq!(spill.bound_waits(waits(own), &others, false, at(10)).of(rank), told, "{why}");
         let large = if own == u32::MAX { told } else { own };
         let bound = spill.bound_waits(waits(own), &others, true, at(10));
-        assert_eq!(
-            bound.of(rank),
-            large,
-            "large ones are passed on from dead workers alone: {why}"
-        );
+        assert_eq!(bound.of(rank), large, "large orders spill only without local workers: {why}");
         assert_eq!(
             spill.bound_waits(waits(own), &[], false, at(10)).of(rank),
             own,
-            "none is allowed"
+            "no other region is allowed"
         );
     }
 }
@@ -351,10 +347,10 @@
 #[test]
 fn an_overloaded_region_spills_to_reachable_regions() {
     let cases: [(Links<'_>, bool, &str); 4] = [
-        (&[(0, 1), (1, 0)], true, "cut off from one, the other helps"),
-        (&[(1, 0)], true, "one way only is as good as none"),
-        (&[(1, 2), (2, 1)], true, "those that help need not see each other"),
-        (&[(0, 1), (0, 2)], false, "by itself it makes what it can"),
+        (&[(0, 1), (1, 0)], true, "one region is unreachable, the other helps"),
+        (&[(1, 0)], true, "a one-way link counts as unreachable"),
+        (&[(1, 2), (2, 1)], true, "the helping regions need no link to each other"),
+        (&[(0, 1), (0, 2)], false, "it is isolated"),
     ];
     for (cuts, is_helped, why) in cases {
         let mut sim = Simulation::new(true);
@@ -366,6 +362,6 @@
         sim.cuts.clear();
         sim.run(14_000, [55, 15, 15]);
         let healed = sim.in_time_share(0, 9500, 12_500);
-        assert!(healed > 0.9, "{why}: {healed} once it is healed");
+        assert!(healed > 0.9, "{why}: {healed} after healing");
     }
 }
--- a/crates/decide/tests/stages.rs
+++ b/crates/decide/tests/stages.rs
@@ -1,4 +1,4 @@
-//! Progress of a request's stages, with results that are gone.
+//! Progress of a request's stages when results are lost.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     std::iter::from_fn(|| p.start_next()).collect()
 }
 
-/// Three in a row, and one beside them.
+/// Three stages in sequence and one in parallel.
 fn chain() -> Progress {
     Progress::new(vec![vec![], vec![0], vec![1], vec![]])
 }
@@ -18,13 +18,13 @@
 fn stages_start_once_their_inputs_are_complete_and_free_consumed_results() {
     let mut p = chain();
     assert_eq!(start_all(&mut p), [0, 3]);
-    assert!(p.complete(0).is_empty(), "stage 1 still wants it");
+    assert!(p.complete(0).is_empty(), "stage 1 still needs it");
     assert_eq!(start_all(&mut p), [1]);
     assert_eq!(p.complete(1), [0]);
     assert_eq!(start_all(&mut p), [2]);
     assert_eq!(p.complete(2), [1]);
     assert!(!p.is_done());
-    assert!(p.complete(3).is_empty(), "the request itself wants the last ones");
+    assert!(p.complete(3).is_empty(), "the request itself needs the final results");
     assert!(p.is_done());
     assert_eq!(p.final_stages(), [2, 3]);
 }
@@ -47,7 +47,7 @@
     start_all(&mut p);
     p.complete(1);
     assert_eq!(start_all(&mut p), [2]);
-    assert_eq!(p.input_lost(2), Some(vec![1, 0]), "what stage 1 is made from was freed");
+    assert_eq!(p.input_lost(2), Some(vec![1, 0]), "the input of stage 1 was freed");
     assert_eq!(start_all(&mut p), [0]);
     p.complete(0);
     assert_eq!(start_all(&mut p), [1]);
@@ -59,7 +59,7 @@
     start_all(&mut p);
     p.complete(1);
     start_all(&mut p);
-    assert_eq!(p.input_lost(2), None, "not for ever");
+    assert_eq!(p.input_lost(2), None, "the limit is reached");
 }
 
 #[test]
@@ -69,15 +69,15 @@
     p.complete(0);
     assert_eq!(start_all(&mut p), [1, 2]);
     assert_eq!(p.input_lost(1), Some(vec![0]));
-    assert_eq!(p.input_lost(2), Some(vec![]), "it is made again already");
+    assert_eq!(p.input_lost(2), Some(vec![]), "it is already being recomputed");
     assert_eq!(start_all(&mut p), [0]);
     p.complete(0);
     assert_eq!(start_all(&mut p), [1, 2]);
 }
 
 proptest! {
-    /// Whatever is gone, all is made in the end or the request is given up, and nothing
-    /// runs without its inputs.
+    /// For any lost results, all stages complete or the request is given up, and no stage runs
+    /// without its inputs.
     #[test]
     fn each_request_ends(
         edges in proptest::collection::vec(any::<u8>(), 1..6),
@@ -143,7 +143,7 @@
 }
 
 proptest! {
-    /// Starting each stage as late as allowed keeps to the order and makes nothing longer.
+    /// Starting each stage as late as allowed keeps the order and does not extend the total time.
     #[test]
     fn latest_starts_keep_the_order_and_the_total_time(
         stages in proptest::collection::vec((0u64..500, proptest::collection::vec(any::<bool>(), 6)), 1..6),
--- a/crates/decide/tests/support/batch.rs
+++ b/crates/decide/tests/support/batch.rs
@@ -7,22 +7,22 @@
     TargetId,
 };
 
-/// What one worker bears.
+/// Capacity and call times of each worker.
 pub fn pool() -> StagePool {
     StagePool { slots: 1, batch: 10, call_ms: 100.0, item_ms: 10.0, room_mb: 100.0, keep_ms: 4000 }
 }
 
-/// A time after the start.
+/// Time since the start.
 pub fn at(ms: u64) -> Time {
     Time::from_millis(ms)
 }
 
-/// An order that may be handed over.
+/// Event of an order that may be handed over.
 pub fn order_event(id: OrderId, order: BatchOrder) -> Event {
     Event::Order { id, order, pinned: false }
 }
 
-/// Makers and their failure domains, none of them cold.
+/// Snapshot of workers, given with their failure domains; none is cold.
 pub fn workers(of: &[(&str, &str)]) -> Event {
     let info = |(id, domain): &(&str, &str)| WorkerInfo {
         id: (*id).into(),
@@ -35,7 +35,7 @@
     Event::Workers(of.iter().map(info).collect())
 }
 
-/// An order of small pieces that may be made anywhere.
+/// An order of small pieces that may run anywhere.
 pub fn order(attempt: &str, pieces: u32) -> BatchOrder {
     BatchOrder {
         service: "encode".into(),
@@ -58,14 +58,14 @@
     }
 }
 
-/// A coordinator of these workers.
+/// A coordinator with these workers.
 pub fn coordinator(of: &[(&str, &str)]) -> Coordinator {
     let mut c = Coordinator::new(pool(), Policy::default());
     c.handle(at(0), workers(of));
     c
 }
 
-/// Calls that are started.
+/// Calls that the actions start.
 pub fn calls(actions: &[Action]) -> Vec<Call> {
     let call = |a: &Action| match a {
         Action::Start(call) => Some(call.clone()),
@@ -74,7 +74,7 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// An end at which all pieces were made.
+/// Outcome of a call that produced all pieces.
 pub fn made(call: &Call) -> CallEnd {
     let result = |p: &PieceOrder| {
         let text = format!("{}/{}/{}", p.attempt, p.piece, call.number);
@@ -83,7 +83,7 @@
     CallEnd::Answered(call.pieces.iter().map(result).collect())
 }
 
-/// Makers that are asked for a sign of life.
+/// Workers that the actions probe.
 pub fn probes(actions: &[Action]) -> Vec<TargetId> {
     let probe = |a: &Action| match a {
         Action::Probe(worker) => Some(worker.clone()),
@@ -92,7 +92,7 @@
     actions.iter().filter_map(probe).collect()
 }
 
-/// Orders that are answered.
+/// Orders that the actions answer.
 pub fn answers(actions: &[Action]) -> Vec<(OrderId, Vec<PieceResult>)> {
     let answer = |a: &Action| match a {
         Action::Answer(id, results) => Some((*id, results.clone())),
