--- a/crates/decide/src/batch/coordinator.rs
+++ b/crates/decide/src/batch/coordinator.rs
@@ -7,7 +7,7 @@
 use model::forward::{BatchOrder, PieceResult, Policy, Rank, StagePool, TargetId, Waits};
 
 use super::latency::LatencyEstimate;
-use super::orders::{Order, typical_call_time};
+use super::orders::{OpenOrder, typical_call_time};
 use super::quota::TrialQuota;
 use super::repeats::RepeatBudget;
 use super::types::{Action, CallEnd, Event, OrderId};
@@ -37,7 +37,7 @@
     pub(super) pool: StagePool,
     policy: Policy,
     pub(super) workers: Workers,
-    pub(super) orders: BTreeMap<OrderId, Order>,
+    pub(super) orders: BTreeMap<OrderId, OpenOrder>,
     pub(super) in_flight: BTreeMap<u64, InFlightCall>,
     pub(super) next_call: u64,
     latency: LatencyEstimate,
@@ -91,7 +91,7 @@
         let next_ms = retry_in.as_secs_f64() * 1000.0 + call_ms;
         let mut pieces: BTreeMap<Rank, usize> = BTreeMap::from([(Rank::default(), 0)]);
         for order in self.orders.values() {
-            *pieces.entry(order.order.rank).or_default() += order.queued.len();
+            *pieces.entry(order.spec.rank).or_default() += order.queued.len();
         }
         let mut ahead = 0;
         let waits = pieces.into_iter().map(|(rank, waiting)| {
@@ -129,7 +129,7 @@
         self.workers.refresh(now);
         match event {
             Event::Order { id, order, pinned } => {
-                self.add_order(id, Order::new(order, pinned, now), &mut out);
+                self.add_order(id, OpenOrder::new(order, pinned, now), &mut out);
             }
             Event::Cancel(id) => self.cancel(id, &mut out),
             Event::CallEnded(call, end) => self.call_ended(now, call, end, &mut out),
@@ -160,7 +160,7 @@
         }
     }
 
-    fn add_order(&mut self, id: OrderId, order: Order, out: &mut Vec<Action>) {
+    fn add_order(&mut self, id: OrderId, order: OpenOrder, out: &mut Vec<Action>) {
         if order.results.is_empty() {
             out.push(Action::Answer(id, Vec::new()));
             return;
@@ -224,7 +224,7 @@
         };
         let pairs = flight.pieces.iter().zip(results);
         let refused = pairs.filter(|(_, r)| **r == PieceResult::NoRoom).map(|((id, _), _)| id);
-        refused.filter_map(|id| self.orders.get(id)).map(|o| o.order.result_bytes).min()
+        refused.filter_map(|id| self.orders.get(id)).map(|o| o.spec.result_bytes).min()
     }
 
     fn record_result(
@@ -253,7 +253,7 @@
             return;
         }
         if let PieceResult::Made(handle) = &result {
-            self.workers.record_result(handle, order.order.result_bytes, now);
+            self.workers.record_result(handle, order.spec.result_bytes, now);
         }
         order.set_result(piece, result);
         self.answer_if_complete(id, out);
@@ -299,7 +299,7 @@
     fn drop_late(&mut self, now: Time, out: &mut Vec<Action>) {
         let shedding = self.policy.shedding;
         let is_expired =
-            |o: &Order| o.is_expired(now) || (shedding && o.is_starved(&self.pool, now));
+            |o: &OpenOrder| o.is_expired(now) || (shedding && o.is_starved(&self.pool, now));
         let expired: Vec<OrderId> =
             self.orders.iter().filter(|(_, o)| is_expired(o)).map(|(id, _)| *id).collect();
         self.drop_expired(expired, out);
@@ -319,8 +319,8 @@
     /// delay the refusal.
     fn drop_barred(&mut self, out: &mut Vec<Action>) {
         let workers = &self.workers;
-        let is_barred = |o: &Order| {
-            let allowed = &o.order.allowed;
+        let is_barred = |o: &OpenOrder| {
+            let allowed = &o.spec.allowed;
             !o.queued.is_empty() && !allowed.is_any() && !workers.has_any_permitted(allowed)
         };
         let barred: Vec<OrderId> =
@@ -365,7 +365,7 @@
 /// Requeues the missing pieces of a call as far as the repeat budget allows; returns how many.
 fn requeue_overdue(
     pieces: &[(OrderId, usize)],
-    orders: &mut BTreeMap<OrderId, Order>,
+    orders: &mut BTreeMap<OrderId, OpenOrder>,
     repeat_budget: &mut RepeatBudget,
 ) -> usize {
     let mut repeated = 0;
--- a/crates/decide/src/batch/fill.rs
+++ b/crates/decide/src/batch/fill.rs
@@ -97,7 +97,7 @@
             if order.is_isolated() && !pieces.is_empty() {
                 continue;
             }
-            let size = order.order.result_bytes.max(1);
+            let size = order.spec.result_bytes.max(1);
             let room = worker.free_bytes.saturating_sub(bytes) / size;
             let free = batch - pieces.len();
             order.lacked_room = order.queued.len().min(batch) as u64 > worker.free_bytes / size;
@@ -117,7 +117,7 @@
         let orders = &self.orders;
         let piece = |(n, p): &(OrderId, usize)| {
             let order = &orders[n];
-            order.order.piece(*p as u32, order.left_ms(now))
+            order.spec.piece(*p as u32, order.left_ms(now))
         };
         let ordered = pieces.iter().map(piece).collect();
         self.workers.call_started(&worker.id, bytes, now);
--- a/crates/decide/src/batch/orders.rs
+++ b/crates/decide/src/batch/orders.rs
@@ -29,8 +29,8 @@
 
 /// An unanswered order.
 #[derive(Debug)]
-pub(super) struct Order {
-    pub(super) order: BatchOrder,
+pub(super) struct OpenOrder {
+    pub(super) spec: BatchOrder,
     pub(super) queued: Vec<usize>,
     pub(super) results: Vec<Option<PieceResult>>,
     /// Calls in flight for each piece.
@@ -47,11 +47,11 @@
     home_domain: Option<Name>,
 }
 
-impl Order {
+impl OpenOrder {
     pub(super) fn new(order: BatchOrder, pinned: bool, now: Time) -> Self {
         let n = order.pieces as usize;
-        Order {
-            order,
+        OpenOrder {
+            spec: order,
             queued: (0..n).collect(),
             results: vec![None; n],
             in_flight_calls: vec![0; n],
@@ -67,18 +67,18 @@
 
     /// Time left to complete the stage for the request to be in time.
     fn slack(&self, now: Time) -> Duration {
-        Duration::from_millis(self.order.slack_ms).saturating_sub(now.since(self.arrived))
+        Duration::from_millis(self.spec.slack_ms).saturating_sub(now.since(self.arrived))
     }
 
     /// Milliseconds until the request is abandoned.
     pub(super) fn left_ms(&self, now: Time) -> u64 {
         let waited = now.since(self.arrived).as_millis() as u64;
-        self.order.left_ms.saturating_sub(waited)
+        self.spec.left_ms.saturating_sub(waited)
     }
 
     /// Whether the request has been abandoned.
     pub(super) fn is_expired(&self, now: Time) -> bool {
-        now.since(self.arrived) >= Duration::from_millis(self.order.left_ms)
+        now.since(self.arrived) >= Duration::from_millis(self.spec.left_ms)
     }
 
     /// Whether the order could have been in time on arrival, and no call took any of it before its
@@ -91,7 +91,7 @@
     fn may_starve(&self, pool: &StagePool) -> bool {
         let had_call = self.failures > 0 || self.was_repeated;
         let could_be_in_time =
-            Duration::from_millis(self.order.slack_ms) >= pool.call_time(self.order.pieces);
+            Duration::from_millis(self.spec.slack_ms) >= pool.call_time(self.spec.pieces);
         !self.is_started() && !had_call && could_be_in_time
     }
 
@@ -131,16 +131,16 @@
         let is_started = self.is_started();
         let slack = self.slack(now);
         let is_hopeless = self.is_hopeless(pool, now);
-        (!is_started, is_hopeless, self.order.rank, !self.prefers_domain(domain), slack)
+        (!is_started, is_hopeless, self.spec.rank, !self.prefers_domain(domain), slack)
     }
 
     fn prefers_domain(&self, domain: &str) -> bool {
-        self.home_domain.as_ref().or(self.order.near.as_ref()).is_some_and(|d| **d == *domain)
+        self.home_domain.as_ref().or(self.spec.near.as_ref()).is_some_and(|d| **d == *domain)
     }
 
     /// Whether the request may be served at this location.
     fn permits(&self, location: &Location) -> bool {
-        self.order.allowed.permits(location.region.as_deref())
+        self.spec.allowed.permits(location.region.as_deref())
     }
 
     /// Whether this order may use a worker at `location`. A call shared by several orders runs only
@@ -156,8 +156,8 @@
             return false;
         }
         let (preferred, bytes) = match &self.home_domain {
-            Some(home) => (Some(home), self.order.spread_bytes),
-            None => (self.order.near.as_ref(), self.order.moved_bytes),
+            Some(home) => (Some(home), self.spec.spread_bytes),
+            None => (self.spec.near.as_ref(), self.spec.moved_bytes),
         };
         let Some(preferred) = preferred else {
             return true;
@@ -166,7 +166,7 @@
         *preferred == location.domain
             || bytes < LARGE_RESULT
             || !available.iter().any(|w| w.domain == *preferred && self.permits(w))
-            || (is_urgent && self.order.rank.workspace <= MAX_SPILL_RANK)
+            || (is_urgent && self.spec.rank.workspace <= MAX_SPILL_RANK)
     }
 
     /// Takes up to `limit` queued pieces for a call in `domain`.
