--- a/crates/decide/src/batch/fill.rs
+++ b/crates/decide/src/batch/fill.rs
@@ -18,8 +18,8 @@
 
 impl Coordinator {
     pub(super) fn start_calls(&mut self, now: Time, out: &mut Vec<Action>) {
-        // Probes must be sent even with nothing queued. Otherwise workers whose traffic has moved
-        // elsewhere would never return.
+        // Without available workers, probes are sent even if nothing is queued. Otherwise workers
+        // whose traffic has moved elsewhere would never return.
         let none_available = self.workers.serving_count() == 0;
         if self.queued_pieces() == 0 && !none_available {
             return;
