--- a/crates/decide/src/member/join.rs
+++ b/crates/decide/src/member/join.rs
@@ -49,12 +49,12 @@
 
 impl Joining {
     fn is_joining(&self, now: Time) -> bool {
-        self.started.is_some_and(|began| now.since(began) < JOIN_WINDOW)
+        self.started.is_some_and(|started| now.since(started) < JOIN_WINDOW)
     }
 
     /// Whether most other nodes are probably starting too.
     fn in_herd(&self, now: Time) -> bool {
-        self.started.is_some_and(|began| now.since(began) < HERD_WINDOW)
+        self.started.is_some_and(|started| now.since(started) < HERD_WINDOW)
     }
 
     /// When the next pull is due.
@@ -77,14 +77,14 @@
 
     /// Pings a seed, a different one on each attempt, since some may be down or not yet started.
     pub(super) fn contact_seed(&mut self, now: Time, out: &mut Vec<Action>) {
-        let tries = self.joining.seed_attempts;
+        let attempt = self.joining.seed_attempts;
         self.joining.seed_attempts += 1;
-        let seek = self.tuning.seed_interval;
-        self.next_period =
-            now + if self.joining.in_herd(now) { seek.min(HERD_SEED_INTERVAL) } else { seek };
+        let interval = self.tuning.seed_interval;
+        self.next_period = now
+            + if self.joining.in_herd(now) { interval.min(HERD_SEED_INTERVAL) } else { interval };
         if !self.seeds.is_empty() {
             let first = self.me.id.start as usize;
-            let seed = self.seeds[first.wrapping_add(tries as usize) % self.seeds.len()];
+            let seed = self.seeds[first.wrapping_add(attempt as usize) % self.seeds.len()];
             let packet = self.hello();
             out.push(Action::Send(seed, packet));
         }
--- a/crates/decide/src/member/peers.rs
+++ b/crates/decide/src/member/peers.rs
@@ -130,8 +130,8 @@
 
     /// Addresses of peers that left or died less than `within` ago.
     pub fn departed_since(&self, now: Time, within: Duration) -> Vec<SocketAddr> {
-        let gone = self.departed.iter().rev().take_while(|(at, _)| now.since(*at) < within);
-        gone.filter_map(|(_, id)| self.map.get(id)).map(|p| p.node.address).collect()
+        let recent = self.departed.iter().rev().take_while(|(at, _)| now.since(*at) < within);
+        recent.filter_map(|(_, id)| self.map.get(id)).map(|p| p.node.address).collect()
     }
 
     /// Rumors about the peers whose health changed at or after `since`, the latest first.
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -206,7 +206,7 @@
     assert!(fleet.unreadable(&name));
     assert!(!fleet.unreadable(&name), "reported once");
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(10)));
-    assert_eq!(fleet.get(&id(17)).expect("it goes on").outstanding, 1);
+    assert_eq!(fleet.get(&id(17)).expect("it keeps running").outstanding, 1);
     let list = fleet.list(at(10));
     assert_eq!((list.targets.len(), &list.unreadable[..]), (0, &["t".into()][..]));
 
@@ -217,7 +217,7 @@
     third.upsert(entry(17, 5), at(0));
     third.sent(&id(17), 700);
     third.replace(list.clone(), None, at(10));
-    assert_eq!(third.get(&id(17)).expect("it goes on").outstanding, 1);
+    assert_eq!(third.get(&id(17)).expect("it keeps running").outstanding, 1);
     assert!(!third.is_usable(&id(17), Terms::ANY, at(10)));
     other.replace(list, doubt, at(10));
     assert!(!other.is_usable(&id(17), Terms::ANY, at(10)), "not kept as a target that vanished");
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -513,7 +513,7 @@
             }
             let mut fresh = Roster::new("node-0".into(), domain(0).into(), 0);
             fresh.update(
-                up.iter().map(|(i, born)| view_in_domain(*i, ms - born, ms)).collect(),
+                up.iter().map(|(i, start)| view_in_domain(*i, ms - start, ms)).collect(),
                 at(ms),
             );
             for service in SERVICES {
