--- a/crates/decide/src/claim/committer.rs
+++ b/crates/decide/src/claim/committer.rs
@@ -25,7 +25,7 @@
     NeverWritten,
     /// Deleted, so its keys are too old.
     Deleted,
-    /// Present.
+    /// Content and its version.
     Found {
         /// Version.
         version: u64,
--- a/crates/decide/tests/config.rs
+++ b/crates/decide/tests/config.rs
@@ -377,7 +377,7 @@
             let refused = reported.is_some_and(|s| s.version == *version && !s.accepted);
             assert!(
                 published == *version || refused,
-                "{key} version {version} ({spec:?}) is neither in force nor refused"
+                "{key} version {version} ({spec:?}) is neither published nor refused"
             );
         }
     }
--- a/crates/decide/tests/request.rs
+++ b/crates/decide/tests/request.rs
@@ -484,10 +484,10 @@
             assert!(self.run_counts.iter().all(|n| *n == 0), "not run, but {:?}", self.run_counts);
         }
         let last = self.steps.len() - 1;
-        let whole = Simulation::text(last);
-        assert!(whole.concat().starts_with(&self.emitted.concat()), "{:?}", self.emitted);
+        let complete = Simulation::text(last);
+        assert!(complete.concat().starts_with(&self.emitted.concat()), "{:?}", self.emitted);
         if end.outcome == Outcome::Complete {
-            assert_eq!(self.machine.results().last(), Some(&whole.concat()));
+            assert_eq!(self.machine.results().last(), Some(&complete.concat()));
             assert_eq!(end.steps.len(), self.steps.len());
         }
         let in_doubt =
