--- a/crates/forward/src/heard.rs
+++ b/crates/forward/src/heard.rs
@@ -14,7 +14,7 @@
 
 /// Takes what the head of a target's answer says, whose request was sent at `sent`.
 pub fn take(node: &Rc<Node>, target: &Target, said: &AnswerHead, sent: Time) {
-    limits::hear(node, target, said.limit, sent);
+    limits::observe_limit(node, target, said.limit, sent);
     node.note_load(target, said.load);
     take_notice(node, target, said.notice);
     if !said.not_run {
--- a/crates/forward/src/ingress/callers.rs
+++ b/crates/forward/src/ingress/callers.rs
@@ -16,16 +16,16 @@
 use crate::upstream::guard_socket;
 
 /// Part of the descriptors that callers' connections may take.
-const CALLERS_SHARE: f64 = 0.5;
+const CONNECTIONS_SHARE: f64 = 0.5;
 /// Least room for a request's head.
-const HEAD_LEAST: usize = 16 << 10;
+const MIN_HEAD_BYTES: usize = 16 << 10;
 /// Serves until a stop is well under way; from then on new connections are refused.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
-    let most = (node.settings().descriptors as f64 * CALLERS_SHARE) as usize;
-    let room = std::sync::Arc::new(Semaphore::new(most.max(1)));
+    let max_connections = (node.settings().descriptors as f64 * CONNECTIONS_SHARE) as usize;
+    let slots = std::sync::Arc::new(Semaphore::new(max_connections.max(1)));
     loop {
         // Beyond the most, callers wait to be accepted.
-        let permit = room.clone().acquire_owned().await;
+        let permit = slots.clone().acquire_owned().await;
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = node.reached(LifePhase::Closing) => return,
@@ -38,33 +38,33 @@
         guard_socket(&socket);
         let node = node.clone();
         tokio::task::spawn_local(async move {
-            connection(node, socket).await;
+            serve_connection(node, socket).await;
             drop(permit);
         });
     }
 }
 
-async fn connection(node: Rc<Node>, socket: TcpStream) {
+async fn serve_connection(node: Rc<Node>, socket: TcpStream) {
     let limits = node.table().rules.limits.clone();
     // The timer for a head also runs while a kept connection rests.
-    let rest = Duration::from_millis(limits.idle_ms.max(limits.head_ms));
+    let idle_timeout = Duration::from_millis(limits.idle_ms.max(limits.head_ms));
     let handler = node.clone();
     let service = service_fn(move |request| {
         let node = handler.clone();
-        async move { Ok::<_, Infallible>(serve::answer(node, request).await) }
+        async move { Ok::<_, Infallible>(serve::handle_request(node, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(rest)
-        .max_buf_size(HEAD_LEAST.max(limits.head_bytes) * 2)
+        .header_read_timeout(idle_timeout)
+        .max_buf_size(MIN_HEAD_BYTES.max(limits.head_bytes) * 2)
         .auto_date_header(false)
         .serve_connection(TokioIo::new(socket), service);
     let mut connection = std::pin::pin!(connection);
-    let stopped = tokio::select! {
+    let is_closing = tokio::select! {
         _ = connection.as_mut() => false,
         () = node.reached(LifePhase::Closing) => true,
     };
-    if stopped {
+    if is_closing {
         connection.as_mut().graceful_shutdown();
         // A caller that breaks off ends its request; there is nobody to tell.
         let _ = connection.await;
--- a/crates/forward/src/ingress/readiness.rs
+++ b/crates/forward/src/ingress/readiness.rs
@@ -11,20 +11,20 @@
 use crate::node::Node;
 
 /// Path of the figures.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 /// Media type of the figures.
-const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Serves until the process ends.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
-    let handler = move |request: Request<Incoming>| std::future::ready(answer(&node, &request));
+    let handler = move |request: Request<Incoming>| std::future::ready(respond(&node, &request));
     small::serve(listener, handler).await;
 }
 
-fn answer(node: &Node, request: &Request<Incoming>) -> Response<Body> {
+fn respond(node: &Node, request: &Request<Incoming>) -> Response<Body> {
     let path = request.uri().path();
-    if path == METRICS {
-        return full(StatusCode::OK, OPEN_METRICS, node.figures());
+    if path == METRICS_PATH {
+        return full(StatusCode::OK, METRICS_MEDIA_TYPE, node.figures());
     }
     if path != node.dialect.ready_path() {
         return text(StatusCode::NOT_FOUND, "no such path");
--- a/crates/forward/src/ingress/small.rs
+++ b/crates/forward/src/ingress/small.rs
@@ -14,9 +14,9 @@
 use crate::upstream::guard_socket;
 
 /// Wait after a failed accept; most likely descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Rest after which a connection is closed.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Answers requests by `handler` until the process ends.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
@@ -26,7 +26,7 @@
 {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         guard_socket(&socket);
@@ -38,7 +38,7 @@
         tokio::task::spawn_local(async move {
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE)
+                .header_read_timeout(IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(socket), service);
             // Whoever goes away asks again, or is noticed by membership.
             let _ = connection.await;
--- a/crates/forward/src/limits/ask.rs
+++ b/crates/forward/src/limits/ask.rs
@@ -10,56 +10,57 @@
 use model::member::Node as PeerNode;
 use util::http::{CallError, Client};
 
-use super::{learn, spread};
+use super::{merge_from_peer, spread};
 use crate::events::Event;
 use crate::node::Node;
 use crate::peers::{self, PERMIT};
 
 /// Time for a keeper's answer: a few times what it takes between regions.
-const TIMEOUT: Duration = Duration::from_millis(100);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time for which a keeper that did not answer is not asked again.
-const REST: Duration = Duration::from_millis(300);
+const KEEPER_BACKOFF: Duration = Duration::from_millis(300);
 /// Time for which nothing is sent to a target whose keeper is not known, or says that it is not.
-const UNSETTLED: Duration = Duration::from_millis(200);
+const NO_KEEPER_BACKOFF: Duration = Duration::from_millis(200);
 /// Time in which a permit must be used: requests that bunch up on their way would come in the span
 /// of later ones.
-const LASTS: Duration = Duration::from_millis(250);
+const PERMIT_TTL: Duration = Duration::from_millis(250);
 /// Peers passed over that an ask names, at most.
-const STRANGERS: usize = 8;
+const MAX_UNSUPPORTED_PEERS: usize = 8;
 
 /// What allows one send.
 #[derive(Debug, Clone, Copy)]
 pub struct Permit {
-    until: Time,
+    expires_at: Time,
 }
 
 impl Permit {
     /// Whether it may not be used any more.
-    pub fn is_over(self, now: Time) -> bool {
-        now > self.until
+    pub fn is_expired(self, now: Time) -> bool {
+        now > self.expires_at
     }
 }
 
 /// Asks for a permit to send so many requests to a target; none is needed unless it names a
 /// limit. `None` if they may not be sent; the target is closed to this node for a while then. `id`
 /// tells what is to be sent.
-pub async fn permit(
+pub async fn request_permit(
     node: &Rc<Node>,
     target: &Target,
     count: u32,
     id: impl FnOnce() -> String,
 ) -> Option<Permit> {
-    let begun = node.now();
-    let Some(word) = node.fleet(|f| f.limits_mut().request_permit(&target.id, begun)) else {
-        return Some(Permit { until: Time::NEVER });
+    let started = node.now();
+    let Some(observation) = node.fleet(|f| f.limits_mut().request_permit(&target.id, started))
+    else {
+        return Some(Permit { expires_at: Time::NEVER });
     };
-    let (keeper, grant) = ask_keeper(node, target, count, word).await;
+    let (keeper, grant) = request_from_keeper(node, target, count, observation).await;
     let now = node.now();
     let (outcome, after) = match grant {
         Ok(Grant::Now) => ("granted", None),
         Ok(Grant::Unlimited) => ("free", None),
         Ok(Grant::Later(after)) => ("later", Some(after)),
-        Err(why) => (why, Some(UNSETTLED)),
+        Err(why) => (why, Some(NO_KEEPER_BACKOFF)),
     };
     Event::Permit {
         id: &id(),
@@ -67,25 +68,25 @@
         keeper: keeper.as_ref().map_or("", |k| &k.id.name),
         outcome,
         count,
-        per_s: word.per_s.unwrap_or_default(),
-        word_age_ms: begun.since(word.received_at).as_millis() as u64,
+        per_s: observation.per_s.unwrap_or_default(),
+        word_age_ms: started.since(observation.received_at).as_millis() as u64,
         after_ms: after.map(|a| a.as_millis() as u64),
-        took_ms: now.since(begun).as_millis() as u64,
+        took_ms: now.since(started).as_millis() as u64,
     }
     .emit();
     if let Some(after) = after {
         node.fleet(|f| f.limits_mut().close(&target.id, now + after));
         return None;
     }
-    Some(Permit { until: begun + LASTS })
+    Some(Permit { expires_at: started + PERMIT_TTL })
 }
 
 /// The keeper, unless it is this node, and its grant, or why there is none.
-async fn ask_keeper(
+async fn request_from_keeper(
     node: &Rc<Node>,
     target: &Target,
     count: u32,
-    word: LimitObservation,
+    observation: LimitObservation,
 ) -> (Option<PeerNode>, Result<Grant, &'static str>) {
     loop {
         let ask = PermitAsk {
@@ -93,19 +94,21 @@
             target: target.id.clone(),
             domain: target.domain.clone(),
             count,
-            word: word.to_peer(node.now()),
-            strangers: node.limits.strangers(STRANGERS),
+            word: observation.to_peer(node.now()),
+            strangers: node.limits.unsupported_peers(MAX_UNSUPPORTED_PEERS),
         };
         match node.limits.keeper(node, &target.id, &target.domain) {
             None => return (None, Err("unsettled")),
-            Some(None) => return (None, Ok(grant(node, &ask).0)),
-            Some(Some(peer)) if node.limits.resting.rests(&peer.id, node.now()) => {
+            Some(None) => return (None, Ok(issue(node, &ask).0)),
+            Some(Some(peer)) if node.limits.unresponsive.rests(&peer.id, node.now()) => {
                 return (Some(peer), Err("silent"));
             }
-            Some(Some(peer)) => match ask_peer(node, &peer, &ask).await {
+            Some(Some(peer)) => match request_from_peer(node, &peer, &ask).await {
                 Ok(grant) => return (Some(peer), Ok(grant)),
                 // The next one keeps the target.
-                Err(e) if peers::is_unknown(&e) => node.limits.note_stranger(&peer, PERMIT),
+                Err(e) if peers::is_unknown(&e) => {
+                    node.limits.record_unsupported_peer(&peer, PERMIT)
+                }
                 Err(e) if e.status().is_some() => return (Some(peer), Err("not_keeper")),
                 Err(_) => return (Some(peer), Err("silent")),
             },
@@ -113,21 +116,32 @@
     }
 }
 
-async fn ask_peer(node: &Rc<Node>, peer: &PeerNode, ask: &PermitAsk) -> Result<Grant, CallError> {
+async fn request_from_peer(
+    node: &Rc<Node>,
+    peer: &PeerNode,
+    ask: &PermitAsk,
+) -> Result<Grant, CallError> {
     // A kept connection may have fallen silent.
-    let resting = &node.limits.resting;
-    let fresh = resting.has_rested(&peer.id, node.now()).then(|| Client::new(TIMEOUT));
+    let unresponsive = &node.limits.unresponsive;
+    let fresh = unresponsive.has_rested(&peer.id, node.now()).then(|| Client::new(PERMIT_TIMEOUT));
     let client = fresh.as_ref().unwrap_or(&node.client);
-    let answer = peers::tell(node, client, peer.entry, PERMIT, ask, TIMEOUT).await;
+    let answer = peers::tell(node, client, peer.entry, PERMIT, ask, PERMIT_TIMEOUT).await;
     let now = node.now();
     match &answer {
-        Err(e) if e.status().is_none() => resting.did_not_answer(&peer.id, REST, now),
-        _ => resting.answered(&peer.id),
+        Err(e) if e.status().is_none() => {
+            unresponsive.did_not_answer(&peer.id, KEEPER_BACKOFF, now)
+        }
+        _ => unresponsive.answered(&peer.id),
     }
-    let PermitAnswer { granted, after_ms, word } =
+    let PermitAnswer { granted, after_ms, word: observation } =
         answer.inspect_err(|e| log::debug!("permit: {e}"))?;
-    learn(node, &ask.target, LimitObservation::from_peer(&word, now), &peer.id.name);
-    Ok(match (word.per_s, granted) {
+    merge_from_peer(
+        node,
+        &ask.target,
+        LimitObservation::from_peer(&observation, now),
+        &peer.id.name,
+    );
+    Ok(match (observation.per_s, granted) {
         (None, _) => Grant::Unlimited,
         (Some(_), true) => Grant::Now,
         (Some(_), false) => Grant::Later(Duration::from_millis(after_ms)),
@@ -135,28 +149,28 @@
 }
 
 /// What a target's keeper gives out, and the last that it knows of the limit.
-fn grant(node: &Rc<Node>, ask: &PermitAsk) -> (Grant, LimitObservation) {
-    let PermitAsk { from, target, domain, count, word, .. } = ask;
+fn issue(node: &Rc<Node>, ask: &PermitAsk) -> (Grant, LimitObservation) {
+    let PermitAsk { from, target, domain, count, word: observation, .. } = ask;
     let now = node.now();
-    let word = LimitObservation::from_peer(word, now);
-    spread::keep(node, target, domain, word);
-    let grant = node.limits.book(|b| b.request(target, from, *count, now));
-    let known = node.limits.book(|b| b.observation(target)).unwrap_or(word);
-    learn(node, target, known, "keeper");
+    let observation = LimitObservation::from_peer(observation, now);
+    spread::merge_as_keeper(node, target, domain, observation);
+    let grant = node.limits.issuer(|i| i.request(target, from, *count, now));
+    let known = node.limits.issuer(|i| i.observation(target)).unwrap_or(observation);
+    merge_from_peer(node, target, known, "keeper");
     (grant, known)
 }
 
 /// Answers a peer that asks for a permit; `None` if this node does not keep the target.
-pub fn answer(node: &Rc<Node>, ask: &PermitAsk) -> Option<PermitAnswer> {
-    node.limits.note_strangers(&ask.strangers);
+pub fn handle_permit_request(node: &Rc<Node>, ask: &PermitAsk) -> Option<PermitAnswer> {
+    node.limits.record_unsupported(&ask.strangers);
     if node.is_stopping() || node.limits.keeper(node, &ask.target, &ask.domain) != Some(None) {
         return None;
     }
-    let (grant, known) = grant(node, ask);
+    let (grant, known) = issue(node, ask);
     let (granted, after) = match grant {
         Grant::Now | Grant::Unlimited => (true, Duration::ZERO),
         Grant::Later(after) => (false, after),
     };
-    let word = known.to_peer(node.now());
-    Some(PermitAnswer { granted, after_ms: after.as_millis() as u64, word })
+    let observation = known.to_peer(node.now());
+    Some(PermitAnswer { granted, after_ms: after.as_millis() as u64, word: observation })
 }
--- a/crates/forward/src/limits/mod.rs
+++ b/crates/forward/src/limits/mod.rs
@@ -18,8 +18,8 @@
 use crate::node::Node;
 use crate::peers::Resting;
 
-pub use ask::{Permit, answer, permit};
-pub use spread::take;
+pub use ask::{Permit, handle_permit_request, request_permit};
+pub use spread::handle_news;
 
 /// Why a request is refused that no target may get.
 pub const AT_LIMIT: &str = "its targets are at the limits that they name";
@@ -27,47 +27,47 @@
 /// Limits that targets name, as this node keeps and follows them.
 #[derive(Default)]
 pub struct LocalLimits {
-    book: RefCell<PermitIssuer>,
+    issuer: RefCell<PermitIssuer>,
     /// Peers whose build keeps no limits.
-    strangers: RefCell<HashSet<NodeId>>,
+    unsupported_peers: RefCell<HashSet<NodeId>>,
     /// Keepers that did not answer.
-    resting: Resting,
-    returns: RefCell<HashMap<Name, RetryPacer>>,
-    unsent: spread::Unsent,
+    unresponsive: Resting,
+    retry_pacers: RefCell<HashMap<Name, RetryPacer>>,
+    pending_news: spread::PendingNews,
 }
 
 impl LocalLimits {
     /// Uses what this node gives out for a moment.
-    fn book<T>(&self, f: impl FnOnce(&mut PermitIssuer) -> T) -> T {
-        f(&mut self.book.borrow_mut())
+    fn issuer<T>(&self, f: impl FnOnce(&mut PermitIssuer) -> T) -> T {
+        f(&mut self.issuer.borrow_mut())
     }
 
     /// Forgets what nobody asked for in a long time, and peers that are gone.
     pub fn expire(&self, node: &Node) {
-        self.book(|b| b.expire(node.now()));
-        let mut strangers = self.strangers.borrow_mut();
-        if !strangers.is_empty() {
+        self.issuer(|i| i.expire(node.now()));
+        let mut unsupported = self.unsupported_peers.borrow_mut();
+        if !unsupported.is_empty() {
             let up = node.peers.roster(|r| r.ids());
-            strangers.retain(|id| up.contains(id));
+            unsupported.retain(|id| up.contains(id));
         }
     }
 
-    fn is_stranger(&self, id: &NodeId) -> bool {
-        self.strangers.borrow().contains(id)
+    fn is_unsupported(&self, id: &NodeId) -> bool {
+        self.unsupported_peers.borrow().contains(id)
     }
 
     /// So many of these peers, at most.
-    fn strangers(&self, most: usize) -> Vec<NodeId> {
-        self.strangers.borrow().iter().take(most).cloned().collect()
+    fn unsupported_peers(&self, max: usize) -> Vec<NodeId> {
+        self.unsupported_peers.borrow().iter().take(max).cloned().collect()
     }
 
-    fn note_strangers(&self, ids: &[NodeId]) {
-        self.strangers.borrow_mut().extend(ids.iter().cloned());
+    fn record_unsupported(&self, ids: &[NodeId]) {
+        self.unsupported_peers.borrow_mut().extend(ids.iter().cloned());
     }
 
     /// A peer's build keeps no limits.
-    fn note_stranger(&self, peer: &PeerNode, what: &str) {
-        if self.strangers.borrow_mut().insert(peer.id.clone()) {
+    fn record_unsupported_peer(&self, peer: &PeerNode, what: &str) {
+        if self.unsupported_peers.borrow_mut().insert(peer.id.clone()) {
             Event::Stranger { peer: &peer.id.name, what }.emit();
         }
     }
@@ -75,22 +75,27 @@
     /// Who keeps a target: `Some(None)` is this node, `None` if that is not known yet.
     fn keeper(&self, node: &Node, target: &TargetId, domain: &str) -> Option<Option<PeerNode>> {
         let (name, now) = (&target.name, node.now());
-        node.peers.roster(|r| r.keeper(name, domain, |id| self.is_stranger(id), now))
+        node.peers.roster(|r| r.keeper(name, domain, |id| self.is_unsupported(id), now))
     }
 
     /// Time after which a caller of a service may come back whose targets are all at their limits;
     /// `None` if there is another reason why none gets a request.
-    pub fn come_back(&self, node: &Node, service: &Name, targets: &[TargetId]) -> Option<Duration> {
+    pub fn retry_after(
+        &self,
+        node: &Node,
+        service: &Name,
+        targets: &[TargetId],
+    ) -> Option<Duration> {
         let now = node.now();
-        let (soonest, pace) = node.fleet(|f| {
+        let (earliest, rate) = node.fleet(|f| {
             let closed = targets.iter().map(|id| f.limits().closed_until(id));
-            let soonest = closed.collect::<Option<Vec<Time>>>()?.into_iter().min()?;
+            let earliest = closed.collect::<Option<Vec<Time>>>()?.into_iter().min()?;
             let limits = targets.iter().filter_map(|id| f.limits().get(id));
-            Some((soonest.since(now), limits.map(decide::permit::issue_rate).sum::<f64>()))
+            Some((earliest.since(now), limits.map(decide::permit::issue_rate).sum::<f64>()))
         })?;
         let nodes = node.peers.roster(|r| r.count());
-        let mut returns = self.returns.borrow_mut();
-        Some(returns.entry(service.clone()).or_default().next(soonest, pace, nodes, now))
+        let mut pacers = self.retry_pacers.borrow_mut();
+        Some(pacers.entry(service.clone()).or_default().next(earliest, rate, nodes, now))
     }
 }
 
@@ -100,31 +105,35 @@
 }
 
 /// Takes what an answer says of its target's limit; the request was sent at `sent`.
-pub fn hear(node: &Rc<Node>, target: &Target, said: NamedLimit, sent: Time) {
+pub fn observe_limit(node: &Rc<Node>, target: &Target, report: NamedLimit, sent: Time) {
     let now = node.now();
-    let Some(change) = node.fleet(|f| f.record_limit(&target.id, said, sent, now)) else {
+    let Some(change) = node.fleet(|f| f.record_limit(&target.id, report, sent, now)) else {
         return;
     };
-    tell(target, "answer", change);
+    log_change(target, "answer", change);
     let per_s = match change {
         LimitChange::Named(per_s) => Some(per_s),
         LimitChange::Ended => None,
         LimitChange::Unreadable => return,
     };
-    spread::tell_keeper(node, target, LimitObservation { per_s, sent_at: sent, received_at: now });
+    spread::report_to_keeper(
+        node,
+        target,
+        LimitObservation { per_s, sent_at: sent, received_at: now },
+    );
 }
 
 /// Takes what a peer tells of a limit.
-fn learn(node: &Node, target: &TargetId, word: LimitObservation, from: &str) {
-    let Some(change) = node.fleet(|f| f.merge_peer_limit(target, word)) else {
+fn merge_from_peer(node: &Node, target: &TargetId, observation: LimitObservation, from: &str) {
+    let Some(change) = node.fleet(|f| f.merge_peer_limit(target, observation)) else {
         return;
     };
     if let Some(known) = node.fleet(|f| f.get(target).map(|b| b.target.clone())) {
-        tell(&known, from, change);
+        log_change(&known, from, change);
     }
 }
 
-fn tell(target: &Target, from: &str, change: LimitChange) {
+fn log_change(target: &Target, from: &str, change: LimitChange) {
     let (what, per_s) = match change {
         LimitChange::Named(per_s) => ("named", Some(per_s)),
         LimitChange::Ended => ("ended", None),
--- a/crates/forward/src/limits/spread.rs
+++ b/crates/forward/src/limits/spread.rs
@@ -15,18 +15,18 @@
 use tokio::sync::Notify;
 use util::http::CallError;
 
-use super::learn;
+use super::merge_from_peer;
 use crate::node::Node;
 use crate::peers::{self, LIMITS};
 
 /// Time in which news is gathered, so that targets that begin together make one message.
-const GATHER: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// Time between two rounds of news: a target may name a limit in every second answer.
-const APART: Duration = Duration::from_secs(1);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Targets whose limits peers are to be told of, with their failure domains.
 #[derive(Default)]
-pub(super) struct Unsent {
+pub(super) struct PendingNews {
     targets: RefCell<BTreeMap<TargetId, Name>>,
     added: Notify,
 }
@@ -34,81 +34,89 @@
 /// Runs until the process ends.
 pub(super) async fn run(node: Rc<Node>) {
     loop {
-        node.limits.unsent.added.notified().await;
-        tokio::time::sleep(GATHER).await;
-        let limits = gather(&node);
+        node.limits.pending_news.added.notified().await;
+        tokio::time::sleep(BATCH_DELAY).await;
+        let limits = take_pending(&node);
         let peers = node.peers.roster(|r| r.peers());
-        let known: Vec<_> = peers.into_iter().filter(|p| !node.limits.is_stranger(&p.id)).collect();
+        let known: Vec<_> =
+            peers.into_iter().filter(|p| !node.limits.is_unsupported(&p.id)).collect();
         let news = LimitNews { limits, spread: false };
-        let each = |peer: &PeerNode, told| note(&node, peer, told);
-        peers::tell_many::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, each).await;
-        tokio::time::sleep(APART).await;
+        let on_result = |peer: &PeerNode, result| record_send_result(&node, peer, result);
+        peers::tell_many::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, on_result).await;
+        tokio::time::sleep(MIN_ROUND_INTERVAL).await;
     }
 }
 
-fn gather(node: &Node) -> Vec<TargetLimit> {
-    let targets = std::mem::take(&mut *node.limits.unsent.targets.borrow_mut());
+fn take_pending(node: &Node) -> Vec<TargetLimit> {
+    let targets = std::mem::take(&mut *node.limits.pending_news.targets.borrow_mut());
     let now = node.now();
     let limit = |(target, domain): (TargetId, Name)| {
-        let word = node.limits.book(|b| b.observation(&target))?.to_peer(now);
-        Some(TargetLimit { target, domain, word })
+        let observation = node.limits.issuer(|i| i.observation(&target))?.to_peer(now);
+        Some(TargetLimit { target, domain, word: observation })
     };
     targets.into_iter().filter_map(limit).collect()
 }
 
 /// What came of news for a peer.
-fn note(node: &Node, peer: &PeerNode, told: Result<(), CallError>) {
-    match told {
+fn record_send_result(node: &Node, peer: &PeerNode, result: Result<(), CallError>) {
+    match result {
         Ok(()) => {}
-        Err(e) if peers::is_unknown(&e) => node.limits.note_stranger(peer, LIMITS),
+        Err(e) if peers::is_unknown(&e) => node.limits.record_unsupported_peer(peer, LIMITS),
         Err(e) => log::debug!("limits: {e}"),
     }
 }
 
 /// All peers are to be told of a target's limit.
-pub(super) fn tell_all(node: &Node, target: &TargetId, domain: &Name) {
-    let unsent = &node.limits.unsent;
+pub(super) fn announce(node: &Node, target: &TargetId, domain: &Name) {
+    let unsent = &node.limits.pending_news;
     unsent.targets.borrow_mut().insert(target.clone(), domain.clone());
     unsent.added.notify_one();
 }
 
 /// Tells a target's keeper what an answer said.
-pub(super) fn tell_keeper(node: &Rc<Node>, target: &Target, word: LimitObservation) {
+pub(super) fn report_to_keeper(node: &Rc<Node>, target: &Target, observation: LimitObservation) {
     let (id, domain) = (target.id.clone(), target.domain.clone());
     match node.limits.keeper(node, &id, &domain) {
         None => {}
-        Some(None) => keep(node, &id, &domain, word),
+        Some(None) => merge_as_keeper(node, &id, &domain, observation),
         Some(Some(peer)) => {
             let node = node.clone();
             tokio::task::spawn_local(async move {
-                let limit = TargetLimit { target: id, domain, word: word.to_peer(node.now()) };
+                let limit =
+                    TargetLimit { target: id, domain, word: observation.to_peer(node.now()) };
                 let news = LimitNews { limits: vec![limit], spread: true };
                 let client = &node.client;
                 // What does not arrive is told with the next ask.
-                let told = peers::tell(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
-                note(&node, &peer, told);
+                let result =
+                    peers::tell(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
+                record_send_result(&node, &peer, result);
             });
         }
     }
 }
 
 /// Takes a word as a target's keeper.
-pub(super) fn keep(node: &Node, target: &TargetId, domain: &Name, word: LimitObservation) {
+pub(super) fn merge_as_keeper(
+    node: &Node,
+    target: &TargetId,
+    domain: &Name,
+    observation: LimitObservation,
+) {
     let now = node.now();
-    if node.limits.book(|b| b.merge(target, word, now)) {
-        tell_all(node, target, domain);
+    if node.limits.issuer(|i| i.merge(target, observation, now)) {
+        announce(node, target, domain);
     }
 }
 
 /// Takes a peer's news.
-pub fn take(node: &Node, news: LimitNews) {
+pub fn handle_news(node: &Node, news: LimitNews) {
     let now = node.now();
-    for TargetLimit { target, domain, word } in news.limits {
-        let word = LimitObservation::from_peer(&word, now);
+    for TargetLimit { target, domain, word: observation } in news.limits {
+        let observation = LimitObservation::from_peer(&observation, now);
         let from = if news.spread { "witness" } else { "peer" };
-        learn(node, &target, word, from);
+        merge_from_peer(node, &target, observation, from);
         if news.spread {
-            keep(node, &target, &domain, word);
+            merge_as_keeper(node, &target, &domain, observation);
         }
     }
 }
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -138,7 +138,7 @@
 
 async fn prefill_end(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
     let end = message(request, "not the end of a prompt").await?;
-    node.schedulers.end(end, node.now());
+    node.schedulers.record_end(end, node.now());
     Ok(rmp(&()))
 }
 
@@ -149,14 +149,14 @@
 
 async fn permit(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
     let ask = message(request, "not an ask for a permit").await?;
-    let answer = limits::answer(node, &ask);
+    let answer = limits::handle_permit_request(node, &ask);
     let answer = answer.ok_or_else(|| text(StatusCode::CONFLICT, "another node comes first"))?;
     Ok(rmp_named(&answer))
 }
 
 async fn limit_news(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
     let news = message(request, "not news of limits").await?;
-    limits::take(node, news);
+    limits::handle_news(node, news);
     Ok(rmp_named(&()))
 }
 
--- a/crates/forward/src/prefill/mod.rs
+++ b/crates/forward/src/prefill/mod.rs
@@ -21,13 +21,13 @@
 
 /// Prompt tokens from which on the scheduler is asked. Fewer are read in some milliseconds,
 /// but may wait hundreds of them behind others.
-const LONG: u64 = 500;
+const MIN_SCHEDULED_TOKENS: u64 = 500;
 /// Time for the scheduler's answer: a few times what it takes between failure domains.
-const ASK_TIMEOUT: Duration = Duration::from_millis(60);
+const SCHEDULER_TIMEOUT: Duration = Duration::from_millis(60);
 /// Time for the news of an end; what is not told of is forgotten there.
 const END_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time for which a scheduler that did not answer is done without.
-const REST: Duration = Duration::from_millis(500);
+const SCHEDULER_BACKOFF: Duration = Duration::from_millis(500);
 
 /// A service and a failure domain of its engines.
 type Group = (Name, Name);
@@ -35,8 +35,8 @@
 /// Schedulers at this node, and those elsewhere that did not answer.
 #[derive(Default)]
 pub struct Schedulers {
-    own: RefCell<HashMap<Group, Scheduler>>,
-    resting: Resting,
+    local: RefCell<HashMap<Group, Scheduler>>,
+    unresponsive: Resting,
 }
 
 impl Schedulers {
@@ -44,7 +44,7 @@
     pub fn place(&self, node: &Node, ask: &PrefillAsk) -> PrefillAnswer {
         let now = node.now();
         let map = node.peers.roster(|r| r.map());
-        let wanted = PickCriteria {
+        let criteria = PickCriteria {
             service: &ask.service,
             domain: &ask.domain,
             map: &map,
@@ -59,21 +59,21 @@
             may_repeat: true,
         };
         let home = Home { key: ask.home, shared_tokens: ask.shared };
-        let order = node.fleet(|f| f.local_homes(wanted, home, now));
+        let order = node.fleet(|f| f.local_homes(criteria, home, now));
         let group = (ask.service.clone(), ask.domain.clone());
-        let mut own = self.own.borrow_mut();
+        let mut local = self.local.borrow_mut();
         // At the first start of all no engine keeps anything that was not placed since.
-        let began = if node.settings().first_start { Time::ZERO } else { now };
-        let scheduler = own.entry(group).or_insert_with(|| Scheduler::new(began));
+        let started_at = if node.settings().first_start { Time::ZERO } else { now };
+        let scheduler = local.entry(group).or_insert_with(|| Scheduler::new(started_at));
         let placed = scheduler.place(ask, &order, now);
         let ahead = placed.as_ref().map_or(0, |p| p.tokens_ahead);
         PrefillAnswer { engine: placed.map(|p| p.engine), ahead }
     }
 
     /// A prompt that this node placed has been read, or will not be.
-    pub fn end(&self, end: PrefillEnd, now: Time) {
+    pub fn record_end(&self, end: PrefillEnd, now: Time) {
         let group = (end.service, end.domain);
-        if let Some(scheduler) = self.own.borrow_mut().get_mut(&group) {
+        if let Some(scheduler) = self.local.borrow_mut().get_mut(&group) {
             match end.was_read {
                 true => scheduler.finish_prompt(&end.engine, &end.attempt, now),
                 false => scheduler.cancel_prompt(&end.engine, &end.attempt),
@@ -83,33 +83,35 @@
 }
 
 /// Tells the scheduler, once it goes, that the prompt has been read or will not be.
-pub struct Ticket {
+pub struct PromptGuard {
     node: Rc<Node>,
     /// Where the scheduler is; `None` is this node.
-    at: Option<SocketAddr>,
+    scheduler: Option<SocketAddr>,
     end: PrefillEnd,
 }
 
-impl Ticket {
+impl PromptGuard {
     /// The prompt has been read.
-    pub fn read(mut self) {
+    pub fn mark_read(mut self) {
         self.end.was_read = true;
     }
 }
 
-impl Drop for Ticket {
+impl Drop for PromptGuard {
     fn drop(&mut self) {
         let end = self.end.clone();
-        match self.at {
-            None => self.node.schedulers.end(end, self.node.now()),
-            Some(at) => _ = tokio::task::spawn_local(tell(self.node.clone(), at, end)),
+        match self.scheduler {
+            None => self.node.schedulers.record_end(end, self.node.now()),
+            Some(address) => {
+                _ = tokio::task::spawn_local(report_end(self.node.clone(), address, end))
+            }
         }
     }
 }
 
-async fn tell(node: Rc<Node>, at: SocketAddr, end: PrefillEnd) {
-    let told = peers::ask::<_, ()>(&node, at, PREFILL_END, &end, END_TIMEOUT).await;
-    if let Err(e) = told {
+async fn report_end(node: Rc<Node>, address: SocketAddr, end: PrefillEnd) {
+    let result = peers::ask::<_, ()>(&node, address, PREFILL_END, &end, END_TIMEOUT).await;
+    if let Err(e) = result {
         log::debug!("scheduler: {e}");
     }
 }
@@ -119,9 +121,9 @@
     /// Engine.
     pub engine: TargetId,
     /// Prompt tokens that it has to read before.
-    pub ahead: u64,
+    pub tokens_ahead: u64,
     /// Held until the prompt has been read.
-    pub ticket: Ticket,
+    pub prompt_guard: PromptGuard,
 }
 
 /// A prompt to be read.
@@ -139,21 +141,31 @@
     /// Milliseconds until its first event is due.
     pub slack_ms: u64,
     /// Engines that it was sent to before.
-    pub but: Vec<TargetId>,
+    pub excluded: Vec<TargetId>,
 }
 
 /// Asks which engine near `first`, the prompt's home, is to read it. `None` if the prompt is
 /// short, no scheduler answers, or it knows no engine that may.
 pub async fn schedule(node: &Rc<Node>, first: &Target, prompt: Prompt) -> Option<Scheduled> {
-    let Prompt { attempt, allowed, side, home, tokens, slack_ms, but } = prompt;
+    let Prompt { attempt, allowed, side, home, tokens, slack_ms, excluded } = prompt;
     let Home { key: home, shared_tokens: shared } = home;
-    if tokens < LONG {
+    if tokens < MIN_SCHEDULED_TOKENS {
         return None;
     }
     let (service, domain) = (first.service.clone(), first.domain.clone());
     let scheduler = node.peers.roster(|r| r.scheduler(&service, &domain, node.now()))?;
-    let ask =
-        PrefillAsk { service, domain, attempt, allowed, side, home, shared, tokens, slack_ms, but };
+    let ask = PrefillAsk {
+        service,
+        domain,
+        attempt,
+        allowed,
+        side,
+        home,
+        shared,
+        tokens,
+        slack_ms,
+        but: excluded,
+    };
     let answer = match &scheduler {
         None => node.schedulers.place(node, &ask),
         Some(peer) => ask_peer(node, peer, &ask).await?,
@@ -161,19 +173,19 @@
     let PrefillAsk { service, domain, attempt, .. } = ask;
     let engine = answer.engine?;
     let end = PrefillEnd { service, domain, attempt, engine: engine.clone(), was_read: false };
-    let at = scheduler.map(|peer| peer.entry);
-    let ticket = Ticket { node: node.clone(), at, end };
-    Some(Scheduled { engine, ahead: answer.ahead, ticket })
+    let address = scheduler.map(|peer| peer.entry);
+    let prompt_guard = PromptGuard { node: node.clone(), scheduler: address, end };
+    Some(Scheduled { engine, tokens_ahead: answer.ahead, prompt_guard })
 }
 
 async fn ask_peer(node: &Rc<Node>, peer: &PeerNode, ask: &PrefillAsk) -> Option<PrefillAnswer> {
-    if node.schedulers.resting.rests(&peer.id, node.now()) {
+    if node.schedulers.unresponsive.rests(&peer.id, node.now()) {
         return None;
     }
-    match peers::ask(node, peer.entry, PREFILL, ask, ASK_TIMEOUT).await {
+    match peers::ask(node, peer.entry, PREFILL, ask, SCHEDULER_TIMEOUT).await {
         Ok(answer) => Some(answer),
         Err(e) => {
-            node.schedulers.resting.did_not_answer(&peer.id, REST, node.now());
+            node.schedulers.unresponsive.did_not_answer(&peer.id, SCHEDULER_BACKOFF, node.now());
             Event::Scheduler {
                 service: &ask.service,
                 domain: &ask.domain,
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response, StatusCode};
 use model::forward::{Allowed, CallerHead, Fingerprint, Rank, Route};
 
-use super::exchange::{Admitted, Exchange, Taken};
+use super::exchange::{Admitted, Exchange, ReceivedRequest};
 use super::reply::{self, Body};
 use crate::events::Event;
 use crate::node::Node;
@@ -21,26 +21,26 @@
 use crate::rules::{Table, choose_service};
 
 /// Silence of the store after which an unknown route or key may simply be new.
-const RULES_FRESH: Duration = Duration::from_secs(8);
+const RULES_STALE_AFTER: Duration = Duration::from_secs(8);
 /// Wait of a caller that names none, in milliseconds, if its route has none either.
-const WAIT_MS: u64 = 30_000;
+const DEFAULT_WAIT_MS: u64 = 30_000;
 
 /// Why a request is refused at once.
 struct Refusal {
     status: StatusCode,
-    why: &'static str,
-    come_back: Option<Duration>,
+    reason: &'static str,
+    retry_after: Option<Duration>,
     close: bool,
-    same: Option<Fingerprint>,
+    fingerprint: Option<Fingerprint>,
 }
 
 impl Refusal {
-    fn new(status: StatusCode, why: &'static str) -> Self {
-        Refusal { status, why, come_back: None, close: false, same: None }
+    fn new(status: StatusCode, reason: &'static str) -> Self {
+        Refusal { status, reason, retry_after: None, close: false, fingerprint: None }
     }
 
-    fn come_back(self, after: Duration) -> Self {
-        Refusal { come_back: Some(after), ..self }
+    fn retry_after(self, after: Duration) -> Self {
+        Refusal { retry_after: Some(after), ..self }
     }
 
     fn close(self) -> Self {
@@ -48,24 +48,24 @@
     }
 
     /// An unknown route or key: refused for good only if the rules are surely fresh.
-    fn unknown(node: &Node, status: StatusCode, why: &'static str) -> Self {
-        if node.rules_may_be_old(RULES_FRESH) {
-            let why = "rules may be out of date";
-            return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why)
-                .come_back(DEFAULT_RETRY_AFTER);
+    fn unknown(node: &Node, status: StatusCode, reason: &'static str) -> Self {
+        if node.rules_may_be_old(RULES_STALE_AFTER) {
+            let reason = "rules may be out of date";
+            return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason)
+                .retry_after(DEFAULT_RETRY_AFTER);
         }
-        Refusal::new(status, why)
+        Refusal::new(status, reason)
     }
 
     fn into_response(self, node: &Node, head: &CallerHead) -> Response<Body> {
         Event::Request {
             id: &head.id,
-            same: &self.same.map_or(String::new(), |same| same.to_string()),
+            same: &self.fingerprint.map_or(String::new(), |f| f.to_string()),
             route: "",
             version: node.table().rules.version,
             status: self.status.as_u16(),
             outcome: "refused",
-            why: self.why,
+            why: self.reason,
             target: "",
             attempts: 0,
             stages_ms: 0,
@@ -75,9 +75,9 @@
         .emit();
         node.metrics.request("", "refused", self.status.as_u16());
         let id = Some(head.id.as_str()).filter(|id| !id.is_empty());
-        let mut response = reply::own(node, self.status, id, self.come_back, self.why);
+        let mut response = reply::local(node, self.status, id, self.retry_after, self.reason);
         if self.close {
-            reply::close_after(&mut response);
+            reply::set_connection_close(&mut response);
         }
         response
     }
@@ -98,28 +98,29 @@
     })?;
     node.state_known().await;
     let table = node.table();
-    let found = find(node, &table, &head).map_err(|r| r.into_response(node, &head))?;
-    refuse_at_door(node, &table, &found, &head).map_err(|r| r.into_response(node, &head))?;
-    let wait_ms = head.wait_ms.unwrap_or(WAIT_MS).min(found.route.timeout_ms.max(1));
+    let resolved = resolve(node, &table, &head).map_err(|r| r.into_response(node, &head))?;
+    check_admission(node, &table, &resolved, &head).map_err(|r| r.into_response(node, &head))?;
+    let wait_ms = head.wait_ms.unwrap_or(DEFAULT_WAIT_MS).min(resolved.route.timeout_ms.max(1));
     let deadline = arrived + Duration::from_millis(wait_ms);
     let limit = table.rules.limits.body_bytes;
-    let body = match node.clock.until(deadline, read(body, limit)).await {
+    let body = match node.clock.until(deadline, read_body(body, limit)).await {
         Some(body) => body,
         None => Err(Refusal::new(StatusCode::REQUEST_TIMEOUT, "body was late").close()),
     };
     let body = body.map_err(|r| r.into_response(node, &head))?;
-    let Found { route, service, workspace, rank, allowed } = found;
+    let Resolved { route, service, workspace, rank, allowed } = resolved;
     let fingerprint = fingerprint(&parts, &head, workspace.as_ref(), &body);
     if let Some(hold) = node.quarantine.comes(node, fingerprint) {
         node.metrics.held_back(&route.name);
         let refusal = Refusal {
-            come_back: hold.remaining,
-            same: Some(fingerprint),
+            retry_after: hold.remaining,
+            fingerprint: Some(fingerprint),
             ..Refusal::new(StatusCode::SERVICE_UNAVAILABLE, HELD)
         };
         return Err(refusal.into_response(node, &head));
     }
-    let request = Taken { method: parts.method, uri: parts.uri, headers: parts.headers, body };
+    let request =
+        ReceivedRequest { method: parts.method, uri: parts.uri, headers: parts.headers, body };
     let version = table.rules.version;
     let side = node.fleet(|f| f.versions().side_for_attempt(&service, &head.id));
     let admitted = Admitted {
@@ -132,7 +133,7 @@
         rank,
         allowed,
         side,
-        version,
+        rules_version: version,
         arrived,
         deadline,
     };
@@ -148,14 +149,14 @@
     body: &[u8],
 ) -> Fingerprint {
     let caller = workspace.map(|w| &**w).or(head.key.as_deref()).unwrap_or_default();
-    let asked = parts.uri.path_and_query().map_or("", |p| p.as_str());
+    let path_and_query = parts.uri.path_and_query().map_or("", |p| p.as_str());
     let method = parts.method.as_str();
-    let texts = [method, &head.host, asked, caller].map(str::as_bytes);
-    let [method, host, asked, caller] = texts;
-    Fingerprint::of(&[method, host, asked, caller, body])
+    let texts = [method, &head.host, path_and_query, caller].map(str::as_bytes);
+    let [method, host, path_and_query, caller] = texts;
+    Fingerprint::of(&[method, host, path_and_query, caller, body])
 }
 
-struct Found {
+struct Resolved {
     route: Route,
     service: model::Name,
     workspace: Option<model::Name>,
@@ -163,11 +164,11 @@
     allowed: Allowed,
 }
 
-fn find(node: &Node, table: &Table, head: &CallerHead) -> Result<Found, Refusal> {
+fn resolve(node: &Node, table: &Table, head: &CallerHead) -> Result<Resolved, Refusal> {
     if !table.known() {
-        let why = "no rules are known yet";
+        let reason = "no rules are known yet";
         return Err(
-            Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why).come_back(DEFAULT_RETRY_AFTER)
+            Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason).retry_after(DEFAULT_RETRY_AFTER)
         );
     }
     let route = table
@@ -183,7 +184,7 @@
     let service = choose_service(route, &head.id)
         .ok_or_else(|| Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "route has no service"))?;
     let rank = Rank::of(workspace.and_then(|w| w.rank), route.rank);
-    Ok(Found {
+    Ok(Resolved {
         route: route.clone(),
         service: service.clone(),
         workspace: workspace.map(|w| w.name.clone()),
@@ -193,26 +194,27 @@
 }
 
 /// Refuses a request that would miss its objective by far.
-fn refuse_at_door(
+fn check_admission(
     node: &Node,
     table: &Table,
-    found: &Found,
+    resolved: &Resolved,
     head: &CallerHead,
 ) -> Result<(), Refusal> {
-    let route = &found.route;
+    let route = &resolved.route;
     if route.stages.is_empty() || !node.settings().policy.admission {
         return Ok(());
     }
-    let least = forecast::min_stage_times(route, &head.pieces, |name| table.service(name));
-    let (least, queues) = node.paths(route, &head.pieces, &found.allowed, &least);
+    let min_times = forecast::min_stage_times(route, &head.pieces, |name| table.service(name));
+    let (min_times, queues) = node.paths(route, &head.pieces, &resolved.allowed, &min_times);
     let now = node.now();
-    let expected = node.forecast(|f| f.expected(route, &least, &queues, found.rank, now));
+    let expected = node.forecast(|f| f.expected(route, &min_times, &queues, resolved.rank, now));
     let objective = Duration::from_millis(route.objective_ms);
-    let patience = Duration::from_millis(head.wait_ms.unwrap_or(route.timeout_ms));
-    match forecast::decide_admission(expected, objective, patience) {
+    let max_wait = Duration::from_millis(head.wait_ms.unwrap_or(route.timeout_ms));
+    match forecast::decide_admission(expected, objective, max_wait) {
         Admission::Admit => Ok(()),
         Admission::Refuse(after) => {
-            let longest = node.forecast(|f| f.longest_wait(&least, &queues, found.rank, now));
+            let longest =
+                node.forecast(|f| f.longest_wait(&min_times, &queues, resolved.rank, now));
             let (longest_service, longest, longest_age) = longest
                 .map_or(("", Duration::ZERO, Duration::ZERO), |l| (&**l.service, l.wait, l.age));
             node.metrics.stage_refused(longest_service, "door");
@@ -228,13 +230,13 @@
                 come_back_ms: after.as_millis() as u64,
             }
             .emit();
-            let why = "stages are overloaded";
-            Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why).come_back(after))
+            let reason = "stages are overloaded";
+            Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason).retry_after(after))
         }
     }
 }
 
-async fn read(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     match Limited::new(body, limit).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => {
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -8,23 +8,23 @@
 use model::forward::{Allowed, LARGE_RESULT, Phase, Side, Target, TargetId};
 use model::{Name, Time};
 
-use super::exchange::{COME_BACK, Exchange};
+use super::exchange::{Exchange, NO_TARGET_RETRY_AFTER};
 use crate::events::Event;
 use crate::limits::{self, Permit};
-use crate::prefill::{self, Prompt, Ticket};
+use crate::prefill::{self, Prompt, PromptGuard};
 use crate::quarantine::HELD;
 use crate::rollout;
 use crate::stages::Made;
 
 /// Asks for permits that may hold one request up.
-const PERMIT_ASKS: usize = 3;
+const MAX_PERMIT_REQUESTS: usize = 3;
 
 /// The target of one send.
 pub struct Choice {
     /// Target.
     pub target: Target,
     /// Held until the target has read the prompt, if a scheduler chose it.
-    pub ticket: Option<Ticket>,
+    pub prompt_guard: Option<PromptGuard>,
     /// What allows the send.
     pub permit: Permit,
 }
@@ -32,48 +32,48 @@
 /// A target that is chosen, before its permit is asked for.
 struct Pick {
     target: Target,
-    ticket: Option<Ticket>,
-    by: &'static str,
+    prompt_guard: Option<PromptGuard>,
+    chosen_by: &'static str,
     /// Prompt tokens that it has to read before, as far as is known.
-    ahead: u64,
+    tokens_ahead: u64,
 }
 
 impl Exchange {
     /// The target that a request is best sent to now; a cold one only if it is this node's
     /// turn to start a request there.
     pub(super) fn choose(&self) -> Option<Target> {
-        let chosen = self.choose_now();
+        let chosen = self.try_choose();
         if chosen.is_none() && self.leave_trial() {
-            return self.choose_now();
+            return self.try_choose();
         }
         chosen
     }
 
-    fn choose_now(&self) -> Option<Target> {
+    fn try_choose(&self) -> Option<Target> {
         let now = self.node.now();
         let owns = |id: &TargetId| self.node.peers.roster(|r| r.owns(&id.name, now));
-        let but = self.progress(|p| p.but.clone());
+        let excluded = self.progress(|p| p.excluded.clone());
         let settings = self.node.settings();
-        let allowed = self.allowed_now();
-        let shares = self.home_shares(&allowed, now);
+        let allowed = self.allowed_regions();
+        let weights = self.home_weights(&allowed, now);
         let map = self.node.peers.roster(|r| r.map());
         let region = self.home_region(&map);
-        let wanted = PickCriteria {
+        let criteria = PickCriteria {
             service: &self.service,
             domain: &settings.domain,
             map: &map,
             home_region: region.as_ref(),
             terms: self.terms(&allowed),
-            exclude: &but,
-            max_per_target: self.connections_each(),
-            home_weights: &shares,
+            exclude: &excluded,
+            max_per_target: self.max_connections(),
+            home_weights: &weights,
             cold_limit: self.node.cold_limit(&self.service),
             cold_starts: ColdStarts::InTurn(&owns),
             may_repeat: self.route.repeat.may_repeat() && self.route.max_attempts > 1,
         };
         let chosen = match self.home() {
-            Some(home) => self.node.fleet(|f| f.pick_home(wanted, home, now)),
-            None => self.node.fleet(|f| self.node.rng(|r| f.pick_by_wait(wanted, now, r))),
+            Some(home) => self.node.fleet(|f| f.pick_home(criteria, home, now)),
+            None => self.node.fleet(|f| self.node.rng(|r| f.pick_by_wait(criteria, now, r))),
         }?;
         self.node.fleet(|f| f.note_chosen(&chosen.id, now));
         Some(chosen)
@@ -81,18 +81,18 @@
 
     /// Regions in which what has not begun yet may be served: those allowed when the request
     /// was taken in, as far as the rules in force still allow them.
-    pub(super) fn allowed_now(&self) -> Allowed {
+    pub(super) fn allowed_regions(&self) -> Allowed {
         let table = self.node.table();
-        if table.rules.version == self.version {
+        if table.rules.version == self.rules_version {
             return self.allowed.clone();
         }
         self.allowed.and(&table.allowed(&self.head))
     }
 
     /// Returns once other regions than these are allowed.
-    pub(super) async fn allowed_changes(&self, from: &Allowed) {
+    pub(super) async fn wait_allowed_changed(&self, from: &Allowed) {
         let mut versions = self.node.versions();
-        while self.allowed_now() == *from {
+        while self.allowed_regions() == *from {
             if versions.changed().await.is_err() {
                 return std::future::pending().await;
             }
@@ -101,37 +101,37 @@
 
     /// What the request asks of any target.
     fn terms<'a>(&self, allowed: &'a Allowed) -> Terms<'a> {
-        Terms { allowed, side: self.version_now() }
+        Terms { allowed, side: self.current_side() }
     }
 
     /// Whether the rules in force allow the request where a target is.
-    pub(super) fn is_allowed_at(&self, target: &TargetId) -> bool {
-        let allowed = self.allowed_now();
+    pub(super) fn is_target_allowed(&self, target: &TargetId) -> bool {
+        let allowed = self.allowed_regions();
         self.node.fleet(|f| f.is_in_allowed_region(target, &allowed))
     }
 
     /// Why the request may not go to a target any more that was chosen before its inputs were
     /// made or its connection stood; `None` if it may.
-    pub(super) fn barred(&self, target: &TargetId) -> Option<&'static str> {
+    pub(super) fn exclusion_reason(&self, target: &TargetId) -> Option<&'static str> {
         let now = self.node.now();
-        let allowed = self.allowed_now();
+        let allowed = self.allowed_regions();
         let terms = self.terms(&allowed);
         self.node.fleet(|f| match f.get(target) {
-            Some(belief) => f.exclusion(belief, terms, now).map(Exclusion::as_str),
+            Some(state) => f.exclusion(state, terms, now).map(Exclusion::as_str),
             None => Some("gone"),
         })
     }
 
     /// Whether all results rest where the rules in force allow them.
-    pub(super) fn is_inside(&self, made: &Made) -> bool {
-        let allowed = self.allowed_now();
-        self.node.fleet(|f| made.makers().all(|maker| f.is_in_allowed_region(maker, &allowed)))
+    pub(super) fn is_result_allowed(&self, made: &Made) -> bool {
+        let allowed = self.allowed_regions();
+        self.node.fleet(|f| made.makers().all(|worker| f.is_in_allowed_region(worker, &allowed)))
     }
 
     /// The first service, of those that the request needs, without any target in the regions
     /// that are allowed; `None` if the request names no regions.
-    pub(super) fn unserved(&self) -> Option<&Name> {
-        let allowed = self.allowed_now();
+    pub(super) fn unserved_service(&self) -> Option<&Name> {
+        let allowed = self.allowed_regions();
         if allowed.is_any() {
             return None;
         }
@@ -147,14 +147,14 @@
 
     /// Whether a failure domain lies in a region that is allowed, so that it may help to
     /// come back.
-    pub(super) fn is_reachable(&self) -> bool {
-        let allowed = self.allowed_now();
+    pub(super) fn has_allowed_domain(&self) -> bool {
+        let allowed = self.allowed_regions();
         self.node.fleet(|f| f.regions().any_allowed(&allowed))
     }
 
     /// The version that the request goes to now. While one is on trial a request goes to it once
     /// at most; where all go to one version, those that are under way do so too.
-    fn version_now(&self) -> Side {
+    fn current_side(&self) -> Side {
         let is_trial = self.side == Side::Trial && !self.progress(|p| p.left_trial);
         self.node.fleet(|f| match f.versions().phase(&self.service) {
             Some(Phase::Share(_)) if is_trial => Side::Trial,
@@ -168,9 +168,9 @@
     /// The request goes to the version that serves from now on; whether it would have gone to
     /// the one on trial.
     fn leave_trial(&self) -> bool {
-        let was_trial = self.version_now() == Side::Trial;
+        let was_trial = self.current_side() == Side::Trial;
         self.progress(|p| p.left_trial = true);
-        was_trial && self.version_now() == Side::Serving
+        was_trial && self.current_side() == Side::Serving
     }
 
     fn home(&self) -> Option<Home> {
@@ -184,21 +184,21 @@
         if !map.is_split() {
             return None;
         }
-        let lies_at = self.progress(|p| p.lies_at.clone());
-        lies_at.or_else(|| Some(map.local_region()))
+        let input_region = self.progress(|p| p.input_region.clone());
+        input_region.or_else(|| Some(map.local_region()))
     }
 
     /// Whether a target is in the region where the inputs lie, if there are any. Inputs that
     /// another region made are larger than what the request sends there.
-    pub(super) fn is_by_inputs(&self, target: &Target) -> bool {
+    pub(super) fn is_near_inputs(&self, target: &Target) -> bool {
         let map = self.node.peers.roster(|r| r.map());
-        let lies_at = self.progress(|p| p.lies_at.clone());
-        !map.is_split() || lies_at.is_none_or(|r| map.region_of(&target.domain) == r)
+        let input_region = self.progress(|p| p.input_region.clone());
+        !map.is_split() || input_region.is_none_or(|r| map.region_of(&target.domain) == r)
     }
 
     /// Connections that this node may have to one target: an equal part of what a target
     /// takes from all nodes.
-    fn connections_each(&self) -> u32 {
+    fn max_connections(&self) -> u32 {
         let nodes = self.node.peers.roster(|r| r.max_seen()) as u32;
         let table = self.node.table();
         let all = table.service(&self.service).map_or(u32::MAX, |s| s.connections);
@@ -207,25 +207,26 @@
 
     /// Shares of homes by failure domain, where the route has large results that are
     /// made near their target.
-    fn home_shares(&self, allowed: &Allowed, now: Time) -> Vec<(Name, f64)> {
+    fn home_weights(&self, allowed: &Allowed, now: Time) -> Vec<(Name, f64)> {
         let large = self.route.stages.iter().find(|s| s.bytes >= LARGE_RESULT);
         let large = large.filter(|_| self.node.settings().policy.weighted_homes);
-        let Some(makers) = large.map(|s| &s.service) else {
+        let Some(workers) = large.map(|s| &s.service) else {
             return Vec::new();
         };
-        self.node.fleet(|f| home_weights(f, makers, &self.service, allowed, now))
+        self.node.fleet(|f| home_weights(f, workers, &self.service, allowed, now))
     }
 
     /// Whether a target chosen a while ago, or by another node, may get the request.
     fn is_usable(&self, target: &Target) -> bool {
         let now = self.node.now();
-        let most = self.connections_each();
-        let allowed = self.allowed_now();
+        let max_connections = self.max_connections();
+        let allowed = self.allowed_regions();
         let terms = self.terms(&allowed);
         self.node.fleet(|f| {
-            let belief = f.get(&target.id);
-            let is_sound = belief.is_some_and(|b| !b.is_ejected(now) && b.outstanding < most);
-            is_sound
+            let state = f.get(&target.id);
+            let is_available =
+                state.is_some_and(|b| !b.is_ejected(now) && b.outstanding < max_connections);
+            is_available
                 && f.is_usable(&target.id, terms, now)
                 && !f.limits().is_closed(&target.id, now)
         })
@@ -242,38 +243,39 @@
 
     /// The next target; `None` if the request is not to be sent again.
     pub(super) async fn next_target(&self, chosen: Option<Target>) -> Option<Choice> {
-        if self.held().is_some() {
+        if self.quarantine_hold().is_some() {
             self.node.metrics.held_back(&self.route.name);
-            self.progress(|p| p.why = HELD.into());
+            self.progress(|p| p.reason = HELD.into());
             return None;
         }
-        let tries = self.progress(|p| p.tries);
-        let next = tries.next(self.left(), || self.node.take_repeat(&self.service));
+        let attempts = self.progress(|p| p.attempts);
+        let next = attempts.next(self.time_left(), || self.node.take_repeat(&self.service));
         if next != Next::Resend {
             return None;
         }
-        if self.progress(|p| !p.but.is_empty()) {
+        if self.progress(|p| !p.excluded.is_empty()) {
             self.leave_trial();
         }
-        self.permitted(chosen).await
+        self.choose_permitted(chosen).await
     }
 
     /// A target that this request may be sent to now, `chosen` if it may. One whose keeper grants
     /// no permit is closed to this node, so that another one is chosen.
-    async fn permitted(&self, mut chosen: Option<Target>) -> Option<Choice> {
-        for asks in 0.. {
-            if asks >= PERMIT_ASKS {
-                self.avoid_limited();
+    async fn choose_permitted(&self, mut chosen: Option<Target>) -> Option<Choice> {
+        for requests in 0.. {
+            if requests >= MAX_PERMIT_REQUESTS {
+                self.exclude_limited();
             }
-            let Pick { target, ticket, by, ahead } = self.pick(chosen.take()).await?;
-            if ticket.is_none() {
+            let Pick { target, prompt_guard, chosen_by, tokens_ahead } =
+                self.pick(chosen.take()).await?;
+            if prompt_guard.is_none() {
                 // Before the permit: another request of this node would start there meanwhile.
-                self.start(&target);
+                self.record_cold_start(&target);
             }
             let id = || self.head.id.clone();
-            if let Some(permit) = limits::permit(&self.node, &target, 1, id).await {
-                self.tell(&target, by, ahead);
-                return Some(Choice { target, ticket, permit });
+            if let Some(permit) = limits::request_permit(&self.node, &target, 1, id).await {
+                self.log_choice(&target, chosen_by, tokens_ahead);
+                return Some(Choice { target, prompt_guard, permit });
             }
         }
         None
@@ -281,38 +283,38 @@
 
     /// Targets that name a limit are not chosen for this request any more: each ask for a permit
     /// holds it up.
-    fn avoid_limited(&self) {
+    fn exclude_limited(&self) {
         let limited: Vec<TargetId> =
             self.node.fleet(|f| f.limits().named().map(|(id, _)| id.clone()).collect());
-        self.progress(|p| p.but.extend(limited));
+        self.progress(|p| p.excluded.extend(limited));
     }
 
     async fn pick(&self, chosen: Option<Target>) -> Option<Pick> {
         let Some(first) = chosen.filter(|t| self.is_usable(t)).or_else(|| self.choose()) else {
-            let why = self.no_target();
-            self.progress(|p| p.why = format!("{why}; before: {}", p.why));
+            let reason = self.no_target_reason();
+            self.progress(|p| p.reason = format!("{reason}; before: {}", p.reason));
             return None;
         };
-        if let Some(pick) = self.scheduled(&first).await {
+        if let Some(pick) = self.pick_scheduled(&first).await {
             return Some(pick);
         }
-        let Some(target) = self.in_turn(first) else {
-            self.progress(|p| p.why = "all targets are cold".into());
+        let Some(target) = self.recheck_cold(first) else {
+            self.progress(|p| p.reason = "all targets are cold".into());
             return None;
         };
-        let by = if self.head.prompt.is_empty() { "least_wait" } else { "home" };
-        Some(Pick { target, ticket: None, by, ahead: 0 })
+        let chosen_by = if self.head.prompt.is_empty() { "least_wait" } else { "home" };
+        Some(Pick { target, prompt_guard: None, chosen_by, tokens_ahead: 0 })
     }
 
     /// The target itself, or another one if it is cold and not this node's to start a request
     /// at now: that may have changed since it was chosen.
-    fn in_turn(&self, target: Target) -> Option<Target> {
+    fn recheck_cold(&self, target: Target) -> Option<Target> {
         if self.is_cold(&target) { self.choose() } else { Some(target) }
     }
 
     /// A request starts at a target that no scheduler chose; if that is cold, the next one
     /// of this node has to wait.
-    fn start(&self, target: &Target) {
+    fn record_cold_start(&self, target: &Target) {
         if let Some(limit) = self.node.cold_limit(&self.service) {
             let now = self.node.now();
             self.node.fleet(|f| f.note_cold_start(&target.id, limit, now));
@@ -320,82 +322,85 @@
     }
 
     /// The engine that a scheduler chooses near the prompt's home.
-    async fn scheduled(&self, first: &Target) -> Option<Pick> {
+    async fn pick_scheduled(&self, first: &Target) -> Option<Pick> {
         let home = self.home().filter(|_| self.node.settings().policy.scheduling)?;
         let prompt = Prompt {
             attempt: self.head.id.as_str().into(),
-            allowed: self.allowed_now(),
-            side: self.version_now(),
+            allowed: self.allowed_regions(),
+            side: self.current_side(),
             home,
             tokens: self.head.tokens_in,
             slack_ms: self.slack().as_millis() as u64,
-            but: self.not_chosen(),
+            excluded: self.scheduler_exclusions(),
         };
         let scheduled = prefill::schedule(&self.node, first, prompt).await?;
         let target = self.node.fleet(|f| f.get(&scheduled.engine).map(|b| b.target.clone()))?;
         if !self.is_usable(&target) {
             return None;
         }
-        let (ticket, ahead) = (Some(scheduled.ticket), scheduled.ahead);
-        Some(Pick { target, ticket, by: "scheduler", ahead })
+        let (prompt_guard, tokens_ahead) = (Some(scheduled.prompt_guard), scheduled.tokens_ahead);
+        Some(Pick { target, prompt_guard, chosen_by: "scheduler", tokens_ahead })
     }
 
     /// Targets that a scheduler is not to choose: it does not know which are closed to this node,
     /// nor what they told it.
-    fn not_chosen(&self) -> Vec<TargetId> {
+    fn scheduler_exclusions(&self) -> Vec<TargetId> {
         let now = self.node.now();
-        let mut but = self.progress(|p| p.but.clone());
+        let mut excluded = self.progress(|p| p.excluded.clone());
         self.node.fleet(|f| {
             let limited = f.limits().named().map(|(id, _)| id);
-            but.extend(limited.filter(|id| f.limits().is_closed(id, now)).cloned());
-            let told = f.notices().draining().chain(f.notices().backed_off(now));
-            but.extend(told.filter(|id| f.belongs_to(id, &self.service)).cloned());
+            excluded.extend(limited.filter(|id| f.limits().is_closed(id, now)).cloned());
+            let unwilling = f.notices().draining().chain(f.notices().backed_off(now));
+            excluded.extend(unwilling.filter(|id| f.belongs_to(id, &self.service)).cloned());
         });
-        but
+        excluded
     }
 
     /// Time after which to come back if all targets that may serve the request are at their limits.
-    pub(super) fn limit_wait(&self) -> Option<Duration> {
+    pub(super) fn limit_retry_after(&self) -> Option<Duration> {
         let now = self.node.now();
-        let allowed = self.allowed_now();
+        let allowed = self.allowed_regions();
         let targets: Vec<TargetId> = self.node.fleet(|f| {
-            let rests = |id: &TargetId| f.notices().backoff_until(id, now).is_some();
+            let is_backed_off = |id: &TargetId| f.notices().backoff_until(id, now).is_some();
             let ids = f.eligible_in(&self.service, &allowed, now).map(|b| &b.target.id);
-            ids.filter(|id| !rests(id)).cloned().collect()
+            ids.filter(|id| !is_backed_off(id)).cloned().collect()
         });
-        self.node.limits.come_back(&self.node, &self.service, &targets)
+        self.node.limits.retry_after(&self.node, &self.service, &targets)
     }
 
     /// Time after which to come back if all targets that may serve the request want nothing for a
     /// while. Callers are told somewhat different ones: each node tries one request first.
-    pub(super) fn rest_wait(&self) -> Option<Duration> {
+    pub(super) fn backoff_retry_after(&self) -> Option<Duration> {
         let now = self.node.now();
-        let allowed = self.allowed_now();
-        let left = self.node.fleet(|f| f.backoff_left(&self.service, &allowed, now))?;
-        Some(left + self.node.rng(|r| r.jitter(COME_BACK)))
+        let allowed = self.allowed_regions();
+        let remaining = self.node.fleet(|f| f.backoff_left(&self.service, &allowed, now))?;
+        Some(remaining + self.node.rng(|r| r.jitter(NO_TARGET_RETRY_AFTER)))
     }
 
     /// Why no target is left.
-    pub(super) fn no_target(&self) -> String {
-        let lacking = self.unserved().map_or(String::new(), |s| format!(" of {s}"));
-        let inside = inside(&self.allowed_now());
-        match self.evacuated().as_slice() {
-            [] => format!("no target{lacking}{inside}"),
+    pub(super) fn no_target_reason(&self) -> String {
+        let of_service = self.unserved_service().map_or(String::new(), |s| format!(" of {s}"));
+        let in_regions = describe_allowed(&self.allowed_regions());
+        match self.evacuated_domains().as_slice() {
+            [] => format!("no target{of_service}{in_regions}"),
             domains => {
-                format!("no target{lacking}{inside} outside of evacuated {}", domains.join(", "))
+                format!(
+                    "no target{of_service}{in_regions} outside of evacuated {}",
+                    domains.join(", ")
+                )
             }
         }
     }
 
-    fn evacuated(&self) -> Vec<Name> {
+    fn evacuated_domains(&self) -> Vec<Name> {
         self.node.fleet(|f| f.evacuated().domains().cloned().collect())
     }
 
-    fn tell(&self, target: &Target, by: &str, ahead: u64) {
+    fn log_choice(&self, target: &Target, chosen_by: &str, tokens_ahead: u64) {
         let region = self.node.fleet(|f| f.regions().of(&target.domain).cloned());
-        let allowed: Vec<Name> = self.allowed_now().names().cloned().collect();
+        let allowed: Vec<Name> = self.allowed_regions().names().cloned().collect();
         let phase = self.node.fleet(|f| f.versions().phase(&self.service));
-        let side = match self.version_now() {
+        let side = match self.current_side() {
             _ if phase.is_none() => "",
             Side::Trial => "trial",
             Side::Serving if self.side == Side::Trial => "left_trial",
@@ -415,13 +420,13 @@
             version: &target.version,
             side,
             share: phase.map(|phase| rollout::name_and_share(phase).1),
-            by,
-            ahead,
+            by: chosen_by,
+            ahead: tokens_ahead,
             cold: self.is_cold(target),
             limit: self.node.fleet(|f| f.limits().get(&target.id)),
             notice,
-            evacuated: &self.evacuated(),
-            left_ms: self.left().as_millis() as u64,
+            evacuated: &self.evacuated_domains(),
+            left_ms: self.time_left().as_millis() as u64,
             targets_age_ms: self.node.targets_age_ms(),
         }
         .emit();
@@ -429,7 +434,7 @@
 }
 
 /// The regions that are allowed, as part of a reason; nothing if all are.
-fn inside(allowed: &Allowed) -> String {
+fn describe_allowed(allowed: &Allowed) -> String {
     let names: Vec<&str> = allowed.names().map(|name| &**name).collect();
     match names.as_slice() {
         _ if allowed.is_any() => String::new(),
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -22,17 +22,17 @@
 use crate::stages::{self, Job, Made, StageError};
 
 /// Part of a deadline kept for the answer's way back.
-const ANSWER_MARGIN: Duration = Duration::from_millis(30);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(30);
 /// When a caller is told to come back to a service that has no free target.
-pub(super) const COME_BACK: Duration = Duration::from_millis(300);
+pub(super) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Why a request is refused whose targets all want nothing.
-const ALL_REST: &str = "its targets want no requests before a time that they named";
+const ALL_BACKED_OFF: &str = "its targets want no requests before a time that they named";
 /// Times that stages are made for results that turn out to rest where they may not: a
 /// coordinator may know another place of a target than this node, but for a moment only.
-const ROUNDS: usize = 2;
+const MAX_STAGE_ROUNDS: usize = 2;
 
 /// A request as it was taken in.
-pub struct Taken {
+pub struct ReceivedRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -44,7 +44,7 @@
 }
 
 /// A target's answer that is no success.
-pub struct Failure {
+pub struct ErrorResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -56,30 +56,30 @@
 /// What is known so far of a request's way.
 pub struct Progress {
     /// Tries.
-    pub tries: Attempts,
+    pub attempts: Attempts,
     /// Targets not to be chosen again.
-    pub but: Vec<TargetId>,
+    pub excluded: Vec<TargetId>,
     /// The last target.
     pub target: Option<TargetId>,
     /// When the first event came.
-    pub first: Option<Time>,
+    pub first_event_at: Option<Time>,
     /// Time that stages took.
-    pub stages: Duration,
+    pub stage_time: Duration,
     /// Region where the target's inputs lie, if there are any.
-    pub lies_at: Option<Name>,
+    pub input_region: Option<Name>,
     /// A target's own failure, passed on if no other target does better.
-    pub failure: Option<Failure>,
+    pub error_response: Option<ErrorResponse>,
     /// Why the last try brought nothing.
-    pub why: String,
+    pub reason: String,
     /// It goes to the version that serves, although its turn was another one.
     pub left_trial: bool,
-    ended: bool,
+    is_logged: bool,
 }
 
 impl Progress {
     /// The request goes to this target now, and to it but once.
-    pub(super) fn goes_to(&mut self, target: &TargetId) {
-        self.but.push(target.clone());
+    pub(super) fn record_target(&mut self, target: &TargetId) {
+        self.excluded.push(target.clone());
         self.target = Some(target.clone());
     }
 }
@@ -87,7 +87,7 @@
 /// A request that was taken in, and what was found for it.
 pub struct Admitted {
     /// The request.
-    pub request: Taken,
+    pub request: ReceivedRequest,
     /// What its head says.
     pub head: CallerHead,
     /// What makes it the same as others.
@@ -105,7 +105,7 @@
     /// Version of its service that it was to go to when it was taken in.
     pub side: Side,
     /// Version of the rules that it was taken in by.
-    pub version: u64,
+    pub rules_version: u64,
     /// When it arrived.
     pub arrived: Time,
     /// When it is given up.
@@ -134,20 +134,20 @@
     pub fn new(node: Rc<Node>, admitted: Admitted) -> Self {
         let route = &admitted.route;
         let progress = Progress {
-            tries: Attempts::new(route.repeat, route.max_attempts),
-            but: Vec::new(),
+            attempts: Attempts::new(route.repeat, route.max_attempts),
+            excluded: Vec::new(),
             target: None,
-            first: None,
-            stages: Duration::ZERO,
-            lies_at: None,
-            failure: None,
-            why: String::new(),
+            first_event_at: None,
+            stage_time: Duration::ZERO,
+            input_region: None,
+            error_response: None,
+            reason: String::new(),
             left_trial: false,
-            ended: false,
+            is_logged: false,
         };
         let _open = node.opened();
         node.quarantine.begins(&admitted.head.id, admitted.fingerprint);
-        let deadline = admitted.deadline - ANSWER_MARGIN;
+        let deadline = admitted.deadline - RESPONSE_MARGIN;
         let admitted = Admitted { deadline, ..admitted };
         Exchange { node, admitted, progress: RefCell::new(progress), _open }
     }
@@ -158,7 +158,7 @@
     }
 
     /// Time left until the request is given up.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.since(self.node.now())
     }
 
@@ -170,13 +170,13 @@
 
     /// Runs `work` until the target has been silent for too long, if another one can
     /// be asked in its place; `None` then.
-    pub async fn patiently<T>(&self, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn with_silence_timeout<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let objective = Duration::from_millis(self.route.objective_ms);
         let pause = self.route.pause_ms.map(Duration::from_millis);
         let mut work = std::pin::pin!(work);
-        let patience = self.progress(|p| p.tries.silence_timeout(objective, pause));
-        if let Some(patience) = patience.filter(|_| self.node.settings().policy.patience) {
-            let until = self.node.now() + patience;
+        let timeout = self.progress(|p| p.attempts.silence_timeout(objective, pause));
+        if let Some(timeout) = timeout.filter(|_| self.node.settings().policy.patience) {
+            let until = self.node.now() + timeout;
             if let Some(done) = self.node.clock.until(until, work.as_mut()).await {
                 return Some(done);
             }
@@ -189,129 +189,133 @@
 
     /// Serves the request to its end.
     pub async fn run(self: Rc<Self>) -> Response<Body> {
-        let end = tokio::select! {
-            served = self.clone().serve() => return served.unwrap_or_else(|own| own),
+        let cause = tokio::select! {
+            served = self.clone().serve() => return served.unwrap_or_else(|error| error),
             () = self.node.clock.sleep_until(self.deadline) => "time was over",
             () = self.node.reached(LifePhase::Ending) => "this node stops",
         };
-        self.progress(|p| p.why = format!("{end}; before: {}", p.why));
-        self.own_ending()
+        self.progress(|p| p.reason = format!("{cause}; before: {}", p.reason));
+        self.end_unanswered()
     }
 
     /// A target's answer; `Err` holds one of this node's own.
     async fn serve(self: Rc<Self>) -> Result<Response<Body>, Response<Body>> {
         self.node.count_request(&self.service);
         let chosen = self.choose();
-        if chosen.is_none() || self.unserved().is_some() {
+        if chosen.is_none() || self.unserved_service().is_some() {
             // Nothing is made for a request that nobody could take.
-            let why = self.no_target();
-            self.progress(|p| p.why = why);
-            return Err(self.own_ending());
+            let reason = self.no_target_reason();
+            self.progress(|p| p.reason = reason);
+            return Err(self.end_unanswered());
         }
-        let mut made = None;
+        let mut results = None;
         if !self.route.stages.is_empty() {
-            made = Some(self.make_stages(chosen.as_ref()).await?);
+            results = Some(self.run_stages(chosen.as_ref()).await?);
         }
-        self.ask_targets(chosen, made).await
+        self.try_targets(chosen, results).await
     }
 
     /// Sends the request to one target after another until one answers or none is left.
-    async fn ask_targets(
+    async fn try_targets(
         self: Rc<Self>,
         mut chosen: Option<Target>,
-        mut made: Option<Made>,
+        mut results: Option<Made>,
     ) -> Result<Response<Body>, Response<Body>> {
         loop {
-            let first = chosen.take().filter(|t| self.is_by_inputs(t));
+            let first = chosen.take().filter(|t| self.is_near_inputs(t));
             let Some(choice) = self.next_target(first).await else {
-                return Err(self.own_ending());
+                return Err(self.end_unanswered());
             };
             let target = choice.target.clone();
-            if made.take_if(|m| !self.is_inside(m)).is_some() {
-                made = Some(self.make_stages(Some(&target)).await?);
+            if results.take_if(|m| !self.is_result_allowed(m)).is_some() {
+                results = Some(self.run_stages(Some(&target)).await?);
             }
-            match send(&self, choice, made.as_ref(), None).await {
-                Outcome::Whole { status, headers, body } => {
+            match send(&self, choice, results.as_ref(), None).await {
+                Outcome::Complete { status, headers, body } => {
                     self.log_end(status.as_u16(), "answered");
-                    return Ok(reply::whole(status, headers, body));
+                    return Ok(reply::build(status, headers, body));
                 }
                 // By its first event the target has taken its inputs, so they go. A second
                 // target's are made anew: resumes are rare, and room at makers is short.
-                Outcome::Stream(begun) => {
-                    let kept = made.filter(|_| !self.node.settings().policy.early_free);
-                    return Ok(stream::answer(self, *begun, kept));
+                Outcome::Stream(started) => {
+                    let kept_results = results.filter(|_| !self.node.settings().policy.early_free);
+                    return Ok(stream::response(self, *started, kept_results));
                 }
-                Outcome::InputGone if !self.node.settings().policy.recompute => {
-                    return Err(self.own_ending());
+                Outcome::InputRemoved if !self.node.settings().policy.recompute => {
+                    return Err(self.end_unanswered());
                 }
-                Outcome::InputGone => {
-                    made = Some(self.make_stages(Some(&target)).await?);
-                    self.progress(|p| p.but.clear());
+                Outcome::InputRemoved => {
+                    results = Some(self.run_stages(Some(&target)).await?);
+                    self.progress(|p| p.excluded.clear());
                 }
-                Outcome::Nothing => {}
+                Outcome::NoResponse => {}
             }
         }
     }
 
-    async fn make_stages(&self, chosen: Option<&Target>) -> Result<Made, Response<Body>> {
-        self.make_within(self.slack(), chosen).await.map_err(|_| self.own_ending())
+    async fn run_stages(&self, chosen: Option<&Target>) -> Result<Made, Response<Body>> {
+        self.run_stages_within(self.slack(), chosen).await.map_err(|_| self.end_unanswered())
     }
 
     /// Makes the stages of a stream anew that goes on at `target`. Its first event is
     /// long out; what counts is the pause that its caller bears, about one objective.
-    pub async fn make_stages_again(&self, target: &Target) -> Result<Made, StageError> {
+    pub async fn rerun_stages(&self, target: &Target) -> Result<Made, StageError> {
         let objective = Duration::from_millis(self.route.objective_ms);
-        let made = self.make_within(objective, Some(target)).await;
-        let left_ms = self.left().as_millis() as u64;
+        let results = self.run_stages_within(objective, Some(target)).await;
+        let left_ms = self.time_left().as_millis() as u64;
         let stages = self.route.stages.len();
-        Event::Resuming { id: &self.head.id, stages, made: made.is_ok(), left_ms }.emit();
-        made
+        Event::Resuming { id: &self.head.id, stages, made: results.is_ok(), left_ms }.emit();
+        results
     }
 
-    async fn make_within(
+    async fn run_stages_within(
         &self,
         slack: Duration,
         target: Option<&Target>,
     ) -> Result<Made, StageError> {
-        let begun = self.node.now();
-        let made = self.make_inside(begun + slack, target).await;
-        let took = self.node.now().since(begun);
-        self.progress(|p| p.stages += took);
+        let started = self.node.now();
+        let results = self.run_allowed_stages(started + slack, target).await;
+        let took = self.node.now().since(started);
+        self.progress(|p| p.stage_time += took);
         let map = self.node.peers.roster(|r| r.map());
-        let lies_at = made.as_ref().ok().and_then(Made::lies_at).map(|d| map.region_of(d));
-        self.progress(|p| p.lies_at = lies_at);
-        made.inspect_err(|e| {
-            let is_unserved = self.unserved().is_some();
-            let why = if is_unserved { self.no_target() } else { e.to_string() };
-            self.progress(|p| p.why = why);
+        let input_region = results.as_ref().ok().and_then(Made::lies_at).map(|d| map.region_of(d));
+        self.progress(|p| p.input_region = input_region);
+        results.inspect_err(|e| {
+            let is_unserved = self.unserved_service().is_some();
+            let reason = if is_unserved { self.no_target_reason() } else { e.to_string() };
+            self.progress(|p| p.reason = reason);
         })
     }
 
     /// Makes the stages in the regions that are allowed, and once more if those change
     /// meanwhile: orders are taken back then, and what was made is freed.
-    async fn make_inside(&self, due: Time, target: Option<&Target>) -> Result<Made, StageError> {
-        let mut rounds = ROUNDS;
+    async fn run_allowed_stages(
+        &self,
+        due: Time,
+        target: Option<&Target>,
+    ) -> Result<Made, StageError> {
+        let mut rounds = MAX_STAGE_ROUNDS;
         while rounds > 0 {
-            if self.unserved().is_some() {
+            if self.unserved_service().is_some() {
                 return Err(StageError::Barred);
             }
-            let allowed = self.allowed_now();
-            let near = target.filter(|t| self.is_allowed_at(&t.id)).map(|t| t.domain.clone());
+            let allowed = self.allowed_regions();
+            let near = target.filter(|t| self.is_target_allowed(&t.id)).map(|t| t.domain.clone());
             let job = Job {
                 route: &self.route,
                 head: &self.head,
                 near,
                 slack_ms: due.since(self.node.now()).as_millis() as u64,
-                left_ms: self.left().as_millis() as u64,
+                left_ms: self.time_left().as_millis() as u64,
                 allowed: &allowed,
                 rank: if self.node.settings().policy.ranks { self.rank } else { Rank::default() },
             };
             tokio::select! {
-                made = stages::make(&self.node, job) => match made {
+                results = stages::make(&self.node, job) => match results {
                     Err(StageError::Outside) => rounds -= 1,
                     end => return end,
                 },
-                () = self.allowed_changes(&allowed) => {}
+                () = self.wait_allowed_changed(&allowed) => {}
             }
             Event::Moved { id: &self.head.id, version: self.node.table().rules.version }.emit();
         }
@@ -319,76 +323,80 @@
     }
 
     /// What a target had begun of the request broke off there.
-    pub(super) fn broke_off_at(&self, target: &Target) {
+    pub(super) fn record_interruption(&self, target: &Target) {
         self.node.quarantine.broke_off(&self.node, target, self.fingerprint);
     }
 
     /// A target answered the request to its end.
-    pub(super) fn answered_whole(&self) {
+    pub(super) fn record_completion(&self) {
         self.node.quarantine.answered(&self.node, self.fingerprint);
     }
 
     /// Why the request is not to be sent any more, since the targets that ran it ended.
-    pub(super) fn held(&self) -> Option<Hold> {
+    pub(super) fn quarantine_hold(&self) -> Option<Hold> {
         self.node.quarantine.hold(&self.node, self.fingerprint)
     }
 
     /// The final answer of a request that no target answered.
-    fn own_ending(&self) -> Response<Body> {
-        let ending = self.progress(|p| p.tries.ending());
+    fn end_unanswered(&self) -> Response<Body> {
+        let ending = self.progress(|p| p.attempts.ending());
         if ending == Ending::Unknown
-            && let Some(Failure { status, headers, body }) = self.progress(|p| p.failure.take())
+            && let Some(ErrorResponse { status, headers, body }) =
+                self.progress(|p| p.error_response.take())
         {
             self.log_end(status.as_u16(), "failed");
-            return reply::whole(status, headers, body);
+            return reply::build(status, headers, body);
         }
-        let late = self.left().is_zero();
-        let (status, come_back, outcome) = match ending {
+        let is_late = self.time_left().is_zero();
+        let (status, retry_after, outcome) = match ending {
             Ending::NotRun => {
-                if self.unserved().is_some() {
+                if self.unserved_service().is_some() {
                     self.node.metrics.barred(&self.route.name);
                 }
-                let come_back = match self.held() {
+                let retry_after = match self.quarantine_hold() {
                     Some(hold) => hold.remaining,
-                    None => self.soonest().or(Some(COME_BACK).filter(|_| self.is_reachable())),
+                    None => self
+                        .earliest_retry()
+                        .or(Some(NO_TARGET_RETRY_AFTER).filter(|_| self.has_allowed_domain())),
                 };
-                (StatusCode::SERVICE_UNAVAILABLE, come_back, "not_run")
+                (StatusCode::SERVICE_UNAVAILABLE, retry_after, "not_run")
             }
-            Ending::Unknown | Ending::BreakOff if late => {
+            Ending::Unknown | Ending::BreakOff if is_late => {
                 (StatusCode::GATEWAY_TIMEOUT, None, "unknown")
             }
             Ending::Unknown | Ending::BreakOff => (StatusCode::BAD_GATEWAY, None, "unknown"),
         };
         self.log_end(status.as_u16(), outcome);
-        let why = self.progress(|p| p.why.clone());
-        reply::own(&self.node, status, Some(&self.head.id), come_back, &why)
+        let reason = self.progress(|p| p.reason.clone());
+        reply::local(&self.node, status, Some(&self.head.id), retry_after, &reason)
     }
 
     /// Time after which the first target takes a request, as the targets themselves told.
-    fn soonest(&self) -> Option<Duration> {
-        let rests = self.rest_wait();
-        if rests.is_some() {
-            self.progress(|p| p.why = format!("{ALL_REST}; before: {}", p.why));
+    fn earliest_retry(&self) -> Option<Duration> {
+        let backoff = self.backoff_retry_after();
+        if backoff.is_some() {
+            self.progress(|p| p.reason = format!("{ALL_BACKED_OFF}; before: {}", p.reason));
         }
-        rests.into_iter().chain(self.at_limit()).min()
+        backoff.into_iter().chain(self.refuse_at_limit()).min()
     }
 
     /// Time after which to come back if all targets are at their limits.
-    fn at_limit(&self) -> Option<Duration> {
-        let wait = self.limit_wait()?;
+    fn refuse_at_limit(&self) -> Option<Duration> {
+        let wait = self.limit_retry_after()?;
         self.node.metrics.refused_at_limit(&self.route.name);
-        self.progress(|p| p.why = format!("{AT_LIMIT}; before: {}", p.why));
+        self.progress(|p| p.reason = format!("{AT_LIMIT}; before: {}", p.reason));
         Some(wait)
     }
 
     /// Writes the line of the final answer, once.
     pub fn log_end(&self, status: u16, outcome: &str) {
         let mut p = self.progress.borrow_mut();
-        if std::mem::replace(&mut p.ended, true) {
+        if std::mem::replace(&mut p.is_logged, true) {
             return;
         }
         let took_ms = self.node.now().since(self.arrived).as_millis() as u64;
-        let first_ms = p.first.map_or(took_ms, |at| at.since(self.arrived).as_millis() as u64);
+        let first_ms =
+            p.first_event_at.map_or(took_ms, |at| at.since(self.arrived).as_millis() as u64);
         self.node.metrics.request(&self.route.name, outcome, status);
         self.node.metrics.time("request", &self.route.name, took_ms);
         self.node.metrics.time("first", &self.route.name, first_ms);
@@ -396,13 +404,13 @@
             id: &self.head.id,
             same: &self.fingerprint.to_string(),
             route: &self.route.name,
-            version: self.version,
+            version: self.rules_version,
             status,
             outcome,
-            why: &p.why,
+            why: &p.reason,
             target: p.target.as_ref().map_or("", |t| &t.name),
-            attempts: p.tries.reached,
-            stages_ms: p.stages.as_millis() as u64,
+            attempts: p.attempts.reached,
+            stages_ms: p.stage_time.as_millis() as u64,
             first_ms,
             took_ms,
         }
--- a/crates/forward/src/serve/mod.rs
+++ b/crates/forward/src/serve/mod.rs
@@ -17,14 +17,14 @@
 pub use reply::Body;
 
 /// Answers one request.
-pub async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Response<Body> {
+pub async fn handle_request(node: Rc<Node>, request: Request<Incoming>) -> Response<Body> {
     let stopping = node.clone();
     let mut response = match admit::admit(&node, request).await {
         Ok(exchange) => exchange.run().await,
         Err(refusal) => refusal,
     };
     if stopping.is_stopping() {
-        reply::close_after(&mut response);
+        reply::set_connection_close(&mut response);
     }
     response
 }
--- a/crates/forward/src/serve/reply.rs
+++ b/crates/forward/src/serve/reply.rs
@@ -20,7 +20,7 @@
 }
 
 /// A target's answer, whole.
-pub fn whole(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<Body> {
+pub fn build(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<Body> {
     let mut response = Response::new(full(body));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -28,19 +28,19 @@
 }
 
 /// An answer of this node's own; `why` is its body.
-pub fn own(
+pub fn local(
     node: &Node,
     status: StatusCode,
     id: Option<&str>,
-    come_back: Option<Duration>,
-    why: &str,
+    retry_after: Option<Duration>,
+    reason: &str,
 ) -> Response<Body> {
-    let come_back_ms = come_back.map(|d| d.as_millis() as u64);
-    let headers = node.dialect.own(id, come_back_ms);
-    whole(status, headers, Bytes::from(format!("{why}\n")))
+    let retry_after_ms = retry_after.map(|d| d.as_millis() as u64);
+    let headers = node.dialect.own(id, retry_after_ms);
+    build(status, headers, Bytes::from(format!("{reason}\n")))
 }
 
 /// Ends the connection after this answer.
-pub fn close_after(response: &mut Response<Body>) {
+pub fn set_connection_close(response: &mut Response<Body>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -12,26 +12,26 @@
 use model::forward::Target;
 
 use super::choice::Choice;
-use super::exchange::{Exchange, Failure};
-use super::stream::{Begun, EventReader, StreamError};
+use super::exchange::{ErrorResponse, Exchange};
+use super::stream::{EventReader, StartedStream, StreamError};
 use crate::border::Onward;
 use crate::crossed::{self, Crossing, Kind};
 use crate::events::Event;
 use crate::heard;
 use crate::node::Node;
-use crate::prefill::Ticket;
+use crate::prefill::PromptGuard;
 use crate::quarantine::HELD;
 use crate::rollout::{self, Sent};
 use crate::stages::Made;
 use crate::upstream::{self, Answer};
 
 /// Largest answer that is taken in whole.
-const ANSWER_MAX: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// What came of a send.
 pub enum Outcome {
     /// A whole answer to pass on.
-    Whole {
+    Complete {
         /// Status.
         status: StatusCode,
         /// Headers.
@@ -40,61 +40,66 @@
         body: Bytes,
     },
     /// A stream whose first event is there.
-    Stream(Box<Begun>),
+    Stream(Box<StartedStream>),
     /// The target did not run it, since an input is gone.
-    InputGone,
+    InputRemoved,
     /// Nothing to pass on; the exchange's progress says what is known.
-    Nothing,
+    NoResponse,
 }
 
 /// Counts a request at a target until it goes.
-pub struct AtTarget {
+pub struct InFlightGuard {
     node: Rc<Node>,
     /// The target.
     pub(super) target: Target,
-    unread: u64,
-    ticket: Option<Ticket>,
+    unread_tokens: u64,
+    prompt_guard: Option<PromptGuard>,
     sent: Option<Sent>,
 }
 
-impl AtTarget {
-    fn new(node: &Rc<Node>, target: &Target, tokens: u64, ticket: Option<Ticket>) -> Self {
+impl InFlightGuard {
+    fn new(
+        node: &Rc<Node>,
+        target: &Target,
+        tokens: u64,
+        prompt_guard: Option<PromptGuard>,
+    ) -> Self {
         node.fleet(|f| f.request_sent(&target.id, tokens));
         let (node, target) = (node.clone(), target.clone());
-        AtTarget { node, target, unread: tokens, ticket, sent: None }
+        InFlightGuard { node, target, unread_tokens: tokens, prompt_guard, sent: None }
     }
 
     /// The target answered well after this time.
-    fn good(&self, took: Duration) {
+    fn report_success(&self, took: Duration) {
         if let Some(sent) = &self.sent {
             sent.good(took);
         }
     }
 
     /// What it answered was a failure of its version, or late.
-    pub(super) fn bad(&self) {
+    pub(super) fn report_failure(&self) {
         if let Some(sent) = &self.sent {
             sent.bad();
         }
     }
 
     /// The prompt has been read.
-    fn read(&mut self) {
-        if let Some(ticket) = self.ticket.take() {
-            ticket.read();
+    fn record_prompt_read(&mut self) {
+        if let Some(prompt_guard) = self.prompt_guard.take() {
+            prompt_guard.mark_read();
         }
-        self.forget_prompt();
+        self.clear_unread();
     }
 
-    fn forget_prompt(&mut self) {
-        let tokens = std::mem::take(&mut self.unread);
+    fn clear_unread(&mut self) {
+        let tokens = std::mem::take(&mut self.unread_tokens);
         self.node.fleet(|f| f.prompt_read(&self.target.id, tokens));
     }
 }
 
-impl Drop for AtTarget {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.forget_prompt();
+        self.clear_unread();
         self.node.fleet(|f| f.request_done(&self.target.id));
     }
 }
@@ -103,79 +108,80 @@
 pub async fn send(
     exchange: &Rc<Exchange>,
     choice: Choice,
-    made: Option<&Made>,
+    results: Option<&Made>,
     resume_after: Option<u64>,
 ) -> Outcome {
-    let Choice { target, ticket, permit } = choice;
+    let Choice { target, prompt_guard, permit } = choice;
     let target = &target;
-    let attempt = Attempt { exchange, target, begun: exchange.node.now() };
-    exchange.progress(|p| p.goes_to(&target.id));
-    let mut at_target = AtTarget::new(&exchange.node, target, exchange.head.tokens_in, ticket);
+    let attempt = Attempt { exchange, target, started_at: exchange.node.now() };
+    exchange.progress(|p| p.record_target(&target.id));
+    let mut in_flight =
+        InFlightGuard::new(&exchange.node, target, exchange.head.tokens_in, prompt_guard);
     let socket = match upstream::connect(target.address).await {
         Ok(socket) => socket,
         Err(e) => {
             if e.is_refused() {
                 exchange.node.quarantine.seen_ended(target, "refused");
             }
-            return attempt.nothing(Observation::Unreachable, e.to_string());
+            return attempt.no_response(Observation::Unreachable, e.to_string());
         }
     };
-    if let Some(why) = exchange.barred(&target.id) {
+    if let Some(reason) = exchange.exclusion_reason(&target.id) {
         // Nothing of the request has gone there yet.
-        exchange.progress(|p| p.why = format!("its target is barred by now: {why}"));
-        return Outcome::Nothing;
+        exchange.progress(|p| p.reason = format!("its target is barred by now: {reason}"));
+        return Outcome::NoResponse;
     }
-    if permit.is_over(exchange.node.now()) {
-        exchange.progress(|p| p.why = "its permit ran out on the way".into());
-        return Outcome::Nothing;
+    if permit.is_expired(exchange.node.now()) {
+        exchange.progress(|p| p.reason = "its permit ran out on the way".into());
+        return Outcome::NoResponse;
     }
     if !exchange.node.quarantine.sends(&exchange.node, &exchange.head.id, exchange.fingerprint) {
-        exchange.progress(|p| p.why = HELD.into());
-        return Outcome::Nothing;
+        exchange.progress(|p| p.reason = HELD.into());
+        return Outcome::NoResponse;
     }
-    exchange.progress(|p| p.tries.connected());
+    exchange.progress(|p| p.attempts.connected());
     heard::sent(&exchange.node, target);
     let sent = rollout::sent(&exchange.node, target, &exchange.route.name, 1, exchange.deadline);
-    at_target.sent.clone_from(&sent);
-    let request = request_for(exchange, target, made, resume_after);
+    in_flight.sent.clone_from(&sent);
+    let request = build_request(exchange, target, results, resume_after);
     let crossing = Crossing::to_target(&exchange.node, Kind::Request, &target.id);
-    if let Some(made) = made {
-        crossed::fetched(&exchange.node, &target.id, made.fetched());
+    if let Some(results) = results {
+        crossed::fetched(&exchange.node, &target.id, results.fetched());
     }
     let work = async {
         match upstream::send_over(socket, target.address, request, crossing).await {
-            Ok(answer) => attempt.take(answer, at_target).await,
-            Err(e) => attempt.broke_off(e.to_string()),
+            Ok(answer) => attempt.handle_response(answer, in_flight).await,
+            Err(e) => attempt.interrupted(e.to_string()),
         }
     };
-    if let Some(outcome) = exchange.patiently(work).await {
+    if let Some(outcome) = exchange.with_silence_timeout(work).await {
         return outcome;
     }
     if let Some(sent) = sent {
         sent.bad();
     }
-    attempt.broke_off("silent for too long".into())
+    attempt.interrupted("silent for too long".into())
 }
 
-fn request_for(
+fn build_request(
     exchange: &Exchange,
     target: &Target,
-    made: Option<&Made>,
+    results: Option<&Made>,
     resume_after: Option<u64>,
 ) -> hyper::Request<Full<Bytes>> {
     let onward = Onward {
-        left_ms: exchange.left().as_millis() as u64,
+        left_ms: exchange.time_left().as_millis() as u64,
         target: &target.id,
         workspace: exchange.workspace.as_ref(),
         rank: (!exchange.head.prompt.is_empty()).then_some(exchange.rank.level()),
-        inputs: made.map_or(&[], Made::inputs),
+        inputs: results.map_or(&[], Made::inputs),
         resume_after: resume_after.or(exchange.head.last_event),
     };
-    let taken = &exchange.request;
-    let mut request = hyper::Request::new(Full::new(taken.body.clone()));
-    *request.method_mut() = taken.method.clone();
-    *request.uri_mut() = taken.uri.clone();
-    *request.headers_mut() = exchange.node.dialect.onward(&taken.headers, &onward);
+    let received = &exchange.request;
+    let mut request = hyper::Request::new(Full::new(received.body.clone()));
+    *request.method_mut() = received.method.clone();
+    *request.uri_mut() = received.uri.clone();
+    *request.headers_mut() = exchange.node.dialect.onward(&received.headers, &onward);
     request
 }
 
@@ -183,122 +189,129 @@
 struct Attempt<'a> {
     exchange: &'a Rc<Exchange>,
     target: &'a Target,
-    begun: Time,
+    started_at: Time,
 }
 
 impl Attempt<'_> {
     /// Takes an answer, unless it is not the target's to this request.
-    async fn take(&self, answer: Answer, at_target: AtTarget) -> Outcome {
+    async fn handle_response(&self, answer: Answer, in_flight: InFlightGuard) -> Outcome {
         let Answer { response, connection } = answer;
         let (head, body) = response.into_parts();
-        let said = self.exchange.node.dialect.answer(&head);
-        let is_own = said.id.as_deref() == Some(self.exchange.head.id.as_str());
-        if !is_own && !said.not_run && !said.misdirected {
+        let answer_head = self.exchange.node.dialect.answer(&head);
+        let is_matching = answer_head.id.as_deref() == Some(self.exchange.head.id.as_str());
+        if !is_matching && !answer_head.not_run && !answer_head.misdirected {
             return self.may_have_run("answer to another request".into());
         }
-        if said.misdirected {
+        if answer_head.misdirected {
             self.exchange.node.quarantine.seen_ended(self.target, "replaced");
             return self.not_run(Observation::Replaced, "another target has the address".into());
         }
-        heard::take(&self.exchange.node, self.target, &said, self.begun);
-        if said.not_run && said.input_gone {
-            self.exchange.progress(|p| p.tries.record(Execution::Excluded));
-            return Outcome::InputGone;
+        heard::take(&self.exchange.node, self.target, &answer_head, self.started_at);
+        if answer_head.not_run && answer_head.input_gone {
+            self.exchange.progress(|p| p.attempts.record(Execution::Excluded));
+            return Outcome::InputRemoved;
         }
-        if said.not_run {
-            let why = format!("turned away with {}", head.status);
-            return self.not_run(Observation::Rejected, why);
+        if answer_head.not_run {
+            let reason = format!("turned away with {}", head.status);
+            return self.not_run(Observation::Rejected, reason);
         }
-        if head.status.is_success() && !said.signed {
-            at_target.bad();
+        if head.status.is_success() && !answer_head.signed {
+            in_flight.report_failure();
             return self.may_have_run("answer without signature".into());
         }
         let answer = Answer { response: Response::from_parts(head, body), connection };
-        if answer.response.status().is_success() && said.events {
-            return self.take_stream(answer, at_target).await;
+        if answer.response.status().is_success() && answer_head.events {
+            return self.handle_stream(answer, in_flight).await;
         }
-        self.take_whole(answer, at_target).await
+        self.handle_complete(answer, in_flight).await
     }
 
     /// Takes the first event of a stream.
-    async fn take_stream(&self, answer: Answer, mut at_target: AtTarget) -> Outcome {
+    async fn handle_stream(&self, answer: Answer, mut in_flight: InFlightGuard) -> Outcome {
         let Answer { response, connection } = answer;
         let (head, body) = response.into_parts();
         let mut reader = EventReader::new(body, connection);
         let first = match reader.next().await {
             Ok(Some(first)) => first,
             Ok(None) => {
-                at_target.bad();
-                return self.broke_off(StreamError::Empty.to_string());
+                in_flight.report_failure();
+                return self.interrupted(StreamError::Empty.to_string());
             }
             Err(e) => {
-                if e.is_of_target() {
-                    at_target.bad();
+                if e.is_target_fault() {
+                    in_flight.report_failure();
                 }
-                return self.broke_off(e.to_string());
+                return self.interrupted(e.to_string());
             }
         };
-        self.answered(&at_target);
-        at_target.read();
+        self.record_success(&in_flight);
+        in_flight.record_prompt_read();
         let headers = self.exchange.node.dialect.back(&head.headers);
-        Outcome::Stream(Box::new(Begun { status: head.status, headers, reader, first, at_target }))
+        Outcome::Stream(Box::new(StartedStream {
+            status: head.status,
+            headers,
+            reader,
+            first_event: first,
+            in_flight,
+        }))
     }
 
     /// Takes an answer that is no stream, a failure of the target's own too.
-    async fn take_whole(&self, answer: Answer, at_target: AtTarget) -> Outcome {
+    async fn handle_complete(&self, answer: Answer, in_flight: InFlightGuard) -> Outcome {
         let Answer { response, connection } = answer;
         let (head, body) = response.into_parts();
-        let body = match Limited::new(body, ANSWER_MAX).collect().await {
+        let body = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
-            Err(e) => return self.broke_off(format!("answer broke off: {e}")),
+            Err(e) => return self.interrupted(format!("answer broke off: {e}")),
         };
         drop(connection);
         let headers = self.exchange.node.dialect.back(&head.headers);
         let status = head.status;
         if status.is_server_error() {
-            at_target.bad();
-            self.exchange.progress(|p| p.failure = Some(Failure { status, headers, body }));
+            in_flight.report_failure();
+            self.exchange
+                .progress(|p| p.error_response = Some(ErrorResponse { status, headers, body }));
             return self.may_have_run(format!("status {status}"));
         }
-        self.answered(&at_target);
-        self.exchange.answered_whole();
-        Outcome::Whole { status, headers, body }
+        self.record_success(&in_flight);
+        self.exchange.record_completion();
+        Outcome::Complete { status, headers, body }
     }
 
     /// The target answered the request well.
-    fn answered(&self, at_target: &AtTarget) {
+    fn record_success(&self, in_flight: &InFlightGuard) {
         let node = &self.exchange.node;
-        self.exchange.progress(|p| p.tries.record(Execution::Possible));
-        let took = node.now().since(self.begun);
+        self.exchange.progress(|p| p.attempts.record(Execution::Possible));
+        let took = node.now().since(self.started_at);
         node.observe(&self.target.id, Observation::Answered(took), "");
-        at_target.good(took);
+        in_flight.report_success(took);
     }
 
     /// The target failed the request, which may have run there.
-    fn may_have_run(&self, why: String) -> Outcome {
-        self.exchange.progress(|p| p.tries.record(Execution::Possible));
-        self.nothing(Observation::Failed, why)
+    fn may_have_run(&self, reason: String) -> Outcome {
+        self.exchange.progress(|p| p.attempts.record(Execution::Possible));
+        self.no_response(Observation::Failed, reason)
     }
 
     /// The connection ended, or was given up, before a whole answer.
-    fn broke_off(&self, why: String) -> Outcome {
-        self.exchange.broke_off_at(self.target);
-        self.exchange.progress(|p| p.tries.record(Execution::Possible));
-        self.nothing(Observation::Interrupted, why)
+    fn interrupted(&self, reason: String) -> Outcome {
+        self.exchange.record_interruption(self.target);
+        self.exchange.progress(|p| p.attempts.record(Execution::Possible));
+        self.no_response(Observation::Interrupted, reason)
     }
 
     /// The request surely did not run there.
-    fn not_run(&self, observed: Observation, why: String) -> Outcome {
-        self.exchange.progress(|p| p.tries.record(Execution::Excluded));
-        self.nothing(observed, why)
+    fn not_run(&self, observed: Observation, reason: String) -> Outcome {
+        self.exchange.progress(|p| p.attempts.record(Execution::Excluded));
+        self.no_response(observed, reason)
     }
 
     /// The send brought nothing to pass on.
-    fn nothing(&self, observed: Observation, why: String) -> Outcome {
-        let Attempt { exchange, target, begun } = self;
+    fn no_response(&self, observed: Observation, reason: String) -> Outcome {
+        let Attempt { exchange, target, started_at } = self;
         let node = &exchange.node;
-        let after_ms = node.now().since(*begun).as_millis() as u64;
-        let ran = match exchange.progress(|p| p.tries.execution) {
+        let after_ms = node.now().since(*started_at).as_millis() as u64;
+        let ran = match exchange.progress(|p| p.attempts.execution) {
             Execution::Excluded => "no",
             Execution::Possible => "maybe",
         };
@@ -307,12 +320,12 @@
             same: &exchange.fingerprint.to_string(),
             target: &target.id.name,
             ran,
-            why: &why,
+            why: &reason,
             after_ms,
         }
         .emit();
-        node.observe(&target.id, observed, &why);
-        exchange.progress(|p| p.why = why);
-        Outcome::Nothing
+        node.observe(&target.id, observed, &reason);
+        exchange.progress(|p| p.reason = reason);
+        Outcome::NoResponse
     }
 }
--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -12,22 +12,22 @@
 
 use super::exchange::Exchange;
 use super::reply::Body;
-use super::send::{AtTarget, Outcome, send};
+use super::send::{InFlightGuard, Outcome, send};
 use crate::stages::{Made, StageError};
 use crate::upstream::Connection;
 
 /// Largest event.
-const EVENT_MAX: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 /// What ends an event.
-const EVENT_END: &[u8] = b"\n\n";
+const EVENT_TERMINATOR: &[u8] = b"\n\n";
 
 /// Why a stream did not go on.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StreamError {
     /// stream broke: {0}
-    Broke(hyper::Error),
+    Interrupted(hyper::Error),
     /// stream ended within an event
-    Torn,
+    Truncated,
     /// stream ended before its first event
     Empty,
     /// an event is too large
@@ -35,14 +35,14 @@
     /// target was silent for too long
     Silent,
     /// no event came in time
-    Late,
+    DeadlineExceeded,
 }
 
 impl StreamError {
     /// Whether the target's software failed, or took too long: a connection that broke tells of
     /// the target alone.
-    pub fn is_of_target(&self) -> bool {
-        !matches!(self, StreamError::Broke(_))
+    pub fn is_target_fault(&self) -> bool {
+        !matches!(self, StreamError::Interrupted(_))
     }
 }
 
@@ -65,13 +65,13 @@
             if let Some(n) = find_end(&self.buffer) {
                 return Ok(Some(self.buffer.split_to(n).freeze()));
             }
-            if self.buffer.len() > EVENT_MAX {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(StreamError::TooLarge);
             }
             match self.body.frame().await {
                 None if self.buffer.is_empty() => return Ok(None),
-                None => return Err(StreamError::Torn),
-                Some(Err(e)) => return Err(StreamError::Broke(e)),
+                None => return Err(StreamError::Truncated),
+                Some(Err(e)) => return Err(StreamError::Interrupted(e)),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         self.buffer.extend_from_slice(&data);
@@ -84,12 +84,12 @@
 
 /// Length of the first whole event, its end included.
 fn find_end(buffer: &[u8]) -> Option<usize> {
-    let at = buffer.windows(EVENT_END.len()).position(|w| w == EVENT_END)?;
-    Some(at + EVENT_END.len())
+    let at = buffer.windows(EVENT_TERMINATOR.len()).position(|w| w == EVENT_TERMINATOR)?;
+    Some(at + EVENT_TERMINATOR.len())
 }
 
 /// A stream whose head and first event are there.
-pub struct Begun {
+pub struct StartedStream {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -97,44 +97,48 @@
     /// Reader of the rest.
     pub reader: EventReader,
     /// First event.
-    pub first: Bytes,
+    pub first_event: Bytes,
     /// Counts the request at its target.
-    pub at_target: AtTarget,
+    pub in_flight: InFlightGuard,
 }
 
-struct Relay {
+struct StreamForwarder {
     exchange: Rc<Exchange>,
     /// None while no target runs the request.
     reader: Option<EventReader>,
-    first: Option<Bytes>,
+    first_event: Option<Bytes>,
     last_event: Option<u64>,
     /// Results that are held although nobody wants them, where they are not freed early.
-    _kept: Option<Made>,
-    at_target: AtTarget,
-    over: bool,
+    _results: Option<Made>,
+    in_flight: InFlightGuard,
+    is_finished: bool,
 }
 
 /// The answer that passes a begun stream on.
-pub fn answer(exchange: Rc<Exchange>, begun: Begun, kept: Option<Made>) -> Response<Body> {
-    let Begun { status, headers, reader, first, at_target } = begun;
+pub fn response(
+    exchange: Rc<Exchange>,
+    started: StartedStream,
+    results: Option<Made>,
+) -> Response<Body> {
+    let StartedStream { status, headers, reader, first_event, in_flight } = started;
     let now = exchange.node.now();
     exchange.progress(|p| {
-        p.tries.response_begun = true;
-        p.first = Some(now);
+        p.attempts.response_begun = true;
+        p.first_event_at = Some(now);
     });
     let last_event = exchange.head.last_event;
-    let relay = Relay {
+    let forwarder = StreamForwarder {
         exchange,
         reader: Some(reader),
-        first: Some(first),
+        first_event: Some(first_event),
         last_event,
-        _kept: kept,
-        at_target,
-        over: false,
+        _results: results,
+        in_flight,
+        is_finished: false,
     };
-    let frames = stream::unfold(relay, |mut relay| async move {
-        let item = relay.step().await?;
-        Some((item.map(Frame::data), relay))
+    let frames = stream::unfold(forwarder, |mut forwarder| async move {
+        let item = forwarder.forward_next().await?;
+        Some((item.map(Frame::data), forwarder))
     });
     let body: Body = Box::pin(StreamBody::new(frames));
     let mut response = Response::new(body);
@@ -143,14 +147,14 @@
     response
 }
 
-impl Relay {
+impl StreamForwarder {
     /// The next event for the caller; an error breaks the connection off.
-    async fn step(&mut self) -> Option<io::Result<Bytes>> {
-        if self.over {
+    async fn forward_next(&mut self) -> Option<io::Result<Bytes>> {
+        if self.is_finished {
             return None;
         }
         loop {
-            match self.next().await {
+            match self.next_event().await {
                 Ok(Some(event)) => {
                     let number = self.exchange.node.dialect.event_number(&event);
                     if number.is_some() && number <= self.last_event {
@@ -161,20 +165,20 @@
                     return Some(Ok(event));
                 }
                 Ok(None) => {
-                    self.over = true;
-                    self.exchange.answered_whole();
+                    self.is_finished = true;
+                    self.exchange.record_completion();
                     self.exchange.log_end(200, "streamed");
                     return None;
                 }
                 Err(e) => {
-                    let why = e.to_string();
-                    self.exchange.broke_off_at(&self.at_target.target);
-                    if e.is_of_target() {
-                        self.at_target.bad();
+                    let reason = e.to_string();
+                    self.exchange.record_interruption(&self.in_flight.target);
+                    if e.is_target_fault() {
+                        self.in_flight.report_failure();
                     }
-                    self.exchange.progress(|p| p.why = why);
+                    self.exchange.progress(|p| p.reason = reason);
                     if !self.resume().await {
-                        self.over = true;
+                        self.is_finished = true;
                         self.exchange.log_end(200, "broken_off");
                         return Some(Err(io::Error::other(e)));
                     }
@@ -183,19 +187,19 @@
         }
     }
 
-    async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
-        if let Some(first) = self.first.take() {
-            return Ok(Some(first));
+    async fn next_event(&mut self) -> Result<Option<Bytes>, StreamError> {
+        if let Some(first_event) = self.first_event.take() {
+            return Ok(Some(first_event));
         }
         let Some(reader) = &mut self.reader else {
             return Err(StreamError::Empty);
         };
         let exchange = &self.exchange;
-        let reading = exchange.patiently(reader.next());
+        let reading = exchange.with_silence_timeout(reader.next());
         match exchange.node.clock.until(exchange.deadline, reading).await {
             Some(Some(read)) => read,
             Some(None) => Err(StreamError::Silent),
-            None => Err(StreamError::Late),
+            None => Err(StreamError::DeadlineExceeded),
         }
     }
 
@@ -204,45 +208,47 @@
         // The earlier run ends before another one goes on in its place.
         self.reader = None;
         let exchange = &self.exchange;
-        match exchange.node.clock.until(exchange.deadline, self.taken_up()).await {
-            Some(Ok(begun)) => {
-                let Begun { reader, first, at_target, .. } = *begun;
+        match exchange.node.clock.until(exchange.deadline, self.resume_elsewhere()).await {
+            Some(Ok(started)) => {
+                let StartedStream { reader, first_event, in_flight, .. } = *started;
                 self.reader = Some(reader);
-                self.first = Some(first);
-                self.at_target = at_target;
+                self.first_event = Some(first_event);
+                self.in_flight = in_flight;
                 true
             }
-            Some(Err(NotResumed::Stages(e))) => {
-                self.exchange.progress(|p| p.why = format!("stages were not made again: {e}"));
+            Some(Err(ResumeError::Stages(e))) => {
+                self.exchange.progress(|p| p.reason = format!("stages were not made again: {e}"));
                 false
             }
-            Some(Err(NotResumed::Refused)) | None => false,
+            Some(Err(ResumeError::Refused)) | None => false,
         }
     }
 
     /// The stream from the last event on, at another target. Its stages are made again once,
     /// near the first target that is asked: their results went with the first event.
-    async fn taken_up(&self) -> Result<Box<Begun>, NotResumed> {
+    async fn resume_elsewhere(&self) -> Result<Box<StartedStream>, ResumeError> {
         let exchange = &self.exchange;
-        let mut made = None;
+        let mut results = None;
         while let Some(choice) = exchange.next_target(None).await {
-            made.take_if(|m| !exchange.is_inside(m));
-            if made.is_none() && !exchange.route.stages.is_empty() {
-                let again = exchange.make_stages_again(&choice.target).await;
-                made = Some(again.map_err(NotResumed::Stages)?);
+            results.take_if(|m| !exchange.is_result_allowed(m));
+            if results.is_none() && !exchange.route.stages.is_empty() {
+                let rerun = exchange.rerun_stages(&choice.target).await;
+                results = Some(rerun.map_err(ResumeError::Stages)?);
             }
-            match send(exchange, choice, made.as_ref(), self.last_event).await {
-                Outcome::Stream(begun) => return Ok(begun),
-                Outcome::Nothing => {}
-                Outcome::Whole { .. } | Outcome::InputGone => return Err(NotResumed::Refused),
+            match send(exchange, choice, results.as_ref(), self.last_event).await {
+                Outcome::Stream(started) => return Ok(started),
+                Outcome::NoResponse => {}
+                Outcome::Complete { .. } | Outcome::InputRemoved => {
+                    return Err(ResumeError::Refused);
+                }
             }
         }
-        Err(NotResumed::Refused)
+        Err(ResumeError::Refused)
     }
 }
 
 /// Why a stream was not taken up at another target.
-enum NotResumed {
+enum ResumeError {
     /// Its stages could not be made again.
     Stages(StageError),
     /// No target took it.
--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -56,7 +56,7 @@
     let post = node.dialect.stage_call(&call.pieces);
     let request = request(node, &call.worker, address, post);
     let id = || call_id(runner, &call);
-    let Some(permit) = limits::permit(node, &target, counted(&call), id).await else {
+    let Some(permit) = limits::request_permit(node, &target, counted(&call), id).await else {
         let why = limits::AT_LIMIT;
         log_call(runner, &call, &[], 0, node.targets_age_ms(), why);
         return CallEnd::Full;
@@ -68,7 +68,7 @@
     let crossing = Crossing::to_target(node, Kind::Call, &call.worker);
     let work = async {
         let socket = match upstream::connect(address).await {
-            Ok(_) if permit.is_over(node.now()) => {
+            Ok(_) if permit.is_expired(node.now()) => {
                 return (CallEnd::Full, Observation::NotSent, "its permit ran out".into());
             }
             Ok(socket) => socket,
