--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -241,10 +241,10 @@
                     let kept_results = results.filter(|_| !self.node.settings().policy.early_free);
                     return Ok(stream::response(self, *started, kept_results));
                 }
-                Outcome::InputRemoved if !self.node.settings().policy.recompute => {
+                Outcome::InputLost if !self.node.settings().policy.recompute => {
                     return Err(self.end_unanswered());
                 }
-                Outcome::InputRemoved => {
+                Outcome::InputLost => {
                     results = Some(self.run_stages(Some(&target)).await?);
                     self.progress(|p| p.excluded.clear());
                 }
--- a/crates/forward/src/serve/reply.rs
+++ b/crates/forward/src/serve/reply.rs
@@ -33,11 +33,11 @@
     status: StatusCode,
     id: Option<&str>,
     retry_after: Option<Duration>,
-    reason: &str,
+    why: &str,
 ) -> Response<Body> {
     let retry_after_ms = retry_after.map(|d| d.as_millis() as u64);
     let headers = node.dialect.own(id, retry_after_ms);
-    build(status, headers, Bytes::from(format!("{reason}\n")))
+    build(status, headers, Bytes::from(format!("{why}\n")))
 }
 
 /// Ends the connection after this answer.
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -42,7 +42,7 @@
     /// A stream whose first event is there.
     Stream(Box<StartedStream>),
     /// The target did not run it, since an input is gone.
-    InputRemoved,
+    InputLost,
     /// Nothing to pass on; the exchange's progress says what is known.
     NoResponse,
 }
@@ -209,7 +209,7 @@
         heard::take(&self.exchange.node, self.target, &answer_head, self.started_at);
         if answer_head.not_run && answer_head.input_gone {
             self.exchange.progress(|p| p.attempts.record(Execution::Excluded));
-            return Outcome::InputRemoved;
+            return Outcome::InputLost;
         }
         if answer_head.not_run {
             let reason = format!("turned away with {}", head.status);
--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -238,9 +238,7 @@
             match send(exchange, choice, results.as_ref(), self.last_event).await {
                 Outcome::Stream(started) => return Ok(started),
                 Outcome::NoResponse => {}
-                Outcome::Complete { .. } | Outcome::InputRemoved => {
-                    return Err(ResumeError::Refused);
-                }
+                Outcome::Complete { .. } | Outcome::InputLost => return Err(ResumeError::Refused),
             }
         }
         Err(ResumeError::Refused)
