--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -1,5 +1,5 @@
-//! Takes a request in: reads its head and body, finds its route and workspace,
-//! and refuses at once what cannot be served.
+//! Admission of a request: reads its head and body, resolves its route and workspace, and refuses
+//! at once what cannot be served.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,12 +20,13 @@
 use crate::quarantine::HELD;
 use crate::rules::{Table, choose_service};
 
-/// Silence of the store after which an unknown route or key may simply be new.
+/// Time without confirmation of the rules by the store after which an unknown route or key may be
+/// one that this node has not received yet.
 const RULES_STALE_AFTER: Duration = Duration::from_secs(8);
-/// Wait of a caller that names none, in milliseconds, if its route has none either.
+/// Maximum wait in milliseconds of a caller that names none; the route's timeout caps it.
 const DEFAULT_WAIT_MS: u64 = 30_000;
 
-/// Why a request is refused at once.
+/// Refusal of a request before it is sent to any target.
 struct Refusal {
     status: StatusCode,
     reason: &'static str,
@@ -47,7 +48,8 @@
         Refusal { close: true, ..self }
     }
 
-    /// An unknown route or key: refused for good only if the rules are surely fresh.
+    /// Refuses an unknown route or key. Unless the rules are certainly current, the caller is asked
+    /// to retry.
     fn unknown(node: &Node, status: StatusCode, reason: &'static str) -> Self {
         if node.rules_may_be_old(RULES_STALE_AFTER) {
             let reason = "rules may be out of date";
@@ -83,7 +85,7 @@
     }
 }
 
-/// Takes a request in, or refuses it.
+/// Admits a request; `Err` holds the response that refuses it.
 pub async fn admit(
     node: &Rc<Node>,
     request: Request<Incoming>,
@@ -92,7 +94,7 @@
     let (parts, body) = request.into_parts();
     let head = node.dialect.caller(&parts).map_err(|e| {
         let refusal = Refusal::new(StatusCode::BAD_REQUEST, "malformed request").close();
-        // By its header alone: what stands in it is the caller's, and may not rest here.
+        // Only the header is named: its value is the caller's data, which must not be stored here.
         log::info!("malformed request: {}", e.place);
         refusal.into_response(node, &CallerHead::default())
     })?;
@@ -140,7 +142,7 @@
     Ok(Rc::new(Exchange::new(node.clone(), admitted)))
 }
 
-/// What makes a request the same as another: what is asked, and who asks. Headers are left out:
+/// Fingerprint that is equal for the same request from the same caller. Headers are left out, since
 /// attempts of one request differ in them.
 fn fingerprint(
     parts: &Parts,
@@ -193,7 +195,7 @@
     })
 }
 
-/// Refuses a request that would miss its objective by far.
+/// Refuses a request that is expected to miss its objective by far.
 fn check_admission(
     node: &Node,
     table: &Table,
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to.
+//! Choice of the target for a request.
 
 use std::time::Duration;
 
@@ -16,31 +16,30 @@
 use crate::rollout;
 use crate::stages::Made;
 
-/// Asks for permits that may hold one request up.
+/// Maximum number of permit requests that may delay one request; after that, targets with a limit
+/// are excluded.
 const MAX_PERMIT_REQUESTS: usize = 3;
 
-/// The target of one send.
+/// The target of one attempt.
 pub struct Choice {
-    /// Target.
     pub target: Target,
-    /// Held until the target has read the prompt, if a scheduler chose it.
+    /// Held until the target has read the prompt, if a scheduler chose the target.
     pub prompt_guard: Option<PromptGuard>,
-    /// What allows the send.
     pub permit: Permit,
 }
 
-/// A target that is chosen, before its permit is asked for.
+/// A target whose permit has not been requested yet.
 struct Pick {
     target: Target,
     prompt_guard: Option<PromptGuard>,
     chosen_by: &'static str,
-    /// Prompt tokens that it has to read before, as far as is known.
+    /// Prompt tokens queued ahead at the target, as far as known.
     tokens_ahead: u64,
 }
 
 impl Exchange {
-    /// The target that a request is best sent to now; a cold one only if it is this node's
-    /// turn to start a request there.
+    /// The best target for the request now; a cold one only if it is this node's turn to start a
+    /// request there. Falls back to the serving version if the trial version has no target.
     pub(super) fn choose(&self) -> Option<Target> {
         let chosen = self.try_choose();
         if chosen.is_none() && self.leave_trial() {
@@ -79,8 +78,8 @@
         Some(chosen)
     }
 
-    /// Regions in which what has not begun yet may be served: those allowed when the request
-    /// was taken in, as far as the rules in force still allow them.
+    /// Regions in which the remaining work may be done: those allowed at admission, as far as the
+    /// rules in force still allow them.
     pub(super) fn allowed_regions(&self) -> Allowed {
         let table = self.node.table();
         if table.rules.version == self.rules_version {
@@ -89,7 +88,7 @@
         self.allowed.and(&table.allowed(&self.head))
     }
 
-    /// Returns once other regions than these are allowed.
+    /// Returns once the allowed regions differ from `from`.
     pub(super) async fn wait_allowed_changed(&self, from: &Allowed) {
         let mut versions = self.node.versions();
         while self.allowed_regions() == *from {
@@ -99,19 +98,19 @@
         }
     }
 
-    /// What the request asks of any target.
+    /// Constraints that every target of the request must meet.
     fn terms<'a>(&self, allowed: &'a Allowed) -> Terms<'a> {
         Terms { allowed, side: self.current_side() }
     }
 
-    /// Whether the rules in force allow the request where a target is.
+    /// Whether a target is in an allowed region.
     pub(super) fn is_target_allowed(&self, target: &TargetId) -> bool {
         let allowed = self.allowed_regions();
         self.node.fleet(|f| f.is_in_allowed_region(target, &allowed))
     }
 
-    /// Why the request may not go to a target any more that was chosen before its inputs were
-    /// made or its connection stood; `None` if it may.
+    /// Why the request may no longer be sent to a target, which was chosen before its inputs were
+    /// computed or its connection was open; `None` if it still may.
     pub(super) fn exclusion_reason(&self, target: &TargetId) -> Option<&'static str> {
         let now = self.node.now();
         let allowed = self.allowed_regions();
@@ -122,14 +121,14 @@
         })
     }
 
-    /// Whether all results rest where the rules in force allow them.
+    /// Whether all results are stored in allowed regions.
     pub(super) fn is_result_allowed(&self, made: &Made) -> bool {
         let allowed = self.allowed_regions();
         self.node.fleet(|f| made.makers().all(|worker| f.is_in_allowed_region(worker, &allowed)))
     }
 
-    /// The first service, of those that the request needs, without any target in the regions
-    /// that are allowed; `None` if the request names no regions.
+    /// The first service that the request needs and that has no target in the allowed regions;
+    /// `None` if there is none, or all regions are allowed.
     pub(super) fn unserved_service(&self) -> Option<&Name> {
         let allowed = self.allowed_regions();
         if allowed.is_any() {
@@ -145,15 +144,14 @@
         needed.find(|service| has_none(service))
     }
 
-    /// Whether a failure domain lies in a region that is allowed, so that it may help to
-    /// come back.
+    /// Whether any failure domain is in an allowed region, so that a retry may succeed.
     pub(super) fn has_allowed_domain(&self) -> bool {
         let allowed = self.allowed_regions();
         self.node.fleet(|f| f.regions().any_allowed(&allowed))
     }
 
-    /// The version that the request goes to now. While one is on trial a request goes to it once
-    /// at most; where all go to one version, those that are under way do so too.
+    /// Side of the rollout that the request uses now. During a trial a request is sent to the trial
+    /// version at most once; once all requests go to one version, those in progress do so too.
     fn current_side(&self) -> Side {
         let is_trial = self.side == Side::Trial && !self.progress(|p| p.left_trial);
         self.node.fleet(|f| match f.versions().phase(&self.service) {
@@ -165,8 +163,7 @@
         })
     }
 
-    /// The request goes to the version that serves from now on; whether it would have gone to
-    /// the one on trial.
+    /// Moves the request to the serving version; returns whether it was on the trial version.
     fn leave_trial(&self) -> bool {
         let was_trial = self.current_side() == Side::Trial;
         self.progress(|p| p.left_trial = true);
@@ -177,9 +174,10 @@
         Home::of(&self.head.prompt).filter(|_| self.node.settings().policy.homes)
     }
 
-    /// Region in which the home is sought first: where the inputs lie, or this one. None if
-    /// regions are as good as one. Shared parts are read in each region: sending prompts across
-    /// saves half of that, and costs more in bytes and in time than it saves.
+    /// Region whose targets are preferred as homes: that of the inputs, or else the local one;
+    /// `None` if the regions count as one. Each region reads shared prompt prefixes itself: sending
+    /// prompts to another region would save half of that, but costs more bytes and time than it
+    /// saves.
     fn home_region(&self, map: &Map) -> Option<Name> {
         if !map.is_split() {
             return None;
@@ -188,16 +186,16 @@
         input_region.or_else(|| Some(map.local_region()))
     }
 
-    /// Whether a target is in the region where the inputs lie, if there are any. Inputs that
-    /// another region made are larger than what the request sends there.
+    /// Whether a target is in the region of the inputs, if there are any. Fetching inputs from
+    /// another region takes more bytes than sending the request there.
     pub(super) fn is_near_inputs(&self, target: &Target) -> bool {
         let map = self.node.peers.roster(|r| r.map());
         let input_region = self.progress(|p| p.input_region.clone());
         !map.is_split() || input_region.is_none_or(|r| map.region_of(&target.domain) == r)
     }
 
-    /// Connections that this node may have to one target: an equal part of what a target
-    /// takes from all nodes.
+    /// Maximum connections of this node to one target: an equal share of what a target accepts
+    /// from all nodes.
     fn max_connections(&self) -> u32 {
         let nodes = self.node.peers.roster(|r| r.max_seen()) as u32;
         let table = self.node.table();
@@ -205,8 +203,8 @@
         (all / nodes.max(1)).max(1)
     }
 
-    /// Shares of homes by failure domain, where the route has large results that are
-    /// made near their target.
+    /// Weights of the failure domains for homes, for a route with large results, which are produced
+    /// close to their target; empty for other routes.
     fn home_weights(&self, allowed: &Allowed, now: Time) -> Vec<(Name, f64)> {
         let large = self.route.stages.iter().find(|s| s.bytes >= LARGE_RESULT);
         let large = large.filter(|_| self.node.settings().policy.weighted_homes);
@@ -216,7 +214,7 @@
         self.node.fleet(|f| home_weights(f, workers, &self.service, allowed, now))
     }
 
-    /// Whether a target chosen a while ago, or by another node, may get the request.
+    /// Whether a target that was chosen earlier, or by another node, may still get the request.
     fn is_usable(&self, target: &Target) -> bool {
         let now = self.node.now();
         let max_connections = self.max_connections();
@@ -232,7 +230,6 @@
         })
     }
 
-    /// Whether a target is cold.
     fn is_cold(&self, target: &Target) -> bool {
         let Some(limit) = self.node.cold_limit(&self.service) else {
             return false;
@@ -241,7 +238,7 @@
         self.node.fleet(|f| f.get(&target.id).is_some_and(|b| f.is_cold(b, limit, now)))
     }
 
-    /// The next target; `None` if the request is not to be sent again.
+    /// The next target; `None` if the request may not be sent again or no target may get it.
     pub(super) async fn next_target(&self, chosen: Option<Target>) -> Option<Choice> {
         if self.quarantine_hold().is_some() {
             self.node.metrics.held_back(&self.route.name);
@@ -259,8 +256,8 @@
         self.choose_permitted(chosen).await
     }
 
-    /// A target that this request may be sent to now, `chosen` if it may. One whose keeper grants
-    /// no permit is closed to this node, so that another one is chosen.
+    /// A target that the request may be sent to now, preferably `chosen`. A target whose keeper
+    /// grants no permit becomes closed to this node, so that another one is chosen.
     async fn choose_permitted(&self, mut chosen: Option<Target>) -> Option<Choice> {
         for requests in 0.. {
             if requests >= MAX_PERMIT_REQUESTS {
@@ -269,7 +266,8 @@
             let Pick { target, prompt_guard, chosen_by, tokens_ahead } =
                 self.pick(chosen.take()).await?;
             if prompt_guard.is_none() {
-                // Before the permit: another request of this node would start there meanwhile.
+                // Recorded before the permit is requested: another request of this node would
+                // otherwise start there meanwhile.
                 self.record_cold_start(&target);
             }
             let id = || self.head.id.clone();
@@ -281,8 +279,8 @@
         None
     }
 
-    /// Targets that name a limit are not chosen for this request any more: each ask for a permit
-    /// holds it up.
+    /// Excludes targets that name a limit from now on, since each permit request delays the
+    /// request.
     fn exclude_limited(&self) {
         let limited: Vec<TargetId> =
             self.node.fleet(|f| f.limits().named().map(|(id, _)| id.clone()).collect());
@@ -292,7 +290,7 @@
     async fn pick(&self, chosen: Option<Target>) -> Option<Pick> {
         let Some(first) = chosen.filter(|t| self.is_usable(t)).or_else(|| self.choose()) else {
             let reason = self.no_target_reason();
-            self.progress(|p| p.reason = format!("{reason}; before: {}", p.reason));
+            self.progress(|p| p.reason = format!("{reason}; previously: {}", p.reason));
             return None;
         };
         if let Some(pick) = self.pick_scheduled(&first).await {
@@ -306,14 +304,14 @@
         Some(Pick { target, prompt_guard: None, chosen_by, tokens_ahead: 0 })
     }
 
-    /// The target itself, or another one if it is cold and not this node's to start a request
-    /// at now: that may have changed since it was chosen.
+    /// Chooses again if the target is cold: whether this node may start a request there may have
+    /// changed since it was chosen.
     fn recheck_cold(&self, target: Target) -> Option<Target> {
         if self.is_cold(&target) { self.choose() } else { Some(target) }
     }
 
-    /// A request starts at a target that no scheduler chose; if that is cold, the next one
-    /// of this node has to wait.
+    /// Records that the request starts at a target that no scheduler chose; if the target is cold,
+    /// this node's next start there is delayed.
     fn record_cold_start(&self, target: &Target) {
         if let Some(limit) = self.node.cold_limit(&self.service) {
             let now = self.node.now();
@@ -321,7 +319,7 @@
         }
     }
 
-    /// The engine that a scheduler chooses near the prompt's home.
+    /// The engine that a scheduler chooses near the prompt's home, if it is usable.
     async fn pick_scheduled(&self, first: &Target) -> Option<Pick> {
         let home = self.home().filter(|_| self.node.settings().policy.scheduling)?;
         let prompt = Prompt {
@@ -342,8 +340,8 @@
         Some(Pick { target, prompt_guard, chosen_by: "scheduler", tokens_ahead })
     }
 
-    /// Targets that a scheduler is not to choose: it does not know which are closed to this node,
-    /// nor what they told it.
+    /// Targets that a scheduler must not choose: it does not know which are closed to this node,
+    /// nor which notices they sent to it.
     fn scheduler_exclusions(&self) -> Vec<TargetId> {
         let now = self.node.now();
         let mut excluded = self.progress(|p| p.excluded.clone());
@@ -356,7 +354,7 @@
         excluded
     }
 
-    /// Time after which to come back if all targets that may serve the request are at their limits.
+    /// Retry delay if all targets that may serve the request are at their limits.
     pub(super) fn limit_retry_after(&self) -> Option<Duration> {
         let now = self.node.now();
         let allowed = self.allowed_regions();
@@ -368,8 +366,8 @@
         self.node.limits.retry_after(&self.node, &self.service, &targets)
     }
 
-    /// Time after which to come back if all targets that may serve the request want nothing for a
-    /// while. Callers are told somewhat different ones: each node tries one request first.
+    /// Retry delay if all targets that may serve the request are backed off. Callers get different
+    /// delays, because each node sends a single request first when a backoff ends.
     pub(super) fn backoff_retry_after(&self) -> Option<Duration> {
         let now = self.node.now();
         let allowed = self.allowed_regions();
@@ -433,7 +431,7 @@
     }
 }
 
-/// The regions that are allowed, as part of a reason; nothing if all are.
+/// The allowed regions as part of a reason; empty if all are allowed.
 fn describe_allowed(allowed: &Allowed) -> String {
     let names: Vec<&str> = allowed.names().map(|name| &**name).collect();
     match names.as_slice() {
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of one request: its stages, its sends, and its final answer.
+//! Exchange of one request: its stages, its attempts and its final response.
 
 use std::cell::RefCell;
 use std::ops::Deref;
@@ -21,100 +21,87 @@
 use crate::phase::LifePhase;
 use crate::stages::{self, Job, Made, StageError};
 
-/// Part of a deadline kept for the answer's way back.
+/// Part of the caller's deadline that is reserved for returning the response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(30);
-/// When a caller is told to come back to a service that has no free target.
+/// Retry delay for callers of a service without a usable target.
 pub(super) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Why a request is refused whose targets all want nothing.
-const ALL_BACKED_OFF: &str = "its targets want no requests before a time that they named";
-/// Times that stages are made for results that turn out to rest where they may not: a
-/// coordinator may know another place of a target than this node, but for a moment only.
+/// Reason of a refusal while all targets are backed off.
+const ALL_BACKED_OFF: &str = "all targets asked for a later retry";
+/// Maximum number of stage runs whose results turn out to be outside of the allowed regions: a
+/// coordinator's data may place a target elsewhere than this node's data, but only briefly.
 const MAX_STAGE_ROUNDS: usize = 2;
 
-/// A request as it was taken in.
+/// A request as it was received.
 pub struct ReceivedRequest {
-    /// Method.
     pub method: Method,
-    /// Path and query.
     pub uri: Uri,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
 }
 
-/// A target's answer that is no success.
+/// A target's response with an error status.
 pub struct ErrorResponse {
-    /// Status.
     pub status: StatusCode,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
 }
 
-/// What is known so far of a request's way.
+/// State of a request in progress.
 pub struct Progress {
-    /// Tries.
     pub attempts: Attempts,
-    /// Targets not to be chosen again.
+    /// Targets that must not be chosen again.
     pub excluded: Vec<TargetId>,
-    /// The last target.
+    /// Target of the last attempt.
     pub target: Option<TargetId>,
-    /// When the first event came.
+    /// When the first event arrived.
     pub first_event_at: Option<Time>,
-    /// Time that stages took.
+    /// Total time that stages took.
     pub stage_time: Duration,
-    /// Region where the target's inputs lie, if there are any.
+    /// Region where the target's inputs are stored, if there are any.
     pub input_region: Option<Name>,
-    /// A target's own failure, passed on if no other target does better.
+    /// Error response of a target, forwarded if no other target gives a better one.
     pub error_response: Option<ErrorResponse>,
-    /// Why the last try brought nothing.
+    /// Why the last attempt gave no response.
     pub reason: String,
-    /// It goes to the version that serves, although its turn was another one.
+    /// Whether the request uses the serving version although it was assigned to the trial version.
     pub left_trial: bool,
+    /// Whether the line of the final response has been logged.
     is_logged: bool,
 }
 
 impl Progress {
-    /// The request goes to this target now, and to it but once.
+    /// Records an attempt at a target, which must not be chosen again.
     pub(super) fn record_target(&mut self, target: &TargetId) {
         self.excluded.push(target.clone());
         self.target = Some(target.clone());
     }
 }
 
-/// A request that was taken in, and what was found for it.
+/// An admitted request and what was resolved for it.
 pub struct Admitted {
-    /// The request.
     pub request: ReceivedRequest,
-    /// What its head says.
+    /// Parsed head of the request.
     pub head: CallerHead,
-    /// What makes it the same as others.
+    /// Identifies repeated requests.
     pub fingerprint: Fingerprint,
-    /// Route.
     pub route: Route,
-    /// Service.
     pub service: Name,
-    /// Workspace of its key.
+    /// Workspace of the caller's key.
     pub workspace: Option<Name>,
-    /// Rank.
     pub rank: Rank,
-    /// Regions in which it may be served.
+    /// Regions allowed at admission.
     pub allowed: Allowed,
-    /// Version of its service that it was to go to when it was taken in.
+    /// Side of the rollout that it was assigned to at admission.
     pub side: Side,
-    /// Version of the rules that it was taken in by.
+    /// Version of the rules at admission.
     pub rules_version: u64,
-    /// When it arrived.
     pub arrived: Time,
-    /// When it is given up.
+    /// When the request is abandoned.
     pub deadline: Time,
 }
 
-/// One request on its way.
+/// One request in progress.
 pub struct Exchange {
-    /// Node.
     pub node: Rc<Node>,
     admitted: Admitted,
     progress: RefCell<Progress>,
@@ -130,7 +117,7 @@
 }
 
 impl Exchange {
-    /// Begins to serve a request.
+    /// Starts to serve a request; its deadline is reduced by the margin for the response.
     pub fn new(node: Rc<Node>, admitted: Admitted) -> Self {
         let route = &admitted.route;
         let progress = Progress {
@@ -152,24 +139,24 @@
         Exchange { node, admitted, progress: RefCell::new(progress), _open }
     }
 
-    /// Uses what is known for a moment.
+    /// Accesses the progress, which must not be borrowed already.
     pub fn progress<T>(&self, f: impl FnOnce(&mut Progress) -> T) -> T {
         f(&mut self.progress.borrow_mut())
     }
 
-    /// Time left until the request is given up.
+    /// Time left until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline.since(self.node.now())
     }
 
-    /// Time left until the answer's value falls.
+    /// Time left until the route's objective.
     pub(super) fn slack(&self) -> Duration {
         let objective = Duration::from_millis(self.route.objective_ms);
         (self.arrived + objective).since(self.node.now())
     }
 
-    /// Runs `work` until the target has been silent for too long, if another one can
-    /// be asked in its place; `None` then.
+    /// Runs `work`; returns `None` if it exceeds the silence timeout and the request may be sent to
+    /// another target instead.
     pub async fn with_silence_timeout<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let objective = Duration::from_millis(self.route.objective_ms);
         let pause = self.route.pause_ms.map(Duration::from_millis);
@@ -187,23 +174,23 @@
         Some(work.await)
     }
 
-    /// Serves the request to its end.
+    /// Serves the request until its final response, its deadline, or the end of this node.
     pub async fn run(self: Rc<Self>) -> Response<Body> {
         let cause = tokio::select! {
             served = self.clone().serve() => return served.unwrap_or_else(|error| error),
-            () = self.node.clock.sleep_until(self.deadline) => "time was over",
-            () = self.node.reached(LifePhase::Ending) => "this node stops",
+            () = self.node.clock.sleep_until(self.deadline) => "deadline exceeded",
+            () = self.node.reached(LifePhase::Ending) => "this node is stopping",
         };
-        self.progress(|p| p.reason = format!("{cause}; before: {}", p.reason));
+        self.progress(|p| p.reason = format!("{cause}; previously: {}", p.reason));
         self.end_unanswered()
     }
 
-    /// A target's answer; `Err` holds one of this node's own.
+    /// Returns a target's response; `Err` holds one for a request that no target answered.
     async fn serve(self: Rc<Self>) -> Result<Response<Body>, Response<Body>> {
         self.node.count_request(&self.service);
         let chosen = self.choose();
         if chosen.is_none() || self.unserved_service().is_some() {
-            // Nothing is made for a request that nobody could take.
+            // No stage runs for a request that no target could serve.
             let reason = self.no_target_reason();
             self.progress(|p| p.reason = reason);
             return Err(self.end_unanswered());
@@ -215,7 +202,7 @@
         self.try_targets(chosen, results).await
     }
 
-    /// Sends the request to one target after another until one answers or none is left.
+    /// Sends the request to one target after another until one responds or none is left.
     async fn try_targets(
         self: Rc<Self>,
         mut chosen: Option<Target>,
@@ -235,8 +222,9 @@
                     self.log_end(status.as_u16(), "answered");
                     return Ok(reply::build(status, headers, body));
                 }
-                // By its first event the target has taken its inputs, so they go. A second
-                // target's are made anew: resumes are rare, and room at makers is short.
+                // By its first event the target has fetched its inputs, so they are freed. They
+                // are recomputed for a second target: resumes are rare, and the space for results
+                // at workers is scarce.
                 Outcome::Stream(started) => {
                     let kept_results = results.filter(|_| !self.node.settings().policy.early_free);
                     return Ok(stream::response(self, *started, kept_results));
@@ -257,8 +245,8 @@
         self.run_stages_within(self.slack(), chosen).await.map_err(|_| self.end_unanswered())
     }
 
-    /// Makes the stages of a stream anew that goes on at `target`. Its first event is
-    /// long out; what counts is the pause that its caller bears, about one objective.
+    /// Reruns the stages of a stream that resumes at `target`. Its first event was sent long ago;
+    /// what matters is the pause that its caller tolerates, about one objective.
     pub async fn rerun_stages(&self, target: &Target) -> Result<Made, StageError> {
         let objective = Duration::from_millis(self.route.objective_ms);
         let results = self.run_stages_within(objective, Some(target)).await;
@@ -287,8 +275,8 @@
         })
     }
 
-    /// Makes the stages in the regions that are allowed, and once more if those change
-    /// meanwhile: orders are taken back then, and what was made is freed.
+    /// Runs the stages in the allowed regions, and again if these change meanwhile: the orders are
+    /// then cancelled and the results freed.
     async fn run_allowed_stages(
         &self,
         due: Time,
@@ -322,22 +310,22 @@
         Err(StageError::Barred)
     }
 
-    /// What a target had begun of the request broke off there.
+    /// Records that the request was interrupted at a target that may have started it.
     pub(super) fn record_interruption(&self, target: &Target) {
         self.node.quarantine.broke_off(&self.node, target, self.fingerprint);
     }
 
-    /// A target answered the request to its end.
+    /// Records that a target answered the request completely.
     pub(super) fn record_completion(&self) {
         self.node.quarantine.answered(&self.node, self.fingerprint);
     }
 
-    /// Why the request is not to be sent any more, since the targets that ran it ended.
+    /// The hold on the request if targets crashed while they ran it; it must not be sent then.
     pub(super) fn quarantine_hold(&self) -> Option<Hold> {
         self.node.quarantine.hold(&self.node, self.fingerprint)
     }
 
-    /// The final answer of a request that no target answered.
+    /// Final response to a request that no target answered successfully.
     fn end_unanswered(&self) -> Response<Body> {
         let ending = self.progress(|p| p.attempts.ending());
         if ending == Ending::Unknown
@@ -371,24 +359,24 @@
         reply::local(&self.node, status, Some(&self.head.id), retry_after, &reason)
     }
 
-    /// Time after which the first target takes a request, as the targets themselves told.
+    /// Shortest retry delay according to the backoffs and limits of the targets.
     fn earliest_retry(&self) -> Option<Duration> {
         let backoff = self.backoff_retry_after();
         if backoff.is_some() {
-            self.progress(|p| p.reason = format!("{ALL_BACKED_OFF}; before: {}", p.reason));
+            self.progress(|p| p.reason = format!("{ALL_BACKED_OFF}; previously: {}", p.reason));
         }
         backoff.into_iter().chain(self.refuse_at_limit()).min()
     }
 
-    /// Time after which to come back if all targets are at their limits.
+    /// Retry delay if all targets are at their limits, which is counted and noted as the reason.
     fn refuse_at_limit(&self) -> Option<Duration> {
         let wait = self.limit_retry_after()?;
         self.node.metrics.refused_at_limit(&self.route.name);
-        self.progress(|p| p.reason = format!("{AT_LIMIT}; before: {}", p.reason));
+        self.progress(|p| p.reason = format!("{AT_LIMIT}; previously: {}", p.reason));
         Some(wait)
     }
 
-    /// Writes the line of the final answer, once.
+    /// Logs the final response, once.
     pub fn log_end(&self, status: u16, outcome: &str) {
         let mut p = self.progress.borrow_mut();
         if std::mem::replace(&mut p.is_logged, true) {
--- a/crates/forward/src/serve/mod.rs
+++ b/crates/forward/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its head to its final answer.
+//! Serves one caller's request, from its head to its final response.
 
 mod admit;
 mod choice;
@@ -16,7 +16,7 @@
 
 pub use reply::Body;
 
-/// Answers one request.
+/// Serves one request; during a stop its connection is closed after the response.
 pub async fn handle_request(node: Rc<Node>, request: Request<Incoming>) -> Response<Body> {
     let stopping = node.clone();
     let mut response = match admit::admit(&node, request).await {
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one target, and what came of it.
+//! One attempt: sends a request to one target and reads the outcome.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,32 +25,24 @@
 use crate::stages::Made;
 use crate::upstream::{self, Answer};
 
-/// Largest answer that is taken in whole.
+/// Maximum size of a response that is read completely before it is forwarded.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// What came of a send.
+/// Outcome of an attempt.
 pub enum Outcome {
-    /// A whole answer to pass on.
-    Complete {
-        /// Status.
-        status: StatusCode,
-        /// Headers.
-        headers: HeaderMap,
-        /// Body.
-        body: Bytes,
-    },
-    /// A stream whose first event is there.
+    /// A complete response to forward.
+    Complete { status: StatusCode, headers: HeaderMap, body: Bytes },
+    /// A stream whose first event has arrived.
     Stream(Box<StartedStream>),
-    /// The target did not run it, since an input is gone.
+    /// The target did not run the request, since an input is no longer stored.
     InputLost,
-    /// Nothing to pass on; the exchange's progress says what is known.
+    /// No response to forward; the exchange's progress holds the reason.
     NoResponse,
 }
 
-/// Counts a request at a target until it goes.
+/// Counts a request as in flight at a target until dropped.
 pub struct InFlightGuard {
     node: Rc<Node>,
-    /// The target.
     pub(super) target: Target,
     unread_tokens: u64,
     prompt_guard: Option<PromptGuard>,
@@ -69,21 +61,21 @@
         InFlightGuard { node, target, unread_tokens: tokens, prompt_guard, sent: None }
     }
 
-    /// The target answered well after this time.
+    /// Reports a good response, after this time, as evidence of the target's version.
     fn report_success(&self, took: Duration) {
         if let Some(sent) = &self.sent {
             sent.good(took);
         }
     }
 
-    /// What it answered was a failure of its version, or late.
+    /// Reports a failed or late response as evidence against the target's version.
     pub(super) fn report_failure(&self) {
         if let Some(sent) = &self.sent {
             sent.bad();
         }
     }
 
-    /// The prompt has been read.
+    /// Records that the target has read the prompt.
     fn record_prompt_read(&mut self) {
         if let Some(prompt_guard) = self.prompt_guard.take() {
             prompt_guard.mark_read();
@@ -104,7 +96,7 @@
     }
 }
 
-/// Sends the request; `resume_after` is the last event that the caller has.
+/// Sends the request; `resume_after` is the last event that the caller received.
 pub async fn send(
     exchange: &Rc<Exchange>,
     choice: Choice,
@@ -127,12 +119,12 @@
         }
     };
     if let Some(reason) = exchange.exclusion_reason(&target.id) {
-        // Nothing of the request has gone there yet.
-        exchange.progress(|p| p.reason = format!("its target is barred by now: {reason}"));
+        // No byte of the request has been sent yet.
+        exchange.progress(|p| p.reason = format!("target became ineligible: {reason}"));
         return Outcome::NoResponse;
     }
     if permit.is_expired(exchange.node.now()) {
-        exchange.progress(|p| p.reason = "its permit ran out on the way".into());
+        exchange.progress(|p| p.reason = "permit expired before the send".into());
         return Outcome::NoResponse;
     }
     if !exchange.node.quarantine.sends(&exchange.node, &exchange.head.id, exchange.fingerprint) {
@@ -160,7 +152,7 @@
     if let Some(sent) = sent {
         sent.bad();
     }
-    attempt.interrupted("silent for too long".into())
+    attempt.interrupted("target was silent for too long".into())
 }
 
 fn build_request(
@@ -185,7 +177,7 @@
     request
 }
 
-/// A send that has begun.
+/// An attempt in progress.
 struct Attempt<'a> {
     exchange: &'a Rc<Exchange>,
     target: &'a Target,
@@ -193,18 +185,19 @@
 }
 
 impl Attempt<'_> {
-    /// Takes an answer, unless it is not the target's to this request.
+    /// Handles a response, unless it is not the target's own to this request.
     async fn handle_response(&self, answer: Answer, in_flight: InFlightGuard) -> Outcome {
         let Answer { response, connection } = answer;
         let (head, body) = response.into_parts();
         let answer_head = self.exchange.node.dialect.answer(&head);
         let is_matching = answer_head.id.as_deref() == Some(self.exchange.head.id.as_str());
         if !is_matching && !answer_head.not_run && !answer_head.misdirected {
-            return self.may_have_run("answer to another request".into());
+            return self.may_have_run("answer has the id of another request".into());
         }
         if answer_head.misdirected {
             self.exchange.node.quarantine.seen_ended(self.target, "replaced");
-            return self.not_run(Observation::Replaced, "another target has the address".into());
+            return self
+                .not_run(Observation::Replaced, "address now belongs to another target".into());
         }
         heard::take(&self.exchange.node, self.target, &answer_head, self.started_at);
         if answer_head.not_run && answer_head.input_gone {
@@ -212,7 +205,7 @@
             return Outcome::InputLost;
         }
         if answer_head.not_run {
-            let reason = format!("turned away with {}", head.status);
+            let reason = format!("rejected with {}", head.status);
             return self.not_run(Observation::Rejected, reason);
         }
         if head.status.is_success() && !answer_head.signed {
@@ -226,7 +219,7 @@
         self.handle_complete(answer, in_flight).await
     }
 
-    /// Takes the first event of a stream.
+    /// Reads the first event of a stream.
     async fn handle_stream(&self, answer: Answer, mut in_flight: InFlightGuard) -> Outcome {
         let Answer { response, connection } = answer;
         let (head, body) = response.into_parts();
@@ -256,13 +249,13 @@
         }))
     }
 
-    /// Takes an answer that is no stream, a failure of the target's own too.
+    /// Reads a response that is not a stream, including an error response.
     async fn handle_complete(&self, answer: Answer, in_flight: InFlightGuard) -> Outcome {
         let Answer { response, connection } = answer;
         let (head, body) = response.into_parts();
         let body = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
-            Err(e) => return self.interrupted(format!("answer broke off: {e}")),
+            Err(e) => return self.interrupted(format!("answer was interrupted: {e}")),
         };
         drop(connection);
         let headers = self.exchange.node.dialect.back(&head.headers);
@@ -278,7 +271,7 @@
         Outcome::Complete { status, headers, body }
     }
 
-    /// The target answered the request well.
+    /// Records a successful response.
     fn record_success(&self, in_flight: &InFlightGuard) {
         let node = &self.exchange.node;
         self.exchange.progress(|p| p.attempts.record(Execution::Possible));
@@ -287,26 +280,26 @@
         in_flight.report_success(took);
     }
 
-    /// The target failed the request, which may have run there.
+    /// Records a failure of the target, which may have run the request.
     fn may_have_run(&self, reason: String) -> Outcome {
         self.exchange.progress(|p| p.attempts.record(Execution::Possible));
         self.no_response(Observation::Failed, reason)
     }
 
-    /// The connection ended, or was given up, before a whole answer.
+    /// Records that the connection ended or was closed before a complete response.
     fn interrupted(&self, reason: String) -> Outcome {
         self.exchange.record_interruption(self.target);
         self.exchange.progress(|p| p.attempts.record(Execution::Possible));
         self.no_response(Observation::Interrupted, reason)
     }
 
-    /// The request surely did not run there.
+    /// Records that the request certainly did not run at the target.
     fn not_run(&self, observed: Observation, reason: String) -> Outcome {
         self.exchange.progress(|p| p.attempts.record(Execution::Excluded));
         self.no_response(observed, reason)
     }
 
-    /// The send brought nothing to pass on.
+    /// Logs and observes an attempt without a response to forward.
     fn no_response(&self, observed: Observation, reason: String) -> Outcome {
         let Attempt { exchange, target, started_at } = self;
         let node = &exchange.node;
--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -1,5 +1,6 @@
-//! Streams of events: passed on one whole event at a time, taken up at another
-//! target where the route allows it, broken off visibly otherwise.
+//! Event streams, forwarded one complete event at a time. An interrupted stream is resumed at
+//! another target if the route allows it; otherwise the caller's connection is closed before the
+//! end of the body, so that the caller notices.
 
 use std::io;
 use std::rc::Rc;
@@ -16,12 +17,10 @@
 use crate::stages::{Made, StageError};
 use crate::upstream::Connection;
 
-/// Largest event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
-/// What ends an event.
 const EVENT_TERMINATOR: &[u8] = b"\n\n";
 
-/// Why a stream did not go on.
+/// Error that interrupted a stream.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StreamError {
     /// stream broke: {0}
@@ -30,23 +29,23 @@
     Truncated,
     /// stream ended before its first event
     Empty,
-    /// an event is too large
+    /// event is too large
     TooLarge,
     /// target was silent for too long
     Silent,
-    /// no event came in time
+    /// no event arrived before the deadline
     DeadlineExceeded,
 }
 
 impl StreamError {
-    /// Whether the target's software failed, or took too long: a connection that broke tells of
-    /// the target alone.
+    /// Whether the target's software failed or took too long, which counts against its version. A
+    /// broken connection only says something about the target itself.
     pub fn is_target_fault(&self) -> bool {
         !matches!(self, StreamError::Interrupted(_))
     }
 }
 
-/// Reads whole events.
+/// Reads complete events.
 pub struct EventReader {
     body: Incoming,
     buffer: BytesMut,
@@ -54,12 +53,12 @@
 }
 
 impl EventReader {
-    /// Reads a target's answer.
+    /// Creates a reader for a target's response.
     pub fn new(body: Incoming, connection: Connection) -> Self {
         EventReader { body, buffer: BytesMut::new(), _connection: connection }
     }
 
-    /// The next event with its end; `None` once the stream has ended as it should.
+    /// The next event with its terminator; `None` once the stream has ended properly.
     pub async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             if let Some(n) = find_end(&self.buffer) {
@@ -82,39 +81,35 @@
     }
 }
 
-/// Length of the first whole event, its end included.
+/// Length of the first complete event, including its terminator.
 fn find_end(buffer: &[u8]) -> Option<usize> {
     let at = buffer.windows(EVENT_TERMINATOR.len()).position(|w| w == EVENT_TERMINATOR)?;
     Some(at + EVENT_TERMINATOR.len())
 }
 
-/// A stream whose head and first event are there.
+/// A stream whose head and first event have arrived.
 pub struct StartedStream {
-    /// Status.
     pub status: StatusCode,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Reader of the rest.
+    /// Reader of the events after the first one.
     pub reader: EventReader,
-    /// First event.
     pub first_event: Bytes,
-    /// Counts the request at its target.
     pub in_flight: InFlightGuard,
 }
 
 struct StreamForwarder {
     exchange: Rc<Exchange>,
-    /// None while no target runs the request.
+    /// `None` while no target runs the request.
     reader: Option<EventReader>,
     first_event: Option<Bytes>,
     last_event: Option<u64>,
-    /// Results that are held although nobody wants them, where they are not freed early.
+    /// Results that are kept until the end of the stream if they are not freed early.
     _results: Option<Made>,
     in_flight: InFlightGuard,
     is_finished: bool,
 }
 
-/// The answer that passes a begun stream on.
+/// The response that forwards a started stream.
 pub fn response(
     exchange: Rc<Exchange>,
     started: StartedStream,
@@ -148,7 +143,7 @@
 }
 
 impl StreamForwarder {
-    /// The next event for the caller; an error breaks the connection off.
+    /// The next event for the caller; an error closes the connection.
     async fn forward_next(&mut self) -> Option<io::Result<Bytes>> {
         if self.is_finished {
             return None;
@@ -158,7 +153,7 @@
                 Ok(Some(event)) => {
                     let number = self.exchange.node.dialect.event_number(&event);
                     if number.is_some() && number <= self.last_event {
-                        // A second target began before the place it was told.
+                        // A second target started before the event that it was to resume after.
                         continue;
                     }
                     self.last_event = number.or(self.last_event);
@@ -203,9 +198,9 @@
         }
     }
 
-    /// Takes the stream up at another target after the last event; returns whether it goes on.
+    /// Resumes the stream at another target after the last event; returns whether that succeeded.
     async fn resume(&mut self) -> bool {
-        // The earlier run ends before another one goes on in its place.
+        // The earlier run must end before another one replaces it.
         self.reader = None;
         let exchange = &self.exchange;
         match exchange.node.clock.until(exchange.deadline, self.resume_elsewhere()).await {
@@ -217,15 +212,15 @@
                 true
             }
             Some(Err(ResumeError::Stages(e))) => {
-                self.exchange.progress(|p| p.reason = format!("stages were not made again: {e}"));
+                self.exchange.progress(|p| p.reason = format!("stages could not be rerun: {e}"));
                 false
             }
             Some(Err(ResumeError::Refused)) | None => false,
         }
     }
 
-    /// The stream from the last event on, at another target. Its stages are made again once,
-    /// near the first target that is asked: their results went with the first event.
+    /// Starts the stream at another target, after the last event. Its stages are rerun once, near
+    /// the first target that is tried: their results were freed at the first event.
     async fn resume_elsewhere(&self) -> Result<Box<StartedStream>, ResumeError> {
         let exchange = &self.exchange;
         let mut results = None;
@@ -245,10 +240,10 @@
     }
 }
 
-/// Why a stream was not taken up at another target.
+/// Why a stream was not resumed at another target.
 enum ResumeError {
-    /// Its stages could not be made again.
+    /// Its stages could not be rerun.
     Stages(StageError),
-    /// No target took it.
+    /// No target resumed it.
     Refused,
 }
