--- a/crates/forward/src/ingress/callers.rs
+++ b/crates/forward/src/ingress/callers.rs
@@ -15,23 +15,24 @@
 use crate::serve;
 use crate::upstream::guard_socket;
 
-/// Part of the descriptors that callers' connections may take.
+/// Maximum fraction of the file descriptors for callers' connections.
 const CONNECTIONS_SHARE: f64 = 0.5;
-/// Least room for a request's head.
+/// Minimum head size that the buffer allows for, even if the settings permit less.
 const MIN_HEAD_BYTES: usize = 16 << 10;
-/// Serves until a stop is well under way; from then on new connections are refused.
+
+/// Accepts connections until this node's closing phase; from then on new ones are refused.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     let max_connections = (node.settings().descriptors as f64 * CONNECTIONS_SHARE) as usize;
     let slots = std::sync::Arc::new(Semaphore::new(max_connections.max(1)));
     loop {
-        // Beyond the most, callers wait to be accepted.
+        // At the maximum, callers wait to be accepted.
         let permit = slots.clone().acquire_owned().await;
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = node.reached(LifePhase::Closing) => return,
         };
         let Ok((socket, _)) = accepted else {
-            // Out of descriptors, most likely; let some close.
+            // Most likely out of descriptors; wait until some are closed.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -46,7 +47,7 @@
 
 async fn serve_connection(node: Rc<Node>, socket: TcpStream) {
     let limits = node.table().rules.limits.clone();
-    // The timer for a head also runs while a kept connection rests.
+    // The timer for a head also runs while a keep-alive connection is idle.
     let idle_timeout = Duration::from_millis(limits.idle_ms.max(limits.head_ms));
     let handler = node.clone();
     let service = service_fn(move |request| {
@@ -66,7 +67,7 @@
     };
     if is_closing {
         connection.as_mut().graceful_shutdown();
-        // A caller that breaks off ends its request; there is nobody to tell.
+        // An error means that the caller closed the connection, which ends its request.
         let _ = connection.await;
     }
 }
--- a/crates/forward/src/ingress/mod.rs
+++ b/crates/forward/src/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' connections and the balancer's questions.
+//! Listeners for callers and for the balancer's readiness checks.
 
 mod callers;
 mod readiness;
@@ -12,10 +12,10 @@
 pub use callers::serve as serve_callers;
 pub use readiness::serve as serve_readiness;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Listens at an address that an earlier process may just have left.
+/// Listens on an address that an earlier process may have used until just now.
 pub fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     let open = || -> std::io::Result<TcpListener> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
@@ -23,5 +23,5 @@
         socket.bind(address)?;
         socket.listen(BACKLOG)
     };
-    open().with_context(|| format!("could not listen at {address}"))
+    open().with_context(|| format!("could not listen on {address}"))
 }
--- a/crates/forward/src/ingress/readiness.rs
+++ b/crates/forward/src/ingress/readiness.rs
@@ -1,4 +1,5 @@
-//! Answers the balancer, 200 while the node wants callers, and tells figures.
+//! Readiness endpoint for the balancer, which gets 200 while the node accepts callers, and metrics
+//! endpoint.
 
 use std::rc::Rc;
 
@@ -10,9 +11,7 @@
 use super::small;
 use crate::node::Node;
 
-/// Path of the figures.
 const METRICS_PATH: &str = "/metrics";
-/// Media type of the figures.
 const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Serves until the process ends.
--- a/crates/forward/src/ingress/small.rs
+++ b/crates/forward/src/ingress/small.rs
@@ -1,4 +1,5 @@
-//! Serves connections of peers and of the balancer: few, short, and never held back.
+//! Server for peers and for the balancer, whose connections are few, short, and accepted without a
+//! limit.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -13,12 +14,12 @@
 
 use crate::upstream::guard_socket;
 
-/// Wait after a failed accept; most likely descriptors have run out.
+/// Delay after a failed accept; most likely the process is out of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Rest after which a connection is closed.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Answers requests by `handler` until the process ends.
+/// Serves requests with `handler` until the process ends.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -40,7 +41,7 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(socket), service);
-            // Whoever goes away asks again, or is noticed by membership.
+            // A peer that disconnects sends its request again, or the failure detector notices it.
             let _ = connection.await;
         });
     }
--- a/crates/forward/src/limits/ask.rs
+++ b/crates/forward/src/limits/ask.rs
@@ -1,5 +1,5 @@
-//! Permits: asked for by whoever is about to send a request to a target that names a limit, and
-//! given out by the target's keeper.
+//! Permits: a node requests one from a target's keeper before it sends a request to a target that
+//! names a limit.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,34 +15,34 @@
 use crate::node::Node;
 use crate::peers::{self, PERMIT};
 
-/// Time for a keeper's answer: a few times what it takes between regions.
+/// Timeout of a permit request, a few times a round trip between regions.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which a keeper that did not answer is not asked again.
+/// Time for which a keeper that did not respond is not asked again.
 const KEEPER_BACKOFF: Duration = Duration::from_millis(300);
-/// Time for which nothing is sent to a target whose keeper is not known, or says that it is not.
+/// Time for which nothing is sent to a target if its keeper is not known, did not respond, or says
+/// that it is not the keeper.
 const NO_KEEPER_BACKOFF: Duration = Duration::from_millis(200);
-/// Time in which a permit must be used: requests that bunch up on their way would come in the span
-/// of later ones.
+/// Time within which a permit must be used: delayed requests that arrive together would exceed the
+/// limit in the interval of later permits.
 const PERMIT_TTL: Duration = Duration::from_millis(250);
-/// Peers passed over that an ask names, at most.
+/// Maximum number of peers without support for limits that a permit request lists.
 const MAX_UNSUPPORTED_PEERS: usize = 8;
 
-/// What allows one send.
+/// Permission to send.
 #[derive(Debug, Clone, Copy)]
 pub struct Permit {
     expires_at: Time,
 }
 
 impl Permit {
-    /// Whether it may not be used any more.
     pub fn is_expired(self, now: Time) -> bool {
         now > self.expires_at
     }
 }
 
-/// Asks for a permit to send so many requests to a target; none is needed unless it names a
-/// limit. `None` if they may not be sent; the target is closed to this node for a while then. `id`
-/// tells what is to be sent.
+/// Requests a permit to send `count` requests to a target; granted at once if the target names no
+/// limit. `None` if they may not be sent; the target is then closed to this node for a while. `id`
+/// identifies the requests in the log.
 pub async fn request_permit(
     node: &Rc<Node>,
     target: &Target,
@@ -81,7 +81,8 @@
     Some(Permit { expires_at: started + PERMIT_TTL })
 }
 
-/// The keeper, unless it is this node, and its grant, or why there is none.
+/// Requests a permit from the target's keeper. Returns the keeper, unless it is this node or
+/// unknown, and its grant, or the outcome to log if there is none.
 async fn request_from_keeper(
     node: &Rc<Node>,
     target: &Target,
@@ -105,7 +106,7 @@
             }
             Some(Some(peer)) => match request_from_peer(node, &peer, &ask).await {
                 Ok(grant) => return (Some(peer), Ok(grant)),
-                // The next one keeps the target.
+                // The next node in the order is the keeper then.
                 Err(e) if peers::is_unknown(&e) => {
                     node.limits.record_unsupported_peer(&peer, PERMIT)
                 }
@@ -121,7 +122,7 @@
     peer: &PeerNode,
     ask: &PermitAsk,
 ) -> Result<Grant, CallError> {
-    // A kept connection may have fallen silent.
+    // A pooled connection may be dead after a timeout.
     let unresponsive = &node.limits.unresponsive;
     let fresh = unresponsive.has_rested(&peer.id, node.now()).then(|| Client::new(PERMIT_TIMEOUT));
     let client = fresh.as_ref().unwrap_or(&node.client);
@@ -148,7 +149,7 @@
     })
 }
 
-/// What a target's keeper gives out, and the last that it knows of the limit.
+/// Issues a permit as the target's keeper; also returns the latest observation of the limit.
 fn issue(node: &Rc<Node>, ask: &PermitAsk) -> (Grant, LimitObservation) {
     let PermitAsk { from, target, domain, count, word: observation, .. } = ask;
     let now = node.now();
@@ -160,7 +161,7 @@
     (grant, known)
 }
 
-/// Answers a peer that asks for a permit; `None` if this node does not keep the target.
+/// Handles a peer's request for a permit; `None` if this node is not the target's keeper.
 pub fn handle_permit_request(node: &Rc<Node>, ask: &PermitAsk) -> Option<PermitAnswer> {
     node.limits.record_unsupported(&ask.strangers);
     if node.is_stopping() || node.limits.keeper(node, &ask.target, &ask.domain) != Some(None) {
--- a/crates/forward/src/limits/mod.rs
+++ b/crates/forward/src/limits/mod.rs
@@ -1,5 +1,5 @@
-//! Limits that targets name in their answers: what this node knows of them, the permits that it
-//! asks for and gives out, and what nodes tell each other.
+//! Limits that targets name in their responses: observations of this node, permits that it requests
+//! and issues, and observations that nodes exchange.
 
 mod ask;
 mod spread;
@@ -21,28 +21,28 @@
 pub use ask::{Permit, handle_permit_request, request_permit};
 pub use spread::handle_news;
 
-/// Why a request is refused that no target may get.
+/// Reason of a refusal while targets are at their limits.
 pub const AT_LIMIT: &str = "its targets are at the limits that they name";
 
-/// Limits that targets name, as this node keeps and follows them.
+/// This node's state of the limits that targets name.
 #[derive(Default)]
 pub struct LocalLimits {
     issuer: RefCell<PermitIssuer>,
-    /// Peers whose build keeps no limits.
+    /// Peers whose build does not support limits.
     unsupported_peers: RefCell<HashSet<NodeId>>,
-    /// Keepers that did not answer.
+    /// Keepers that did not respond.
     unresponsive: Resting,
     retry_pacers: RefCell<HashMap<Name, RetryPacer>>,
     pending_news: spread::PendingNews,
 }
 
 impl LocalLimits {
-    /// Uses what this node gives out for a moment.
+    /// Accesses the issuer, which must not be borrowed already.
     fn issuer<T>(&self, f: impl FnOnce(&mut PermitIssuer) -> T) -> T {
         f(&mut self.issuer.borrow_mut())
     }
 
-    /// Forgets what nobody asked for in a long time, and peers that are gone.
+    /// Drops targets without recent permit requests, and peers that are no longer up.
     pub fn expire(&self, node: &Node) {
         self.issuer(|i| i.expire(node.now()));
         let mut unsupported = self.unsupported_peers.borrow_mut();
@@ -56,7 +56,7 @@
         self.unsupported_peers.borrow().contains(id)
     }
 
-    /// So many of these peers, at most.
+    /// Up to `max` peers whose build does not support limits.
     fn unsupported_peers(&self, max: usize) -> Vec<NodeId> {
         self.unsupported_peers.borrow().iter().take(max).cloned().collect()
     }
@@ -65,21 +65,21 @@
         self.unsupported_peers.borrow_mut().extend(ids.iter().cloned());
     }
 
-    /// A peer's build keeps no limits.
+    /// Records that a peer's build does not support limits: it does not know the message `what`.
     fn record_unsupported_peer(&self, peer: &PeerNode, what: &str) {
         if self.unsupported_peers.borrow_mut().insert(peer.id.clone()) {
             Event::Stranger { peer: &peer.id.name, what }.emit();
         }
     }
 
-    /// Who keeps a target: `Some(None)` is this node, `None` if that is not known yet.
+    /// The keeper of a target: `Some(None)` is this node, `None` if it is not known yet.
     fn keeper(&self, node: &Node, target: &TargetId, domain: &str) -> Option<Option<PeerNode>> {
         let (name, now) = (&target.name, node.now());
         node.peers.roster(|r| r.keeper(name, domain, |id| self.is_unsupported(id), now))
     }
 
-    /// Time after which a caller of a service may come back whose targets are all at their limits;
-    /// `None` if there is another reason why none gets a request.
+    /// Retry delay for a caller of a service whose targets are all at their limits; `None` if
+    /// requests to them fail for another reason.
     pub fn retry_after(
         &self,
         node: &Node,
@@ -99,12 +99,13 @@
     }
 }
 
-/// Starts to tell peers of limits.
+/// Starts the task that announces limits to peers.
 pub fn start(node: &Rc<Node>) {
     tokio::task::spawn_local(spread::run(node.clone()));
 }
 
-/// Takes what an answer says of its target's limit; the request was sent at `sent`.
+/// Records the limit in a target's response, whose request was sent at `sent`, and reports a change
+/// to the keeper.
 pub fn observe_limit(node: &Rc<Node>, target: &Target, report: NamedLimit, sent: Time) {
     let now = node.now();
     let Some(change) = node.fleet(|f| f.record_limit(&target.id, report, sent, now)) else {
@@ -123,7 +124,7 @@
     );
 }
 
-/// Takes what a peer tells of a limit.
+/// Merges an observation from a peer or the local issuer; `from` names the source in the log.
 fn merge_from_peer(node: &Node, target: &TargetId, observation: LimitObservation, from: &str) {
     let Some(change) = node.fleet(|f| f.merge_peer_limit(target, observation)) else {
         return;
--- a/crates/forward/src/limits/spread.rs
+++ b/crates/forward/src/limits/spread.rs
@@ -1,7 +1,8 @@
-//! Tells peers that a target names a limit, or none any more: a node that hears of it at its
-//! keeper's is bound before it has passed such an answer on itself.
+//! Announces to peers that a target names a limit, or none any more: a node that learns of the
+//! limit from the target's keeper respects it before it has forwarded such a response itself.
 //!
-//! Whoever misses the news learns it from its own answers, so each peer is told once.
+//! A peer that misses an announcement learns the limit from its own responses, so each peer gets an
+//! announcement only once.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,12 +20,14 @@
 use crate::node::Node;
 use crate::peers::{self, LIMITS};
 
-/// Time in which news is gathered, so that targets that begin together make one message.
+/// Time for which changes are collected, so that targets that start to name limits at the same time
+/// share one message.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
-/// Time between two rounds of news: a target may name a limit in every second answer.
+/// Minimum interval between two rounds of announcements: a target may name a limit in every other
+/// response.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Targets whose limits peers are to be told of, with their failure domains.
+/// Targets whose limits are yet to be announced, with their failure domains.
 #[derive(Default)]
 pub(super) struct PendingNews {
     targets: RefCell<BTreeMap<TargetId, Name>>,
@@ -57,7 +60,7 @@
     targets.into_iter().filter_map(limit).collect()
 }
 
-/// What came of news for a peer.
+/// Handles the result of a message to a peer.
 fn record_send_result(node: &Node, peer: &PeerNode, result: Result<(), CallError>) {
     match result {
         Ok(()) => {}
@@ -66,14 +69,14 @@
     }
 }
 
-/// All peers are to be told of a target's limit.
+/// Queues an announcement of a target's limit to all peers.
 pub(super) fn announce(node: &Node, target: &TargetId, domain: &Name) {
     let unsent = &node.limits.pending_news;
     unsent.targets.borrow_mut().insert(target.clone(), domain.clone());
     unsent.added.notify_one();
 }
 
-/// Tells a target's keeper what an answer said.
+/// Reports an observation of a response to the target's keeper.
 pub(super) fn report_to_keeper(node: &Rc<Node>, target: &Target, observation: LimitObservation) {
     let (id, domain) = (target.id.clone(), target.domain.clone());
     match node.limits.keeper(node, &id, &domain) {
@@ -86,7 +89,7 @@
                     TargetLimit { target: id, domain, word: observation.to_peer(node.now()) };
                 let news = LimitNews { limits: vec![limit], spread: true };
                 let client = &node.client;
-                // What does not arrive is told with the next ask.
+                // If the report is lost, the next permit request carries the observation.
                 let result =
                     peers::tell(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
                 record_send_result(&node, &peer, result);
@@ -95,7 +98,7 @@
     }
 }
 
-/// Takes a word as a target's keeper.
+/// Merges an observation as the target's keeper, and announces a change.
 pub(super) fn merge_as_keeper(
     node: &Node,
     target: &TargetId,
@@ -108,7 +111,7 @@
     }
 }
 
-/// Takes a peer's news.
+/// Handles a message about limits from a peer.
 pub fn handle_news(node: &Node, news: LimitNews) {
     let now = node.now();
     for TargetLimit { target, domain, word: observation } in news.limits {
--- a/crates/forward/src/prefill/mod.rs
+++ b/crates/forward/src/prefill/mod.rs
@@ -1,7 +1,7 @@
-//! Which engine reads a long prompt: asks the scheduler of the engine's failure domain, and
-//! schedules those services of which this node is the scheduler.
+//! Choice of the engine that prefills a long prompt: asks the scheduler of the engine's failure
+//! domain, and schedules for those services of which this node is the scheduler.
 //!
-//! Without an answer in time a prompt goes to its home, as if there were no scheduler.
+//! Without a response in time a prompt goes to its home, as if there were no scheduler.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,20 +19,20 @@
 use crate::node::Node;
 use crate::peers::{self, PREFILL, PREFILL_END, Resting};
 
-/// Prompt tokens from which on the scheduler is asked. Fewer are read in some milliseconds,
-/// but may wait hundreds of them behind others.
+/// Minimum prompt tokens for which the scheduler is asked. Shorter prompts are read within a few
+/// milliseconds, but may wait hundreds of milliseconds behind others.
 const MIN_SCHEDULED_TOKENS: u64 = 500;
-/// Time for the scheduler's answer: a few times what it takes between failure domains.
+/// Timeout of a request to the scheduler, a few times a round trip between failure domains.
 const SCHEDULER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Time for the news of an end; what is not told of is forgotten there.
+/// Timeout of the report that a prompt's prefill ended; the scheduler expires prompts without one.
 const END_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for which a scheduler that did not answer is done without.
+/// Time for which a scheduler that did not respond is not asked.
 const SCHEDULER_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A service and a failure domain of its engines.
+/// A service, and a failure domain of its engines.
 type Group = (Name, Name);
 
-/// Schedulers at this node, and those elsewhere that did not answer.
+/// Schedulers on this node, and peers whose schedulers did not respond.
 #[derive(Default)]
 pub struct Schedulers {
     local: RefCell<HashMap<Group, Scheduler>>,
@@ -40,7 +40,7 @@
 }
 
 impl Schedulers {
-    /// Chooses an engine as the scheduler.
+    /// Places a prompt on an engine, as the scheduler of its service and failure domain.
     pub fn place(&self, node: &Node, ask: &PrefillAsk) -> PrefillAnswer {
         let now = node.now();
         let map = node.peers.roster(|r| r.map());
@@ -54,7 +54,7 @@
             max_per_target: u32::MAX,
             home_weights: &[],
             cold_limit: node.cold_limit(&ask.service),
-            // Cold engines are left to the nodes that own them.
+            // Only the nodes that own cold engines start requests there.
             cold_starts: ColdStarts::Avoid,
             may_repeat: true,
         };
@@ -62,7 +62,7 @@
         let order = node.fleet(|f| f.local_homes(criteria, home, now));
         let group = (ask.service.clone(), ask.domain.clone());
         let mut local = self.local.borrow_mut();
-        // At the first start of all no engine keeps anything that was not placed since.
+        // At the very first start, no engine has cached anything but what is placed from now on.
         let started_at = if node.settings().first_start { Time::ZERO } else { now };
         let scheduler = local.entry(group).or_insert_with(|| Scheduler::new(started_at));
         let placed = scheduler.place(ask, &order, now);
@@ -70,7 +70,7 @@
         PrefillAnswer { engine: placed.map(|p| p.engine), ahead }
     }
 
-    /// A prompt that this node placed has been read, or will not be.
+    /// Records that a prompt that this node placed has been read, or never will be.
     pub fn record_end(&self, end: PrefillEnd, now: Time) {
         let group = (end.service, end.domain);
         if let Some(scheduler) = self.local.borrow_mut().get_mut(&group) {
@@ -82,16 +82,16 @@
     }
 }
 
-/// Tells the scheduler, once it goes, that the prompt has been read or will not be.
+/// Reports to the scheduler, when dropped, that the prompt has been read or never will be.
 pub struct PromptGuard {
     node: Rc<Node>,
-    /// Where the scheduler is; `None` is this node.
+    /// Address of the scheduler; `None` if it is this node.
     scheduler: Option<SocketAddr>,
     end: PrefillEnd,
 }
 
 impl PromptGuard {
-    /// The prompt has been read.
+    /// Reports the prompt as read.
     pub fn mark_read(mut self) {
         self.end.was_read = true;
     }
@@ -118,34 +118,32 @@
 
 /// What the scheduler chose.
 pub struct Scheduled {
-    /// Engine.
     pub engine: TargetId,
-    /// Prompt tokens that it has to read before.
+    /// Prompt tokens queued ahead at the engine.
     pub tokens_ahead: u64,
     /// Held until the prompt has been read.
     pub prompt_guard: PromptGuard,
 }
 
-/// A prompt to be read.
+/// A prompt to be scheduled.
 pub struct Prompt {
-    /// Attempt that it belongs to.
+    /// Id of the attempt that it belongs to.
     pub attempt: Name,
     /// Regions in which it may be read.
     pub allowed: Allowed,
-    /// Version that it goes to.
+    /// Side of the rollout that may read it.
     pub side: Side,
-    /// Its home.
     pub home: Home,
-    /// Tokens of all of it.
+    /// Total tokens of the prompt.
     pub tokens: u64,
     /// Milliseconds until its first event is due.
     pub slack_ms: u64,
-    /// Engines that it was sent to before.
+    /// Engines that must not be chosen.
     pub excluded: Vec<TargetId>,
 }
 
-/// Asks which engine near `first`, the prompt's home, is to read it. `None` if the prompt is
-/// short, no scheduler answers, or it knows no engine that may.
+/// Asks the scheduler for an engine in the failure domain of `first`, the prompt's home. `None` if
+/// the prompt is short, no scheduler responds, or no engine is eligible.
 pub async fn schedule(node: &Rc<Node>, first: &Target, prompt: Prompt) -> Option<Scheduled> {
     let Prompt { attempt, allowed, side, home, tokens, slack_ms, excluded } = prompt;
     let Home { key: home, shared_tokens: shared } = home;
