--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -1,5 +1,6 @@
-//! Streams of events: passed on one whole event at a time, taken up at another
-//! target where the route allows it, broken off visibly otherwise.
+//! Event streams, forwarded one complete event at a time. An interrupted stream is resumed at
+//! another target if the route allows it; otherwise the caller's connection is closed before the
+//! end of the body, so that the caller notices.
 
 use std::io;
 use std::rc::Rc;
@@ -12,41 +13,39 @@
 
 use super::exchange::Exchange;
 use super::reply::Body;
-use super::send::{AtTarget, Outcome, send};
+use super::send::{InFlightGuard, Outcome, send};
 use crate::stages::{Made, StageError};
 use crate::upstream::Connection;
 
-/// Largest event.
-const EVENT_MAX: usize = 1 << 20;
-/// What ends an event.
-const EVENT_END: &[u8] = b"\n\n";
+const MAX_EVENT_BYTES: usize = 1 << 20;
+const EVENT_TERMINATOR: &[u8] = b"\n\n";
 
-/// Why a stream did not go on.
+/// Error that interrupted a stream.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StreamError {
     /// stream broke: {0}
-    Broke(hyper::Error),
+    Interrupted(hyper::Error),
     /// stream ended within an event
-    Torn,
+    Truncated,
     /// stream ended before its first event
     Empty,
-    /// an event is too large
+    /// event is too large
     TooLarge,
     /// target was silent for too long
     Silent,
-    /// no event came in time
-    Late,
+    /// no event arrived before the deadline
+    DeadlineExceeded,
 }
 
 impl StreamError {
-    /// Whether the target's software failed, or took too long: a connection that broke tells of
-    /// the target alone.
-    pub fn is_of_target(&self) -> bool {
-        !matches!(self, StreamError::Broke(_))
+    /// Whether the target's software failed or took too long, which counts against its version. A
+    /// broken connection only says something about the target itself.
+    pub fn is_target_fault(&self) -> bool {
+        !matches!(self, StreamError::Interrupted(_))
     }
 }
 
-/// Reads whole events.
+/// Reads complete events.
 pub struct EventReader {
     body: Incoming,
     buffer: BytesMut,
@@ -54,24 +53,24 @@
 }
 
 impl EventReader {
-    /// Reads a target's answer.
+    /// Creates a reader for a target's response.
     pub fn new(body: Incoming, connection: Connection) -> Self {
         EventReader { body, buffer: BytesMut::new(), _connection: connection }
     }
 
-    /// The next event with its end; `None` once the stream has ended as it should.
+    /// The next event with its terminator; `None` once the stream has ended properly.
     pub async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             if let Some(n) = find_end(&self.buffer) {
                 return Ok(Some(self.buffer.split_to(n).freeze()));
             }
-            if self.buffer.len() > EVENT_MAX {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(StreamError::TooLarge);
             }
             match self.body.frame().await {
                 None if self.buffer.is_empty() => return Ok(None),
-                None => return Err(StreamError::Torn),
-                Some(Err(e)) => return Err(StreamError::Broke(e)),
+                None => return Err(StreamError::Truncated),
+                Some(Err(e)) => return Err(StreamError::Interrupted(e)),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         self.buffer.extend_from_slice(&data);
@@ -82,59 +81,59 @@
     }
 }
 
-/// Length of the first whole event, its end included.
+/// Length of the first complete event, including its terminator.
 fn find_end(buffer: &[u8]) -> Option<usize> {
-    let at = buffer.windows(EVENT_END.len()).position(|w| w == EVENT_END)?;
-    Some(at + EVENT_END.len())
+    let at = buffer.windows(EVENT_TERMINATOR.len()).position(|w| w == EVENT_TERMINATOR)?;
+    Some(at + EVENT_TERMINATOR.len())
 }
 
-/// A stream whose head and first event are there.
-pub struct Begun {
-    /// Status.
+/// A stream whose head and first event have arrived.
+pub struct StartedStream {
     pub status: StatusCode,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Reader of the rest.
+    /// Reader of the events after the first one.
     pub reader: EventReader,
-    /// First event.
-    pub first: Bytes,
-    /// Counts the request at its target.
-    pub at_target: AtTarget,
+    pub first_event: Bytes,
+    pub in_flight: InFlightGuard,
 }
 
-struct Relay {
+struct StreamForwarder {
     exchange: Rc<Exchange>,
-    /// None while no target runs the request.
+    /// `None` while no target runs the request.
     reader: Option<EventReader>,
-    first: Option<Bytes>,
+    first_event: Option<Bytes>,
     last_event: Option<u64>,
-    /// Results that are held although nobody wants them, where they are not freed early.
-    _kept: Option<Made>,
-    at_target: AtTarget,
-    over: bool,
+    /// Results that are kept until the end of the stream if they are not freed early.
+    _results: Option<Made>,
+    in_flight: InFlightGuard,
+    is_finished: bool,
 }
 
-/// The answer that passes a begun stream on.
-pub fn answer(exchange: Rc<Exchange>, begun: Begun, kept: Option<Made>) -> Response<Body> {
-    let Begun { status, headers, reader, first, at_target } = begun;
+/// The response that forwards a started stream.
+pub fn response(
+    exchange: Rc<Exchange>,
+    started: StartedStream,
+    results: Option<Made>,
+) -> Response<Body> {
+    let StartedStream { status, headers, reader, first_event, in_flight } = started;
     let now = exchange.node.now();
     exchange.progress(|p| {
-        p.tries.response_begun = true;
-        p.first = Some(now);
+        p.attempts.response_begun = true;
+        p.first_event_at = Some(now);
     });
     let last_event = exchange.head.last_event;
-    let relay = Relay {
+    let forwarder = StreamForwarder {
         exchange,
         reader: Some(reader),
-        first: Some(first),
+        first_event: Some(first_event),
         last_event,
-        _kept: kept,
-        at_target,
-        over: false,
+        _results: results,
+        in_flight,
+        is_finished: false,
     };
-    let frames = stream::unfold(relay, |mut relay| async move {
-        let item = relay.step().await?;
-        Some((item.map(Frame::data), relay))
+    let frames = stream::unfold(forwarder, |mut forwarder| async move {
+        let item = forwarder.forward_next().await?;
+        Some((item.map(Frame::data), forwarder))
     });
     let body: Body = Box::pin(StreamBody::new(frames));
     let mut response = Response::new(body);
@@ -143,38 +142,38 @@
     response
 }
 
-impl Relay {
-    /// The next event for the caller; an error breaks the connection off.
-    async fn step(&mut self) -> Option<io::Result<Bytes>> {
-        if self.over {
+impl StreamForwarder {
+    /// The next event for the caller; an error closes the connection.
+    async fn forward_next(&mut self) -> Option<io::Result<Bytes>> {
+        if self.is_finished {
             return None;
         }
         loop {
-            match self.next().await {
+            match self.next_event().await {
                 Ok(Some(event)) => {
                     let number = self.exchange.node.dialect.event_number(&event);
                     if number.is_some() && number <= self.last_event {
-                        // A second target began before the place it was told.
+                        // A second target started before the event that it was to resume after.
                         continue;
                     }
                     self.last_event = number.or(self.last_event);
                     return Some(Ok(event));
                 }
                 Ok(None) => {
-                    self.over = true;
-                    self.exchange.answered_whole();
+                    self.is_finished = true;
+                    self.exchange.record_completion();
                     self.exchange.log_end(200, "streamed");
                     return None;
                 }
                 Err(e) => {
-                    let why = e.to_string();
-                    self.exchange.broke_off_at(&self.at_target.target);
-                    if e.is_of_target() {
-                        self.at_target.bad();
+                    let reason = e.to_string();
+                    self.exchange.record_interruption(&self.in_flight.target);
+                    if e.is_target_fault() {
+                        self.in_flight.report_failure();
                     }
-                    self.exchange.progress(|p| p.why = why);
+                    self.exchange.progress(|p| p.reason = reason);
                     if !self.resume().await {
-                        self.over = true;
+                        self.is_finished = true;
                         self.exchange.log_end(200, "broken_off");
                         return Some(Err(io::Error::other(e)));
                     }
@@ -183,68 +182,68 @@
         }
     }
 
-    async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
-        if let Some(first) = self.first.take() {
-            return Ok(Some(first));
+    async fn next_event(&mut self) -> Result<Option<Bytes>, StreamError> {
+        if let Some(first_event) = self.first_event.take() {
+            return Ok(Some(first_event));
         }
         let Some(reader) = &mut self.reader else {
             return Err(StreamError::Empty);
         };
         let exchange = &self.exchange;
-        let reading = exchange.patiently(reader.next());
+        let reading = exchange.with_silence_timeout(reader.next());
         match exchange.node.clock.until(exchange.deadline, reading).await {
             Some(Some(read)) => read,
             Some(None) => Err(StreamError::Silent),
-            None => Err(StreamError::Late),
+            None => Err(StreamError::DeadlineExceeded),
         }
     }
 
-    /// Takes the stream up at another target after the last event; returns whether it goes on.
+    /// Resumes the stream at another target after the last event; returns whether that succeeded.
     async fn resume(&mut self) -> bool {
-        // The earlier run ends before another one goes on in its place.
+        // The earlier run must end before another one replaces it.
         self.reader = None;
         let exchange = &self.exchange;
-        match exchange.node.clock.until(exchange.deadline, self.taken_up()).await {
-            Some(Ok(begun)) => {
-                let Begun { reader, first, at_target, .. } = *begun;
+        match exchange.node.clock.until(exchange.deadline, self.resume_elsewhere()).await {
+            Some(Ok(started)) => {
+                let StartedStream { reader, first_event, in_flight, .. } = *started;
                 self.reader = Some(reader);
-                self.first = Some(first);
-                self.at_target = at_target;
+                self.first_event = Some(first_event);
+                self.in_flight = in_flight;
                 true
             }
-            Some(Err(NotResumed::Stages(e))) => {
-                self.exchange.progress(|p| p.why = format!("stages were not made again: {e}"));
+            Some(Err(ResumeError::Stages(e))) => {
+                self.exchange.progress(|p| p.reason = format!("stages could not be rerun: {e}"));
                 false
             }
-            Some(Err(NotResumed::Refused)) | None => false,
+            Some(Err(ResumeError::Refused)) | None => false,
         }
     }
 
-    /// The stream from the last event on, at another target. Its stages are made again once,
-    /// near the first target that is asked: their results went with the first event.
-    async fn taken_up(&self) -> Result<Box<Begun>, NotResumed> {
+    /// Starts the stream at another target, after the last event. Its stages are rerun once, near
+    /// the first target that is tried: their results were freed at the first event.
+    async fn resume_elsewhere(&self) -> Result<Box<StartedStream>, ResumeError> {
         let exchange = &self.exchange;
-        let mut made = None;
+        let mut results = None;
         while let Some(choice) = exchange.next_target(None).await {
-            made.take_if(|m| !exchange.is_inside(m));
-            if made.is_none() && !exchange.route.stages.is_empty() {
-                let again = exchange.make_stages_again(&choice.target).await;
-                made = Some(again.map_err(NotResumed::Stages)?);
+            results.take_if(|m| !exchange.is_result_allowed(m));
+            if results.is_none() && !exchange.route.stages.is_empty() {
+                let rerun = exchange.rerun_stages(&choice.target).await;
+                results = Some(rerun.map_err(ResumeError::Stages)?);
             }
-            match send(exchange, choice, made.as_ref(), self.last_event).await {
-                Outcome::Stream(begun) => return Ok(begun),
-                Outcome::Nothing => {}
-                Outcome::Whole { .. } | Outcome::InputGone => return Err(NotResumed::Refused),
+            match send(exchange, choice, results.as_ref(), self.last_event).await {
+                Outcome::Stream(started) => return Ok(started),
+                Outcome::NoResponse => {}
+                Outcome::Complete { .. } | Outcome::InputLost => return Err(ResumeError::Refused),
             }
         }
-        Err(NotResumed::Refused)
+        Err(ResumeError::Refused)
     }
 }
 
-/// Why a stream was not taken up at another target.
-enum NotResumed {
-    /// Its stages could not be made again.
+/// Why a stream was not resumed at another target.
+enum ResumeError {
+    /// Its stages could not be rerun.
     Stages(StageError),
-    /// No target took it.
+    /// No target resumed it.
     Refused,
 }
