--- a/crates/forward/src/limits/ask.rs
+++ b/crates/forward/src/limits/ask.rs
@@ -99,13 +99,13 @@
         match node.limits.keeper(node, &target.id, &target.domain) {
             None => return (None, Err("unsettled")),
             Some(None) => return (None, Ok(grant(node, &ask).0)),
-            Some(Some(peer)) if node.limits.resting.rests(&peer.id, node.now()) => {
+            Some(Some(peer)) if node.limits.resting.is_backed_off(&peer.id, node.now()) => {
                 return (Some(peer), Err("silent"));
             }
             Some(Some(peer)) => match ask_peer(node, &peer, &ask).await {
                 Ok(grant) => return (Some(peer), Ok(grant)),
                 // The next one keeps the target.
-                Err(e) if peers::is_unknown(&e) => node.limits.note_stranger(&peer, PERMIT),
+                Err(e) if peers::is_unsupported(&e) => node.limits.note_stranger(&peer, PERMIT),
                 Err(e) if e.status().is_some() => return (Some(peer), Err("not_keeper")),
                 Err(_) => return (Some(peer), Err("silent")),
             },
@@ -116,13 +116,13 @@
 async fn ask_peer(node: &Rc<Node>, peer: &PeerNode, ask: &PermitAsk) -> Result<Grant, CallError> {
     // A kept connection may have fallen silent.
     let resting = &node.limits.resting;
-    let fresh = resting.has_rested(&peer.id, node.now()).then(|| Client::new(TIMEOUT));
+    let fresh = resting.failed_recently(&peer.id, node.now()).then(|| Client::new(TIMEOUT));
     let client = fresh.as_ref().unwrap_or(&node.client);
-    let answer = peers::tell(node, client, peer.entry, PERMIT, ask, TIMEOUT).await;
+    let answer = peers::call_named(node, client, peer.entry, PERMIT, ask, TIMEOUT).await;
     let now = node.now();
     match &answer {
-        Err(e) if e.status().is_none() => resting.did_not_answer(&peer.id, REST, now),
-        _ => resting.answered(&peer.id),
+        Err(e) if e.status().is_none() => resting.record_failure(&peer.id, REST, now),
+        _ => resting.record_answer(&peer.id),
     }
     let PermitAnswer { granted, after_ms, word } =
         answer.inspect_err(|e| log::debug!("permit: {e}"))?;
--- a/crates/forward/src/limits/mod.rs
+++ b/crates/forward/src/limits/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::events::Event;
 use crate::node::Node;
-use crate::peers::Resting;
+use crate::peers::PeerBackoff;
 
 pub use ask::{Permit, answer, permit};
 pub use spread::take;
@@ -31,7 +31,7 @@
     /// Peers whose build keeps no limits.
     strangers: RefCell<HashSet<NodeId>>,
     /// Keepers that did not answer.
-    resting: Resting,
+    resting: PeerBackoff,
     returns: RefCell<HashMap<Name, RetryPacer>>,
     unsent: spread::Unsent,
 }
--- a/crates/forward/src/limits/spread.rs
+++ b/crates/forward/src/limits/spread.rs
@@ -41,7 +41,7 @@
         let known: Vec<_> = peers.into_iter().filter(|p| !node.limits.is_stranger(&p.id)).collect();
         let news = LimitNews { limits, spread: false };
         let each = |peer: &PeerNode, told| note(&node, peer, told);
-        peers::tell_many::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, each).await;
+        peers::broadcast::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, each).await;
         tokio::time::sleep(APART).await;
     }
 }
@@ -60,7 +60,7 @@
 fn note(node: &Node, peer: &PeerNode, told: Result<(), CallError>) {
     match told {
         Ok(()) => {}
-        Err(e) if peers::is_unknown(&e) => node.limits.note_stranger(peer, LIMITS),
+        Err(e) if peers::is_unsupported(&e) => node.limits.note_stranger(peer, LIMITS),
         Err(e) => log::debug!("limits: {e}"),
     }
 }
@@ -85,7 +85,8 @@
                 let news = LimitNews { limits: vec![limit], spread: true };
                 let client = &node.client;
                 // What does not arrive is told with the next ask.
-                let told = peers::tell(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
+                let told =
+                    peers::call_named(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
                 note(&node, &peer, told);
             });
         }
--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -402,8 +402,8 @@
             return;
         };
         let labels = Named { name: kind.as_str().to_string() };
-        self.ages.get_or_create(&labels).set(age.now.as_millis() as i64);
-        self.longest_ages.get_or_create(&labels).set(age.longest.as_millis() as i64);
+        self.ages.get_or_create(&labels).set(age.current.as_millis() as i64);
+        self.longest_ages.get_or_create(&labels).set(age.max.as_millis() as i64);
     }
 
     fn bounded(&self, name: &str) -> String {
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -87,7 +87,7 @@
         Node {
             dialect,
             clock: Clock::default(),
-            client: Client::new(peers::CONNECT),
+            client: Client::new(peers::CONNECT_TIMEOUT),
             metrics: Metrics::default(),
             peers: Peers::new(
                 settings.name.clone(),
@@ -149,7 +149,7 @@
         Event::Rules { version, from, routes }.emit();
         self.tell_unserved();
         self.version.send_replace(version);
-        self.feed.wake();
+        self.feed.notify();
         true
     }
 
@@ -278,12 +278,12 @@
             return;
         }
         self.epoch.set(Some(epoch));
-        Event::Epoch { epoch, before, from, at: self.feed.at().unwrap_or(0) }.emit();
+        Event::Epoch { epoch, before, from, at: self.feed.revision().unwrap_or(0) }.emit();
         if before.is_some() {
             let now = self.now();
             self.doubt(|d| d.store_restored(now));
             self.fleet(|f| f.begin_epoch(now));
-            self.quarantine.restored();
+            self.quarantine.store_restored();
         }
     }
 
@@ -318,7 +318,7 @@
     /// Milliseconds since the store last confirmed the targets; since the start if it never did.
     pub fn targets_age_ms(&self) -> u64 {
         let now = self.now();
-        let age = self.feed.age_of(Kind::Targets, now).map(|age| age.now);
+        let age = self.feed.age_of(Kind::Targets, now).map(|age| age.current);
         age.unwrap_or(now.since(Time::ZERO)).as_millis() as u64
     }
 
@@ -353,7 +353,7 @@
 
     /// Whether the rules may be older than the store's: it did not confirm them for long.
     pub fn rules_may_be_old(&self, within: Duration) -> bool {
-        self.feed.age_of(Kind::Rules, self.now()).is_none_or(|age| age.now > within)
+        self.feed.age_of(Kind::Rules, self.now()).is_none_or(|age| age.current > within)
     }
 
     /// The targets have been read once.
--- a/crates/forward/src/peers/membership.rs
+++ b/crates/forward/src/peers/membership.rs
@@ -15,10 +15,10 @@
 use crate::node::Node;
 
 /// Largest datagram.
-const DATAGRAM_MAX: usize = 9000;
+const MAX_DATAGRAM_BYTES: usize = 9000;
 /// Time that a node's own source has to bring rules of which a peer told: a relay's link
 /// bears more than that of any peer, and a follower asks it each 100 ms.
-const SOURCE_FIRST: Duration = Duration::from_millis(150);
+const SOURCE_GRACE: Duration = Duration::from_millis(150);
 
 /// Runs until the process ends.
 pub async fn run(
@@ -34,7 +34,7 @@
     let mut machine = Member::new(me, Tuning::for_serving_nodes(), rand::random());
     machine.handle_event(node.now(), MemberEvent::Seeds(s.seed_addresses()));
     let mut changes = PendingChanges::default();
-    let mut buffer = vec![0; DATAGRAM_MAX];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let event = tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
@@ -49,14 +49,14 @@
             continue;
         };
         for action in machine.handle_event(node.now(), event) {
-            act(&node, &socket, &mut changes, action).await;
+            perform(&node, &socket, &mut changes, action).await;
         }
-        for (domain, took) in machine.take_round_trips() {
-            node.peers.roster(|r| r.record_rtt(&domain, took));
+        for (domain, rtt) in machine.take_round_trips() {
+            node.peers.roster(|r| r.record_rtt(&domain, rtt));
         }
-        publish(&node, &mut machine);
+        update_roster(&node, &mut machine);
         if let Some(change) = changes.take_due(node.now()) {
-            tell(machine.count(), &change);
+            log_view(machine.count(), &change);
         }
     }
 }
@@ -67,7 +67,7 @@
 }
 
 /// Tells the roster which peers have changed.
-fn publish(node: &Node, machine: &mut Member) {
+fn update_roster(node: &Node, machine: &mut Member) {
     let now = node.now();
     let changed = machine.take_changed();
     let view = |p: &decide::member::Peer| PeerView {
@@ -87,13 +87,18 @@
     });
 }
 
-fn tell(up: usize, change: &ViewChange) {
+fn log_view(up: usize, change: &ViewChange) {
     let ViewChange { alive, suspected, dead, left, names } = change;
     let (alive, suspected, dead, left) = (*alive, *suspected, *dead, *left);
     Event::View { up, alive, suspected, dead, left, names }.emit();
 }
 
-async fn act(node: &Rc<Node>, socket: &UdpSocket, changes: &mut PendingChanges, action: Action) {
+async fn perform(
+    node: &Rc<Node>,
+    socket: &UdpSocket,
+    changes: &mut PendingChanges,
+    action: Action,
+) {
     match action {
         Action::Send(to, packet) => {
             let bytes = rmp_serde::to_vec(&packet).expect("packets encode");
@@ -103,7 +108,7 @@
             // A lost datagram is no news; probes are made for it.
             let _ = socket.send_to(&bytes, to).await;
         }
-        Action::NewerManifest(number, from) => hear(node, number, from),
+        Action::NewerManifest(number, from) => request_rules(node, number, from),
         Action::Changed(rumor) => {
             changes.note(&rumor.node.id.name, rumor.health, node.now());
             if rumor.health == Health::Left {
@@ -116,18 +121,18 @@
 
 /// A peer has this version of the rules. It is asked for them if they do not come from
 /// where this node reads them, and nobody else is asked yet.
-fn hear(node: &Rc<Node>, number: u64, from: SocketAddr) {
-    if number > node.peers.fetching.get() {
-        node.peers.fetching.set(number);
-        tokio::task::spawn_local(fetch(node.clone(), number, from));
+fn request_rules(node: &Rc<Node>, version: u64, from: SocketAddr) {
+    if version > node.peers.requested_rules.get() {
+        node.peers.requested_rules.set(version);
+        tokio::task::spawn_local(fetch_after_grace(node.clone(), version, from));
     }
 }
 
-async fn fetch(node: Rc<Node>, number: u64, from: SocketAddr) {
-    tokio::time::sleep(SOURCE_FIRST).await;
-    if node.table().rules.version < number {
-        super::take_rules(&node, &node.client, from).await;
+async fn fetch_after_grace(node: Rc<Node>, version: u64, from: SocketAddr) {
+    tokio::time::sleep(SOURCE_GRACE).await;
+    if node.table().rules.version < version {
+        super::fetch_rules(&node, &node.client, from).await;
     }
     // Whoever next tells of a number that is still missing is asked again.
-    node.peers.fetching.set(node.table().rules.version);
+    node.peers.requested_rules.set(node.table().rules.version);
 }
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -36,16 +36,16 @@
 use crate::node::Node;
 use crate::quarantine;
 
-pub use resting::Resting;
+pub use resting::PeerBackoff;
 pub use server::{
-    BATCH, FREE, LIMITS, PERMIT, PREFILL, PREFILL_END, QUARANTINE, ROLLOUT, ROLLOUT_STATE,
-    RemoteFree, RemoteState, WAITS,
+    BATCH, FREE, FreeRequest, LIMITS, PERMIT, PREFILL, PREFILL_END, QUARANTINE, ROLLOUT,
+    ROLLOUT_STATE, StateWrite, WAITS,
 };
 
 /// Header by which nodes tell the epoch of the store that what they know is of.
 pub const EPOCH: HeaderName = HeaderName::from_static("pumicevale-epoch");
 /// Time to connect to a peer.
-pub const CONNECT: Duration = Duration::from_millis(250);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time for a peer to hand over its rules: the largest take a small host's link a second.
 const RULES_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time for a ping's answer: a host whose share of its core is used up gets nothing for up
@@ -53,10 +53,10 @@
 const PING_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time after which a ping without an answer is sent over a new connection too: most answers
 /// between failure domains take a few milliseconds, and a new connection needs a moment.
-const PING_AGAIN: Duration = Duration::from_millis(40);
+const PING_RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Time for which it is remembered that a peer's connections fell silent. Orders that wait
 /// on them hear of it within some tens of milliseconds.
-const HUNG_KEPT: Duration = Duration::from_secs(10);
+const HUNG_RETENTION: Duration = Duration::from_secs(10);
 
 /// Peers of a node.
 pub struct Peers {
@@ -64,7 +64,7 @@
     pub id: NodeId,
     roster: RefCell<Roster>,
     hung: RefCell<HashMap<NodeId, Time>>,
-    fetching: Cell<u64>,
+    requested_rules: Cell<u64>,
     commands: RefCell<Option<mpsc::UnboundedSender<MemberEvent>>>,
 }
 
@@ -78,7 +78,7 @@
             id,
             roster: RefCell::new(roster),
             hung: RefCell::default(),
-            fetching: Cell::new(0),
+            requested_rules: Cell::new(0),
             commands: RefCell::new(None),
         }
     }
@@ -89,9 +89,9 @@
     }
 
     /// A peer answers over new connections only.
-    fn note_hung(&self, id: &NodeId, now: Time) {
+    fn record_hung(&self, id: &NodeId, now: Time) {
         let mut hung = self.hung.borrow_mut();
-        hung.retain(|_, at| now.since(*at) < HUNG_KEPT);
+        hung.retain(|_, at| now.since(*at) < HUNG_RETENTION);
         hung.insert(id.clone(), now);
     }
 
@@ -118,71 +118,71 @@
 }
 
 /// Messages of one kind of news under way at once.
-pub const AT_ONCE: usize = 32;
+pub const MAX_CONCURRENT_SENDS: usize = 32;
 /// Status of a peer that does not know a path.
 const NOT_FOUND: u16 = 404;
 
 /// Whether a peer is of a build that does not know such messages.
-pub fn is_unknown(error: &CallError) -> bool {
+pub fn is_unsupported(error: &CallError) -> bool {
     error.status() == Some(NOT_FOUND)
 }
 
 /// Asks a peer over this node's kept connections.
-pub async fn ask<Q: Serialize, A: DeserializeOwned>(
+pub async fn call<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     peer: SocketAddr,
     path: &str,
-    question: &Q,
+    message: &Q,
     timeout: Duration,
 ) -> Result<A, CallError> {
-    ask_over(node, &node.client, peer, path, question, timeout).await
+    call_with(node, &node.client, peer, path, message, timeout).await
 }
 
 /// Asks a peer over a client's connections. All that nodes send to each other but datagrams
 /// goes through here, where it is counted.
-async fn ask_over<Q: Serialize, A: DeserializeOwned>(
+async fn call_with<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     client: &Client,
     peer: SocketAddr,
     path: &str,
-    question: &Q,
+    message: &Q,
     timeout: Duration,
 ) -> Result<A, CallError> {
-    let bytes = rmp_serde::to_vec(question).expect("messages encode");
+    let bytes = rmp_serde::to_vec(message).expect("messages encode");
     send(node, client, peer, path, bytes, timeout).await
 }
 
 /// Tells a peer, which may be of another build: fields go by their names.
-pub async fn tell<Q: Serialize, A: DeserializeOwned>(
+pub async fn call_named<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     client: &Client,
     peer: SocketAddr,
     path: &str,
-    news: &Q,
+    message: &Q,
     timeout: Duration,
 ) -> Result<A, CallError> {
-    let bytes = rmp_serde::to_vec_named(news).expect("messages encode");
+    let bytes = rmp_serde::to_vec_named(message).expect("messages encode");
     send(node, client, peer, path, bytes, timeout).await
 }
 
 /// Tells many peers the same; `each` takes what came of it.
-pub async fn tell_many<Q: Serialize, A: DeserializeOwned>(
+pub async fn broadcast<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     to: &[PeerNode],
     path: &str,
-    news: &Q,
+    message: &Q,
     timeout: Duration,
     each: impl Fn(&PeerNode, Result<A, CallError>),
 ) {
-    let bytes = rmp_serde::to_vec_named(news).expect("messages encode");
-    for some in to.chunks(AT_ONCE) {
-        let telling = some.iter().map(|peer| {
+    let bytes = rmp_serde::to_vec_named(message).expect("messages encode");
+    for chunk in to.chunks(MAX_CONCURRENT_SENDS) {
+        let calls = chunk.iter().map(|peer| {
             let (bytes, each) = (bytes.clone(), &each);
             async move {
                 each(peer, send(node, &node.client, peer.entry, path, bytes, timeout).await);
             }
         });
-        join_all(telling).await;
+        join_all(calls).await;
     }
 }
 
@@ -196,18 +196,18 @@
 ) -> Result<A, CallError> {
     let (name, sent) = (peer.to_string(), bytes.len());
     let call = client.rmp_bytes(&name, path, bytes, timeout);
-    read_rmp_answer(&name, &counted(node, peer, path, sent, call).await?)
+    read_rmp_answer(&name, &metered(node, peer, path, sent, call).await?)
 }
 
 /// Counts what a call takes to a peer and back.
-async fn counted(
+async fn metered(
     node: &Node,
     peer: SocketAddr,
     path: &str,
     sent: usize,
     call: impl Future<Output = Result<Bytes, CallError>>,
 ) -> Result<Bytes, CallError> {
-    let crossing = Crossing::to_peer(node, kind_of(path), peer);
+    let crossing = Crossing::to_peer(node, traffic_kind(path), peer);
     if let Some(crossing) = &crossing {
         crossing.sent(sent);
     }
@@ -219,7 +219,7 @@
 }
 
 /// What a question to a peer counts as.
-fn kind_of(path: &str) -> Kind {
+fn traffic_kind(path: &str) -> Kind {
     match path {
         BATCH | WAITS => Kind::Order,
         FREE => Kind::Free,
@@ -232,9 +232,9 @@
 }
 
 /// Takes a peer's rules if they are newer than this node's.
-pub async fn take_rules(node: &Node, client: &Client, peer: SocketAddr) {
+pub async fn fetch_rules(node: &Node, client: &Client, peer: SocketAddr) {
     let from = peer.to_string();
-    let rules = ask_over::<_, Rules>(node, client, peer, server::RULES, &(), RULES_TIMEOUT);
+    let rules = call_with::<_, Rules>(node, client, peer, server::RULES, &(), RULES_TIMEOUT);
     match rules.await {
         Ok(rules) => _ = node.adopt(rules, &from),
         Err(e) => log::debug!("rules: {e}"),
@@ -243,7 +243,7 @@
 
 /// What a peer that is followed knows.
 #[derive(Debug)]
-pub struct Followed {
+pub struct FollowResponse {
     /// Its answer.
     pub answer: FollowAnswer,
     /// Epoch of the store that it knows this of; `None` if its build does not tell.
@@ -256,39 +256,39 @@
     node: &Node,
     client: &Client,
     peer: SocketAddr,
-    question: &FollowAsk,
+    ask: &FollowAsk,
     epoch: Option<u64>,
     timeout: Duration,
-) -> Result<Followed, CallError> {
-    let timeouts = match question.at {
+) -> Result<FollowResponse, CallError> {
+    let timeouts = match ask.at {
         0 => Timeouts { head: timeout, idle: waits::PEER_SLACK, total: waits::SNAPSHOT_TIMEOUT },
         _ => Timeouts { head: timeout, idle: timeout, total: timeout },
     };
-    let bytes = rmp_serde::to_vec(question).expect("messages encode");
+    let bytes = rmp_serde::to_vec(ask).expect("messages encode");
     let (name, sent) = (peer.to_string(), bytes.len());
     let mut request = Request::post(format!("http://{name}{}", server::FOLLOW))
         .header(header::CONTENT_TYPE, RMP)
         .body(Full::new(Bytes::from(bytes)))
         .expect("address, path and media type are valid");
     request.headers_mut().extend(epoch.map(|epoch| (EPOCH, epoch.into())));
-    let mut told = None;
+    let mut peer_epoch = None;
     let call = async {
         let (head, body) = client.send_streamed(&name, request, timeouts).await?.into_parts();
-        told = epoch_of(&head.headers);
+        peer_epoch = read_epoch(&head.headers);
         Ok(body)
     };
-    let answer = counted(node, peer, server::FOLLOW, sent, call).await?;
-    Ok(Followed { answer: read_rmp_answer(&name, &answer)?, epoch: told })
+    let answer = metered(node, peer, server::FOLLOW, sent, call).await?;
+    Ok(FollowResponse { answer: read_rmp_answer(&name, &answer)?, epoch: peer_epoch })
 }
 
 /// The epoch of the store that a message between nodes tells, if it does.
-pub fn epoch_of(headers: &HeaderMap) -> Option<u64> {
+pub fn read_epoch(headers: &HeaderMap) -> Option<u64> {
     headers.get(EPOCH)?.to_str().ok()?.parse().ok()
 }
 
 /// Whether a peer answers, by what is known or else by a ping that all of this node's
 /// orders share.
-pub async fn answers(node: &Rc<Node>, peer: &PeerNode) -> bool {
+pub async fn is_responsive(node: &Rc<Node>, peer: &PeerNode) -> bool {
     match node.peers.roster(|r| r.reachability(&peer.id, node.now())) {
         Reachability::Responsive => true,
         Reachability::Silent => false,
@@ -296,7 +296,7 @@
             let pong = ping(node, peer.entry).await;
             let now = node.now();
             if pong == Pong::New {
-                node.peers.note_hung(&peer.id, now);
+                node.peers.record_hung(&peer.id, now);
                 Event::Hung { peer: &peer.id.name }.emit();
             }
             match pong {
@@ -321,8 +321,8 @@
 
 /// Pings a peer over a kept connection, and soon over a new one as well.
 async fn ping(node: &Rc<Node>, peer: SocketAddr) -> Pong {
-    let new = tokio::task::spawn_local(ping_again(node.clone(), peer));
-    let kept = ask::<_, ()>(node, peer, server::PING, &(), PING_TIMEOUT).await;
+    let new = tokio::task::spawn_local(ping_new_connection(node.clone(), peer));
+    let kept = call::<_, ()>(node, peer, server::PING, &(), PING_TIMEOUT).await;
     match kept {
         Ok(()) => {
             new.abort();
@@ -333,16 +333,16 @@
     }
 }
 
-async fn ping_again(node: Rc<Node>, peer: SocketAddr) -> bool {
-    tokio::time::sleep(PING_AGAIN).await;
-    let left = PING_TIMEOUT - PING_AGAIN;
-    let client = Client::new(left);
-    ask_over::<_, ()>(&node, &client, peer, server::PING, &(), left).await.is_ok()
+async fn ping_new_connection(node: Rc<Node>, peer: SocketAddr) -> bool {
+    tokio::time::sleep(PING_RETRY_DELAY).await;
+    let remaining = PING_TIMEOUT - PING_RETRY_DELAY;
+    let client = Client::new(remaining);
+    call_with::<_, ()>(&node, &client, peer, server::PING, &(), remaining).await.is_ok()
 }
 
 /// Asks peers at once whether they are there, and waits for their answers.
-pub async fn ask_all(node: &Rc<Node>, peers: &[PeerNode]) {
-    join_all(peers.iter().map(|p| answers(node, p))).await;
+pub async fn ping_all(node: &Rc<Node>, peers: &[PeerNode]) {
+    join_all(peers.iter().map(|p| is_responsive(node, p))).await;
 }
 
 /// Starts membership and the server for peers.
@@ -356,13 +356,13 @@
     *node.peers.commands.borrow_mut() = Some(commands);
     tokio::task::spawn_local(membership::run(node.clone(), socket, events));
     tokio::task::spawn_local(server::run(node.clone(), listener));
-    tokio::task::spawn_local(tell_versions(node.clone()));
+    tokio::task::spawn_local(announce_versions(node.clone()));
     quarantine::start(node);
     limits::start(node);
     Ok(())
 }
 
-async fn tell_versions(node: Rc<Node>) {
+async fn announce_versions(node: Rc<Node>) {
     let mut versions = node.versions();
     while versions.changed().await.is_ok() {
         let version = *versions.borrow_and_update();
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use util::http::{Body, RMP, full, read_rmp, rmp, rmp_named, text};
 
-use super::{EPOCH, epoch_of};
+use super::{EPOCH, read_epoch};
 use crate::ingress::small;
 use crate::limits;
 use crate::node::Node;
@@ -45,11 +45,11 @@
 /// Path of the rules.
 pub const RULES: &str = "/v1/rules";
 /// Largest message of a peer.
-const MESSAGE_MAX: usize = 8 << 20;
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// Results that a peer's coordinator made and that are no longer wanted.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RemoteFree {
+pub struct FreeRequest {
     /// Makers that made them.
     pub pool: PoolId,
     /// Results.
@@ -59,7 +59,7 @@
 /// A state of an order that a peer whom the store turns away has written by this node. The
 /// answer is whether it stands; `None` if the store turned this node away too.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RemoteState {
+pub struct StateWrite {
     /// The order as it is to be unchanged.
     pub order: Rollout,
     /// State to be written.
@@ -72,7 +72,7 @@
 }
 
 async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Response<Body> {
-    let answered = match request.uri().path() {
+    let result = match request.uri().path() {
         RULES => Ok(full(StatusCode::OK, RMP, node.table().encoded())),
         PING => Ok(rmp(&())),
         FOLLOW => follow(&node, request).await,
@@ -85,28 +85,28 @@
         ROLLOUT_STATE => rollout_state(&node, request).await,
         QUARANTINE => quarantine(&node, request).await,
         PERMIT => permit(&node, request).await,
-        LIMITS => limit_news(&node, request).await,
+        LIMITS => limit_report(&node, request).await,
         _ => Err(text(StatusCode::NOT_FOUND, "no such path")),
     };
-    answered.unwrap_or_else(|refusal| refusal)
+    result.unwrap_or_else(|refusal| refusal)
 }
 
 /// An answer, or the refusal of what was asked.
-type Answered = Result<Response<Body>, Response<Body>>;
+type HandlerResult = Result<Response<Body>, Response<Body>>;
 
 /// Reads a peer's message; `otherwise` says what is wrong with anything else.
-async fn message<T: DeserializeOwned>(
+async fn read_message<T: DeserializeOwned>(
     request: Request<Incoming>,
-    otherwise: &str,
+    error: &str,
 ) -> Result<T, Response<Body>> {
-    let message = read_rmp(request, MESSAGE_MAX).await;
-    message.ok_or_else(|| text(StatusCode::BAD_REQUEST, otherwise))
+    let message = read_rmp(request, MAX_MESSAGE_BYTES).await;
+    message.ok_or_else(|| text(StatusCode::BAD_REQUEST, error))
 }
 
-async fn follow(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let epoch = epoch_of(request.headers());
-    let ask: FollowAsk = message(request, "not a question for news").await?;
-    let answer = watch::answer(node, ask, epoch).await;
+async fn follow(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let epoch = read_epoch(request.headers());
+    let ask: FollowAsk = read_message(request, "not a question for news").await?;
+    let answer = watch::answer_follower(node, ask, epoch).await;
     let (epoch, answer) =
         answer.ok_or_else(|| text(StatusCode::SERVICE_UNAVAILABLE, "stopping"))?;
     let mut answer = full(StatusCode::OK, RMP, answer);
@@ -114,60 +114,60 @@
     Ok(answer)
 }
 
-async fn prefill(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let ask = message(request, "not a prompt to be placed").await?;
+async fn prefill(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let ask = read_message(request, "not a prompt to be placed").await?;
     Ok(rmp(&node.schedulers.place(node, &ask)))
 }
 
-async fn rollout(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let report = message(request, "not a report").await?;
+async fn rollout(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let report = read_message(request, "not a report").await?;
     let answer = rollout::judge(node, report);
     let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such order"))?;
     Ok(rmp(&answer))
 }
 
-async fn rollout_state(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let RemoteState { order, state } = message(request, "not an order's state").await?;
-    let stands = match rollout::at_store(node, &order, state).await {
+async fn rollout_state(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let StateWrite { order, state } = read_message(request, "not an order's state").await?;
+    let in_force = match rollout::at_store(node, &order, state).await {
         Written::Stands => Some(true),
         Written::Not => Some(false),
         Written::Unknown => None,
     };
-    Ok(rmp(&stands))
+    Ok(rmp(&in_force))
 }
 
-async fn prefill_end(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let end = message(request, "not the end of a prompt").await?;
+async fn prefill_end(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let end = read_message(request, "not the end of a prompt").await?;
     node.schedulers.end(end, node.now());
     Ok(rmp(&()))
 }
 
-async fn quarantine(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let news = message(request, "not news of requests").await?;
-    Ok(rmp_named(&node.quarantine.hear(node, &news)))
+async fn quarantine(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let news = read_message(request, "not news of requests").await?;
+    Ok(rmp_named(&node.quarantine.merge_report(node, &news)))
 }
 
-async fn permit(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let ask = message(request, "not an ask for a permit").await?;
+async fn permit(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let ask = read_message(request, "not an ask for a permit").await?;
     let answer = limits::answer(node, &ask);
     let answer = answer.ok_or_else(|| text(StatusCode::CONFLICT, "another node comes first"))?;
     Ok(rmp_named(&answer))
 }
 
-async fn limit_news(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let news = message(request, "not news of limits").await?;
+async fn limit_report(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let news = read_message(request, "not news of limits").await?;
     limits::take(node, news);
     Ok(rmp_named(&()))
 }
 
-async fn free(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let RemoteFree { pool, handles } = message(request, "not results to free").await?;
+async fn free(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let FreeRequest { pool, handles } = read_message(request, "not results to free").await?;
     node.pools.free(node, &pool, handles);
     Ok(rmp(&()))
 }
 
-async fn waits(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let pool: PoolId = message(request, "not a pool of makers").await?;
+async fn waits(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let pool: PoolId = read_message(request, "not a pool of makers").await?;
     if node.is_stopping() || !node.peers.roster(|r| r.coordinates(&pool, node.now())) {
         return Err(text(StatusCode::CONFLICT, "another node comes first"));
     }
@@ -176,8 +176,8 @@
     Ok(rmp(&waits))
 }
 
-async fn batch(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let order: BatchOrder = message(request, "not a batch order").await?;
+async fn batch(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let order: BatchOrder = read_message(request, "not a batch order").await?;
     let stopping = || text(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     if node.is_stopping() {
         return Err(stopping());
--- a/crates/forward/src/prefill/mod.rs
+++ b/crates/forward/src/prefill/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::events::Event;
 use crate::node::Node;
-use crate::peers::{self, PREFILL, PREFILL_END, Resting};
+use crate::peers::{self, PREFILL, PREFILL_END, PeerBackoff};
 
 /// Prompt tokens from which on the scheduler is asked. Fewer are read in some milliseconds,
 /// but may wait hundreds of them behind others.
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct Schedulers {
     own: RefCell<HashMap<Group, Scheduler>>,
-    resting: Resting,
+    resting: PeerBackoff,
 }
 
 impl Schedulers {
@@ -108,7 +108,7 @@
 }
 
 async fn tell(node: Rc<Node>, at: SocketAddr, end: PrefillEnd) {
-    let told = peers::ask::<_, ()>(&node, at, PREFILL_END, &end, END_TIMEOUT).await;
+    let told = peers::call::<_, ()>(&node, at, PREFILL_END, &end, END_TIMEOUT).await;
     if let Err(e) = told {
         log::debug!("scheduler: {e}");
     }
@@ -167,13 +167,13 @@
 }
 
 async fn ask_peer(node: &Rc<Node>, peer: &PeerNode, ask: &PrefillAsk) -> Option<PrefillAnswer> {
-    if node.schedulers.resting.rests(&peer.id, node.now()) {
+    if node.schedulers.resting.is_backed_off(&peer.id, node.now()) {
         return None;
     }
-    match peers::ask(node, peer.entry, PREFILL, ask, ASK_TIMEOUT).await {
+    match peers::call(node, peer.entry, PREFILL, ask, ASK_TIMEOUT).await {
         Ok(answer) => Some(answer),
         Err(e) => {
-            node.schedulers.resting.did_not_answer(&peer.id, REST, node.now());
+            node.schedulers.resting.record_failure(&peer.id, REST, node.now());
             Event::Scheduler {
                 service: &ask.service,
                 domain: &ask.domain,
--- a/crates/forward/src/quarantine/ends.rs
+++ b/crates/forward/src/quarantine/ends.rs
@@ -16,14 +16,14 @@
 
 /// Pauses before a target is connected to. The second finds one whose connections broke a
 /// moment before nobody listened any more.
-const CONNECTS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(100)];
+const CONNECT_DELAYS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(100)];
 /// Time between looks at what discovery says after that.
-const LOOK: Duration = Duration::from_millis(200);
+const PRESENCE_INTERVAL: Duration = Duration::from_millis(200);
 /// Time for which that is looked at: entries of targets that ended lapse within three of their
 /// beats, most within 2 s.
-const LOOKED_AT: Duration = Duration::from_secs(3);
+const PRESENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Requests named in one line, at most.
-const TOLD_MOST: usize = 8;
+const MAX_LOGGED_REQUESTS: usize = 8;
 
 /// What broke off at a target.
 #[derive(Clone, PartialEq, Eq)]
@@ -35,20 +35,20 @@
 }
 
 /// What broke off at a target, while it is found out whether that ended.
-struct Check {
-    since: Time,
+struct CrashCheck {
+    started_at: Time,
     work: Vec<Work>,
     /// How an end showed to another request.
-    seen: Option<&'static str>,
+    evidence: Option<&'static str>,
 }
 
 /// Checks under way.
 #[derive(Default)]
-pub(super) struct Ends(RefCell<HashMap<TargetId, Check>>);
+pub(super) struct CrashChecks(RefCell<HashMap<TargetId, CrashCheck>>);
 
-impl Ends {
+impl CrashChecks {
     /// What a target may have begun broke off there without a whole answer.
-    pub fn broke_off(&self, node: &Rc<Node>, target: &Target, work: Vec<Work>) {
+    pub fn start_check(&self, node: &Rc<Node>, target: &Target, work: Vec<Work>) {
         let mut checks = self.0.borrow_mut();
         if let Some(check) = checks.get_mut(&target.id) {
             let new = work.into_iter().filter(|w| !check.work.contains(w));
@@ -61,56 +61,56 @@
             // It was known to leave before the connection broke.
             return;
         }
-        let check = Check { since: node.now(), work, seen: None };
+        let check = CrashCheck { started_at: node.now(), work, evidence: None };
         checks.insert(target.id.clone(), check);
-        tokio::task::spawn_local(run(node.clone(), target.clone()));
+        tokio::task::spawn_local(run_check(node.clone(), target.clone()));
     }
 
     /// Another send showed that a target has ended.
-    pub fn seen(&self, target: &TargetId, how: &'static str) {
+    pub fn record_evidence(&self, target: &TargetId, how: &'static str) {
         if let Some(check) = self.0.borrow_mut().get_mut(target) {
-            check.seen.get_or_insert(how);
+            check.evidence.get_or_insert(how);
         }
     }
 
-    fn verdict(&self, node: &Node, target: &TargetId, contact: ConnectOutcome) -> Verdict {
-        let seen = self.0.borrow().get(target).and_then(|check| check.seen);
-        match judge(node.fleet(|f| f.presence(target)), contact) {
-            Verdict::Undecided => seen.map_or(Verdict::Undecided, Verdict::Crashed),
+    fn verdict(&self, node: &Node, target: &TargetId, outcome: ConnectOutcome) -> Verdict {
+        let evidence = self.0.borrow().get(target).and_then(|check| check.evidence);
+        match judge(node.fleet(|f| f.presence(target)), outcome) {
+            Verdict::Undecided => evidence.map_or(Verdict::Undecided, Verdict::Crashed),
             verdict => verdict,
         }
     }
 }
 
-async fn run(node: Rc<Node>, target: Target) {
-    let verdict = find_out(&node, &target).await;
-    let Some(check) = node.quarantine.ends.0.borrow_mut().remove(&target.id) else {
+async fn run_check(node: Rc<Node>, target: Target) {
+    let verdict = await_verdict(&node, &target).await;
+    let Some(check) = node.quarantine.crash_checks.0.borrow_mut().remove(&target.id) else {
         return;
     };
     if let Verdict::Crashed(how) = verdict {
-        tell(&node, &target, how, &check);
-        node.quarantine.ended(&node, &target, check.work);
+        log_crash(&node, &target, how, &check);
+        node.quarantine.target_crashed(&node, &target, check.work);
     }
 }
 
-async fn find_out(node: &Node, target: &Target) -> Verdict {
-    let mut contact = ConnectOutcome::NoResponse;
-    for pause in CONNECTS {
-        tokio::time::sleep(pause).await;
-        contact = match upstream::connect(target.address).await {
+async fn await_verdict(node: &Node, target: &Target) -> Verdict {
+    let mut outcome = ConnectOutcome::NoResponse;
+    for delay in CONNECT_DELAYS {
+        tokio::time::sleep(delay).await;
+        outcome = match upstream::connect(target.address).await {
             Ok(_) => ConnectOutcome::Accepted,
             Err(e) if e.is_refused() => ConnectOutcome::Refused,
             Err(_) => ConnectOutcome::NoResponse,
         };
-        match node.quarantine.ends.verdict(node, &target.id, contact) {
+        match node.quarantine.crash_checks.verdict(node, &target.id, outcome) {
             Verdict::Undecided => {}
             verdict => return verdict,
         }
     }
-    let until = node.now() + LOOKED_AT;
-    while node.now() < until {
-        tokio::time::sleep(LOOK).await;
-        match node.quarantine.ends.verdict(node, &target.id, contact) {
+    let deadline = node.now() + PRESENCE_TIMEOUT;
+    while node.now() < deadline {
+        tokio::time::sleep(PRESENCE_INTERVAL).await;
+        match node.quarantine.crash_checks.verdict(node, &target.id, outcome) {
             Verdict::Undecided => {}
             verdict => return verdict,
         }
@@ -118,8 +118,8 @@
     Verdict::Undecided
 }
 
-fn tell(node: &Node, target: &Target, how: &str, check: &Check) {
-    let same = check.work.iter().take(TOLD_MOST).map(|work| match work {
+fn log_crash(node: &Node, target: &Target, how: &str, check: &CrashCheck) {
+    let same = check.work.iter().take(MAX_LOGGED_REQUESTS).map(|work| match work {
         Work::Request(request) => request.to_string(),
         Work::Pieces(attempt) => format!("pieces of {attempt}"),
     });
@@ -131,7 +131,7 @@
         how,
         running: check.work.len(),
         same: &same,
-        after_ms: node.now().since(check.since).as_millis() as u64,
+        after_ms: node.now().since(check.started_at).as_millis() as u64,
     }
     .emit();
 }
--- a/crates/forward/src/quarantine/mod.rs
+++ b/crates/forward/src/quarantine/mod.rs
@@ -16,8 +16,8 @@
 
 use crate::events::Event;
 use crate::node::Node;
-use ends::{Ends, Work};
-use spread::Pace;
+use ends::{CrashChecks, Work};
+use spread::PeerSends;
 
 /// Starts to tell peers, and to keep in the store what is held.
 pub fn start(node: &Rc<Node>) {
@@ -27,25 +27,25 @@
 }
 
 /// Why a request is refused that is held.
-pub const HELD: &str = "the targets that ran this request ended";
+pub const HELD_REASON: &str = "the targets that ran this request ended";
 /// Who tells of what this node saw itself.
-const OWN: &str = "own requests";
+const OWN_REQUESTS: &str = "own requests";
 /// The same of what stands in the store.
-const STORE: &str = "store";
+const FROM_STORE: &str = "store";
 /// Targets named in one line, at most.
-const TOLD_MOST: usize = 8;
+const MAX_LOGGED_TARGETS: usize = 8;
 
 /// Requests under which targets ended, as this node knows them.
 #[derive(Default)]
 pub struct LocalQuarantine {
     machine: RefCell<Quarantine>,
-    ends: Ends,
+    crash_checks: CrashChecks,
     /// Attempts that this node serves.
-    open: RefCell<HashMap<Name, Fingerprint>>,
-    pace: Pace,
+    open_attempts: RefCell<HashMap<Name, Fingerprint>>,
+    peer_sends: PeerSends,
     changed: Notify,
     /// A request is held, and may have to be written.
-    held: Notify,
+    record_due: Notify,
 }
 
 impl LocalQuarantine {
@@ -55,9 +55,9 @@
     }
 
     /// The store came back from an older copy: what is held is written there again.
-    pub fn restored(&self) {
+    pub fn store_restored(&self) {
         self.machine(Quarantine::clear_stored);
-        self.held.notify_one();
+        self.record_due.notify_one();
     }
 
     /// Why a request is not to be sent; `None` if it may be.
@@ -66,12 +66,12 @@
     }
 
     /// A request came, and is to be refused if it is held.
-    pub fn comes(&self, node: &Node, request: Fingerprint) -> Option<Hold> {
+    pub fn record_arrival(&self, node: &Node, request: Fingerprint) -> Option<Hold> {
         self.machine(|q| q.record_arrival(request, node.now()))
     }
 
     /// A request is about to be sent; whether it may be.
-    pub fn sends(&self, node: &Node, id: &str, request: Fingerprint) -> bool {
+    pub fn try_send(&self, node: &Node, id: &str, request: Fingerprint) -> bool {
         let Ok(let_through) = self.machine(|q| q.try_send(request, node.now())) else {
             return false;
         };
@@ -83,42 +83,42 @@
     }
 
     /// A request that a target may have begun broke off there without a whole answer.
-    pub fn broke_off(&self, node: &Rc<Node>, target: &Target, request: Fingerprint) {
-        self.ends.broke_off(node, target, vec![Work::Request(request)]);
+    pub fn request_interrupted(&self, node: &Rc<Node>, target: &Target, request: Fingerprint) {
+        self.crash_checks.start_check(node, target, vec![Work::Request(request)]);
     }
 
     /// The same of a call for pieces of these attempts.
-    pub fn call_broke_off(&self, node: &Rc<Node>, target: &Target, pieces: &[PieceOrder]) {
+    pub fn call_interrupted(&self, node: &Rc<Node>, target: &Target, pieces: &[PieceOrder]) {
         let attempts: BTreeSet<&Name> = pieces.iter().map(|p| &p.attempt).collect();
         let work = attempts.into_iter().map(|attempt| Work::Pieces(attempt.clone()));
-        self.ends.broke_off(node, target, work.collect());
+        self.crash_checks.start_check(node, target, work.collect());
     }
 
     /// This node serves an attempt from now on.
-    pub fn begins(&self, attempt: &str, request: Fingerprint) {
-        self.open.borrow_mut().insert(attempt.into(), request);
+    pub fn attempt_started(&self, attempt: &str, request: Fingerprint) {
+        self.open_attempts.borrow_mut().insert(attempt.into(), request);
     }
 
     /// The attempt is over.
-    pub fn is_over(&self, attempt: &str) {
-        self.open.borrow_mut().remove(attempt);
+    pub fn attempt_ended(&self, attempt: &str) {
+        self.open_attempts.borrow_mut().remove(attempt);
     }
 
     /// A send showed that a target has ended.
-    pub fn seen_ended(&self, target: &Target, how: &'static str) {
-        self.ends.seen(&target.id, how);
+    pub fn crash_observed(&self, target: &Target, how: &'static str) {
+        self.crash_checks.record_evidence(&target.id, how);
     }
 
     /// A target answered a request whole.
-    pub fn answered(&self, node: &Node, request: Fingerprint) {
+    pub fn request_answered(&self, node: &Node, request: Fingerprint) {
         if let Some(change) = self.machine(|q| q.record_answer(request, node.now())) {
-            self.take(OWN, vec![(request, change)]);
+            self.handle_changes(OWN_REQUESTS, vec![(request, change)]);
             self.changed.notify_one();
         }
     }
 
     /// A target ended under this work.
-    fn ended(&self, node: &Rc<Node>, target: &Target, work: Vec<Work>) {
+    fn target_crashed(&self, node: &Rc<Node>, target: &Target, work: Vec<Work>) {
         let (mut requests, mut attempts) = (Vec::new(), Vec::new());
         for work in work {
             match work {
@@ -126,48 +126,54 @@
                 Work::Pieces(attempt) => attempts.push(attempt),
             }
         }
-        self.ended_under(node, &target.id, &target.service, &requests);
+        self.record_crash(node, &target.id, &target.service, &requests);
         if !attempts.is_empty() {
             let (target, service) = (target.id.clone(), target.service.clone());
-            let end = MakerEnd { target, service, attempts };
-            self.maker_ended(node, &end);
-            spread::tell_all(node, end);
+            let crash = MakerEnd { target, service, attempts };
+            self.worker_crashed(node, &crash);
+            spread::broadcast_crash(node, crash);
         }
     }
 
-    fn ended_under(&self, node: &Node, target: &TargetId, service: &Name, under: &[Fingerprint]) {
+    fn record_crash(
+        &self,
+        node: &Node,
+        target: &TargetId,
+        service: &Name,
+        requests: &[Fingerprint],
+    ) {
         let now = node.now();
-        let changes = self.machine(|q| q.record_crash(target, service, under, now));
-        self.take(OWN, changes);
+        let changes = self.machine(|q| q.record_crash(target, service, requests, now));
+        self.handle_changes(OWN_REQUESTS, changes);
         self.changed.notify_one();
     }
 
     /// A maker ended under pieces, some of which may be of attempts that this node serves.
-    fn maker_ended(&self, node: &Node, end: &MakerEnd) {
-        let own: Vec<Fingerprint> = {
-            let open = self.open.borrow();
-            end.attempts.iter().filter_map(|attempt| open.get(attempt).copied()).collect()
+    fn worker_crashed(&self, node: &Node, crash: &MakerEnd) {
+        let requests: Vec<Fingerprint> = {
+            let open = self.open_attempts.borrow();
+            crash.attempts.iter().filter_map(|attempt| open.get(attempt).copied()).collect()
         };
-        if !own.is_empty() {
-            self.ended_under(node, &end.target, &end.service, &own);
+        if !requests.is_empty() {
+            self.record_crash(node, &crash.target, &crash.service, &requests);
         }
     }
 
     /// Takes what a peer tells; returns what this node knows beyond that.
-    pub fn hear(&self, node: &Node, news: &QuarantineNews) -> QuarantineNews {
-        news.makers.iter().for_each(|end| self.maker_ended(node, end));
+    pub fn merge_report(&self, node: &Node, report: &QuarantineNews) -> QuarantineNews {
+        report.makers.iter().for_each(|crash| self.worker_crashed(node, crash));
         let now = node.now();
-        let changes = self.machine(|q| q.merge(Some(&news.from), &news.suspects, now));
-        self.take(&news.from.name, changes);
+        let changes = self.machine(|q| q.merge(Some(&report.from), &report.suspects, now));
+        self.handle_changes(&report.from.name, changes);
         self.changed.notify_one();
-        let suspects = self.machine(|q| q.missing_from(&news.suspects, now));
+        let suspects = self.machine(|q| q.missing_from(&report.suspects, now));
         QuarantineNews { from: node.peers.id.clone(), suspects, makers: Vec::new() }
     }
 
     /// An operator lets a request through again.
     fn release(&self, from: &str, request: Fingerprint) {
         if self.machine(|q| q.release(request)) {
-            self.take(from, vec![(request, Change::Released("operator"))]);
+            self.handle_changes(from, vec![(request, Change::Released("operator"))]);
         }
     }
 
@@ -177,13 +183,13 @@
     }
 
     /// Tells what has changed, and whoever told it.
-    fn take(&self, from: &str, changes: Changes) {
+    fn handle_changes(&self, from: &str, changes: Changes) {
         for (request, change) in changes {
             let same = request.to_string();
             match change {
                 Change::Held(hold) => {
-                    self.held.notify_one();
-                    let targets = self.machine(|q| q.crashed_targets(request, TOLD_MOST));
+                    self.record_due.notify_one();
+                    let targets = self.machine(|q| q.crashed_targets(request, MAX_LOGGED_TARGETS));
                     let left_ms = hold.remaining.map(|left| left.as_millis() as u64);
                     let (same, targets) = (&*same, &*targets);
                     Event::Held { same, from, ends: hold.crashes, targets, left_ms }.emit();
--- a/crates/forward/src/quarantine/spread.rs
+++ b/crates/forward/src/quarantine/spread.rs
@@ -11,51 +11,52 @@
 use model::member::{Node as PeerNode, NodeId};
 use util::http::{CallError, Client};
 
-use super::OWN;
+use super::OWN_REQUESTS;
 use crate::events::Event;
 use crate::node::Node;
-use crate::peers::{self, AT_ONCE, QUARANTINE};
+use crate::peers::{self, MAX_CONCURRENT_SENDS, QUARANTINE};
 
 /// Time between looks at who is still to be told: peers come, or did not answer.
-const LOOK: Duration = Duration::from_millis(250);
+const SCAN_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for a peer's answer, the farthest region's included.
 const TIMEOUT: Duration = Duration::from_millis(800);
 /// Time after which a peer that did not answer is told again.
-const AGAIN: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Peers with a message under way, and those that did not answer.
 #[derive(Default)]
-pub(super) struct Pace {
-    busy: RefCell<HashSet<NodeId>>,
-    silent: RefCell<HashMap<NodeId, Time>>,
+pub(super) struct PeerSends {
+    in_flight: RefCell<HashSet<NodeId>>,
+    failed_at: RefCell<HashMap<NodeId, Time>>,
 }
 
-impl Pace {
-    fn may(&self, peer: &NodeId, now: Time) -> bool {
-        let is_silent = self.silent.borrow().get(peer).is_some_and(|at| now.since(*at) < AGAIN);
-        !is_silent && !self.busy.borrow().contains(peer)
+impl PeerSends {
+    fn can_send(&self, peer: &NodeId, now: Time) -> bool {
+        let is_delayed =
+            self.failed_at.borrow().get(peer).is_some_and(|at| now.since(*at) < RETRY_DELAY);
+        !is_delayed && !self.in_flight.borrow().contains(peer)
     }
 
     fn has_failed(&self, peer: &NodeId) -> bool {
-        self.silent.borrow().contains_key(peer)
+        self.failed_at.borrow().contains_key(peer)
     }
 
-    fn begin(&self, peer: &NodeId) {
-        self.busy.borrow_mut().insert(peer.clone());
+    fn start_send(&self, peer: &NodeId) {
+        self.in_flight.borrow_mut().insert(peer.clone());
     }
 
-    fn end(&self, peer: &NodeId, answered: bool, now: Time) {
-        self.busy.borrow_mut().remove(peer);
-        let mut silent = self.silent.borrow_mut();
+    fn finish_send(&self, peer: &NodeId, answered: bool, now: Time) {
+        self.in_flight.borrow_mut().remove(peer);
+        let mut failed_at = self.failed_at.borrow_mut();
         if answered {
-            silent.remove(peer);
+            failed_at.remove(peer);
         } else {
-            silent.insert(peer.clone(), now);
+            failed_at.insert(peer.clone(), now);
         }
     }
 
-    fn free(&self) -> usize {
-        AT_ONCE.saturating_sub(self.busy.borrow().len())
+    fn free_slots(&self) -> usize {
+        MAX_CONCURRENT_SENDS.saturating_sub(self.in_flight.borrow().len())
     }
 }
 
@@ -66,36 +67,36 @@
         if q.machine(|m| m.is_empty()) {
             q.changed.notified().await;
         } else {
-            let _ = tokio::time::timeout(LOOK, q.changed.notified()).await;
+            let _ = tokio::time::timeout(SCAN_INTERVAL, q.changed.notified()).await;
         }
         let now = node.now();
         let changes = q.machine(|m| m.expire(now));
-        q.take(OWN, changes);
+        q.handle_changes(OWN_REQUESTS, changes);
         let peers = node.peers.roster(|r| r.peers());
-        let may = |id: &NodeId| q.pace.may(id, now);
-        let unsent = q.machine(|m| m.outgoing(&node.peers.id.name, &peers, may, now));
-        for message in unsent.into_iter().take(q.pace.free()) {
-            q.pace.begin(&message.peer.id);
+        let can_send = |id: &NodeId| q.peer_sends.can_send(id, now);
+        let messages = q.machine(|m| m.outgoing(&node.peers.id.name, &peers, can_send, now));
+        for message in messages.into_iter().take(q.peer_sends.free_slots()) {
+            q.peer_sends.start_send(&message.peer.id);
             tokio::task::spawn_local(send(node.clone(), message));
         }
     }
 }
 
-fn news_of(node: &Node, suspects: Vec<SuspectNews>, makers: Vec<MakerEnd>) -> QuarantineNews {
+fn build_report(node: &Node, suspects: Vec<SuspectNews>, makers: Vec<MakerEnd>) -> QuarantineNews {
     QuarantineNews { from: node.peers.id.clone(), suspects, makers }
 }
 
 /// Tells all peers of a maker's end, once: the node that took an attempt is not known. One that
 /// does not hear of it misses one end of those that hold a request.
-pub(super) fn tell_all(node: &Rc<Node>, end: MakerEnd) {
+pub(super) fn broadcast_crash(node: &Rc<Node>, crash: MakerEnd) {
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        let question = news_of(&node, Vec::new(), vec![end]);
+        let report = build_report(&node, Vec::new(), vec![crash]);
         let peers = node.peers.roster(|r| r.peers());
-        let each = |_: &PeerNode, told: Result<QuarantineNews, CallError>| {
-            let _ = told.inspect_err(|e| log::debug!("quarantine: {e}"));
+        let each = |_: &PeerNode, result: Result<QuarantineNews, CallError>| {
+            let _ = result.inspect_err(|e| log::debug!("quarantine: {e}"));
         };
-        peers::tell_many(&node, &peers, QUARANTINE, &question, TIMEOUT, each).await;
+        peers::broadcast(&node, &peers, QUARANTINE, &report, TIMEOUT, each).await;
     });
 }
 
@@ -103,17 +104,17 @@
     let Outgoing { peer, news, versions } = message;
     let q = &node.quarantine;
     // A kept connection may have fallen silent.
-    let fresh = q.pace.has_failed(&peer.id).then(|| Client::new(peers::CONNECT));
-    let client = fresh.as_ref().unwrap_or(&node.client);
-    let question = news_of(&node, news, Vec::new());
-    let end = peers::tell(&node, client, peer.entry, QUARANTINE, &question, TIMEOUT).await;
-    let has_answered = match end {
-        Ok(beyond) => {
-            q.hear(&node, &beyond);
+    let new_client = q.peer_sends.has_failed(&peer.id).then(|| Client::new(peers::CONNECT_TIMEOUT));
+    let client = new_client.as_ref().unwrap_or(&node.client);
+    let report = build_report(&node, news, Vec::new());
+    let result = peers::call_named(&node, client, peer.entry, QUARANTINE, &report, TIMEOUT).await;
+    let answered = match result {
+        Ok(reply) => {
+            q.merge_report(&node, &reply);
             q.machine(|m| m.acknowledge(&peer.id, &versions));
             true
         }
-        Err(e) if peers::is_unknown(&e) => {
+        Err(e) if peers::is_unsupported(&e) => {
             q.machine(|m| m.mark_unsupported(&peer.id));
             Event::Stranger { peer: &peer.id.name, what: QUARANTINE }.emit();
             true
@@ -123,6 +124,6 @@
             false
         }
     };
-    q.pace.end(&peer.id, has_answered, node.now());
+    q.peer_sends.finish_send(&peer.id, answered, node.now());
     q.changed.notify_one();
 }
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -194,7 +194,7 @@
     let stands = write::set(&node, &order, state).await;
     if !stands {
         let ended = node.now();
-        Backoff::default().failed(&node, RETRY_LONGEST).await;
+        Backoff::default().wait(&node, RETRY_LONGEST).await;
         while is_held(&node, &judging) && !is_confirmed_since(&node, ended) {
             tokio::time::sleep(LOOK).await;
         }
@@ -217,5 +217,5 @@
 /// Whether the store has confirmed the orders known here since a time.
 fn is_confirmed_since(node: &Node, since: Time) -> bool {
     let now = node.now();
-    node.feed.age_of(Kind::Rollouts, now).is_some_and(|age| now - age.now > since)
+    node.feed.age_of(Kind::Rollouts, now).is_some_and(|age| now - age.current > since)
 }
--- a/crates/forward/src/rollout/report.rs
+++ b/crates/forward/src/rollout/report.rs
@@ -77,7 +77,7 @@
     peer: &PeerNode,
     report: &RolloutReport,
 ) -> Result<RolloutAnswer, Silence> {
-    peers::ask(node, peer.entry, ROLLOUT, report, TIMEOUT).await.map_err(|e| {
+    peers::call(node, peer.entry, ROLLOUT, report, TIMEOUT).await.map_err(|e| {
         log::debug!("rollout: {e}");
         if e.status().is_some() { Silence::Unheard } else { Silence::Lost }
     })
--- a/crates/forward/src/rollout/write.rs
+++ b/crates/forward/src/rollout/write.rs
@@ -12,8 +12,8 @@
 use crate::border::Put;
 use crate::events::Event;
 use crate::node::Node;
-use crate::peers::{self, ROLLOUT_STATE, RemoteState};
-use crate::watch::STORE_CONNECT;
+use crate::peers::{self, ROLLOUT_STATE, StateWrite};
+use crate::watch::STORE_CONNECT_TIMEOUT;
 
 /// Time for the store's answer. One that is slow by 60 times takes 240 ms; without an answer
 /// the watch tells what became of the write.
@@ -76,7 +76,7 @@
     node.metrics.store_call(WHAT);
     let store = node.settings().store.to_string();
     // A connection of its own: one whose answer was lost says nothing further.
-    let client = Client::new(STORE_CONNECT);
+    let client = Client::new(STORE_CONNECT_TIMEOUT);
     let end = client.put(&store, &path, media, body, TIMEOUT).await;
     let written = Written::of(&end);
     let why = end.err().map(|e| e.to_string()).unwrap_or_default();
@@ -99,9 +99,9 @@
     let first: Vec<PeerNode> = node
         .peers
         .roster(|r| r.coordinators(key.as_str(), node.now()).flatten().take(PEERS).collect());
-    let message = RemoteState { order: order.clone(), state };
+    let message = StateWrite { order: order.clone(), state };
     for peer in first {
-        match peers::ask(node, peer.entry, ROLLOUT_STATE, &message, PEER_TIMEOUT).await {
+        match peers::call(node, peer.entry, ROLLOUT_STATE, &message, PEER_TIMEOUT).await {
             Ok(Some(stands)) => return stands,
             Ok(None) => {}
             Err(e) => log::debug!("rollout: {e}"),
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -62,7 +62,7 @@
     node.peers.roster(|r| r.stop());
     // Peers turn to others at once; what they have placed here is still made.
     node.peers.leave();
-    node.feed.wake();
+    node.feed.notify();
     node.pools.hand_over(node);
     let most = Duration::from_millis(node.settings().stop_ms).saturating_sub(STOP_MARGIN);
     loop {
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -17,7 +17,7 @@
 use super::reply::{self, Body};
 use crate::events::Event;
 use crate::node::Node;
-use crate::quarantine::HELD;
+use crate::quarantine::HELD_REASON;
 use crate::rules::{Table, choose_service};
 
 /// Silence of the store after which an unknown route or key may simply be new.
@@ -110,12 +110,12 @@
     let body = body.map_err(|r| r.into_response(node, &head))?;
     let Found { route, service, workspace, rank, allowed } = found;
     let fingerprint = fingerprint(&parts, &head, workspace.as_ref(), &body);
-    if let Some(hold) = node.quarantine.comes(node, fingerprint) {
+    if let Some(hold) = node.quarantine.record_arrival(node, fingerprint) {
         node.metrics.held_back(&route.name);
         let refusal = Refusal {
             come_back: hold.remaining,
             same: Some(fingerprint),
-            ..Refusal::new(StatusCode::SERVICE_UNAVAILABLE, HELD)
+            ..Refusal::new(StatusCode::SERVICE_UNAVAILABLE, HELD_REASON)
         };
         return Err(refusal.into_response(node, &head));
     }
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -12,7 +12,7 @@
 use crate::events::Event;
 use crate::limits::{self, Permit};
 use crate::prefill::{self, Prompt, Ticket};
-use crate::quarantine::HELD;
+use crate::quarantine::HELD_REASON;
 use crate::rollout;
 use crate::stages::Made;
 
@@ -244,7 +244,7 @@
     pub(super) async fn next_target(&self, chosen: Option<Target>) -> Option<Choice> {
         if self.held().is_some() {
             self.node.metrics.held_back(&self.route.name);
-            self.progress(|p| p.why = HELD.into());
+            self.progress(|p| p.why = HELD_REASON.into());
             return None;
         }
         let tries = self.progress(|p| p.tries);
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -146,7 +146,7 @@
             ended: false,
         };
         let _open = node.opened();
-        node.quarantine.begins(&admitted.head.id, admitted.fingerprint);
+        node.quarantine.attempt_started(&admitted.head.id, admitted.fingerprint);
         let deadline = admitted.deadline - ANSWER_MARGIN;
         let admitted = Admitted { deadline, ..admitted };
         Exchange { node, admitted, progress: RefCell::new(progress), _open }
@@ -320,12 +320,12 @@
 
     /// What a target had begun of the request broke off there.
     pub(super) fn broke_off_at(&self, target: &Target) {
-        self.node.quarantine.broke_off(&self.node, target, self.fingerprint);
+        self.node.quarantine.request_interrupted(&self.node, target, self.fingerprint);
     }
 
     /// A target answered the request to its end.
     pub(super) fn answered_whole(&self) {
-        self.node.quarantine.answered(&self.node, self.fingerprint);
+        self.node.quarantine.request_answered(&self.node, self.fingerprint);
     }
 
     /// Why the request is not to be sent any more, since the targets that ran it ended.
@@ -413,6 +413,6 @@
 impl Drop for Exchange {
     fn drop(&mut self) {
         self.log_end(0, "caller_left");
-        self.node.quarantine.is_over(&self.head.id);
+        self.node.quarantine.attempt_ended(&self.head.id);
     }
 }
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -20,7 +20,7 @@
 use crate::heard;
 use crate::node::Node;
 use crate::prefill::Ticket;
-use crate::quarantine::HELD;
+use crate::quarantine::HELD_REASON;
 use crate::rollout::{self, Sent};
 use crate::stages::Made;
 use crate::upstream::{self, Answer};
@@ -115,7 +115,7 @@
         Ok(socket) => socket,
         Err(e) => {
             if e.is_refused() {
-                exchange.node.quarantine.seen_ended(target, "refused");
+                exchange.node.quarantine.crash_observed(target, "refused");
             }
             return attempt.nothing(Observation::Unreachable, e.to_string());
         }
@@ -129,8 +129,8 @@
         exchange.progress(|p| p.why = "its permit ran out on the way".into());
         return Outcome::Nothing;
     }
-    if !exchange.node.quarantine.sends(&exchange.node, &exchange.head.id, exchange.fingerprint) {
-        exchange.progress(|p| p.why = HELD.into());
+    if !exchange.node.quarantine.try_send(&exchange.node, &exchange.head.id, exchange.fingerprint) {
+        exchange.progress(|p| p.why = HELD_REASON.into());
         return Outcome::Nothing;
     }
     exchange.progress(|p| p.tries.connected());
@@ -197,7 +197,7 @@
             return self.may_have_run("answer to another request".into());
         }
         if said.misdirected {
-            self.exchange.node.quarantine.seen_ended(self.target, "replaced");
+            self.exchange.node.quarantine.crash_observed(self.target, "replaced");
             return self.not_run(Observation::Replaced, "another target has the address".into());
         }
         heard::take(&self.exchange.node, self.target, &said, self.begun);
--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -88,8 +88,8 @@
     let ended = tokio::time::timeout(timeout, work).await;
     let (end, observed, why) = ended.unwrap_or_else(|_| too_long());
     match observed {
-        Observation::Interrupted => node.quarantine.call_broke_off(node, &target, &call.pieces),
-        Observation::Replaced => node.quarantine.seen_ended(&target, "replaced"),
+        Observation::Interrupted => node.quarantine.call_interrupted(node, &target, &call.pieces),
+        Observation::Replaced => node.quarantine.crash_observed(&target, "replaced"),
         _ => {}
     }
     let results = match &end {
--- a/crates/forward/src/stages/free.rs
+++ b/crates/forward/src/stages/free.rs
@@ -14,7 +14,7 @@
 use crate::crossed::{Crossing, Kind};
 use crate::heard;
 use crate::node::Node;
-use crate::peers::{self, FREE, RemoteFree};
+use crate::peers::{self, FREE, FreeRequest};
 
 /// Time during which results of one maker or coordinator are gathered into one call.
 const GATHER: Duration = Duration::from_millis(10);
@@ -71,8 +71,8 @@
             node.pools.freed(&node, &pool, handles);
         }
         Place::Coordinator(peer, pool) => {
-            let message = RemoteFree { pool, handles };
-            if peers::ask::<_, ()>(&node, peer, FREE, &message, TIMEOUT).await.is_err() {
+            let message = FreeRequest { pool, handles };
+            if peers::call::<_, ()>(&node, peer, FREE, &message, TIMEOUT).await.is_err() {
                 node.pools.freer.at_makers(&node, &message.pool, message.handles);
             }
         }
--- a/crates/forward/src/stages/order.rs
+++ b/crates/forward/src/stages/order.rs
@@ -110,7 +110,7 @@
         if node.peers.roster(|r| r.is_silent(&peer.id)) {
             // Whoever else is gone with it is found out at once, not one order after another.
             let others = node.peers.roster(|r| r.survey(&pool, node.now()));
-            peers::ask_all(node, &others).await;
+            peers::ping_all(node, &others).await;
         }
         asked.push(peer.id);
         spend(order, node.now().since(now));
@@ -154,7 +154,7 @@
     let due = node.peers.roster(|r| r.checks_due(pool, node.now()));
     if !due.is_empty() {
         let node = node.clone();
-        tokio::task::spawn_local(async move { peers::ask_all(&node, &due).await });
+        tokio::task::spawn_local(async move { peers::ping_all(&node, &due).await });
     }
 }
 
@@ -166,7 +166,7 @@
     }
     let begun = node.now();
     let doubted = node.peers.roster(|r| r.eligible_among(&order.skipped));
-    peers::ask_all(node, &doubted).await;
+    peers::ping_all(node, &doubted).await;
     spend(&mut order, node.now().since(begun));
     let first = node.peers.roster(|r| r.coordinators(&order.pool(), node.now()).next());
     let Some(Some(peer)) = first else {
@@ -223,7 +223,7 @@
     let begun = node.now();
     node.peers.roster(|r| r.begin_wait(&peer.id, begun));
     let timeout = Duration::from_millis(order.left_ms);
-    let call = peers::ask::<_, BatchAnswer>(node, peer.entry, BATCH, order, timeout);
+    let call = peers::call::<_, BatchAnswer>(node, peer.entry, BATCH, order, timeout);
     let answer = tokio::select! {
         answer = call => answer,
         why = lost(node, peer, begun) => return Err(why.into()),
@@ -250,7 +250,7 @@
     loop {
         tokio::time::sleep(LOOK).await;
         let sound = node.peers.roster(|r| r.is_awaitable(&peer.id));
-        if !sound || !peers::answers(node, peer).await {
+        if !sound || !peers::is_responsive(node, peer).await {
             return "it is suspected or gone";
         }
         if node.peers.is_hung(&peer.id, begun) {
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -101,7 +101,7 @@
     let Some(peer) = order::coordinator_in(&node, &pool) else {
         return;
     };
-    match peers::ask::<_, Waits>(&node, peer.entry, WAITS, &pool, WAITS_TIMEOUT).await {
+    match peers::call::<_, Waits>(&node, peer.entry, WAITS, &pool, WAITS_TIMEOUT).await {
         Ok(waits) => runner.spill.borrow_mut().update_waits(region, waits, node.now()),
         Err(e) => log::debug!("waits of {region}: {e}"),
     }
--- a/crates/forward/src/watch/ages.rs
+++ b/crates/forward/src/watch/ages.rs
@@ -13,48 +13,48 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Age {
     /// Time since it was last confirmed.
-    pub now: Duration,
+    pub current: Duration,
     /// Greatest age that it ever reached.
-    pub longest: Duration,
+    pub max: Duration,
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct KindAge {
     confirmed: Cell<Option<Time>>,
-    longest: Cell<Duration>,
-    is_old: Cell<bool>,
+    max: Cell<Duration>,
+    is_stale: Cell<bool>,
 }
 
 /// Ages of all kinds.
 #[derive(Debug, Default)]
-pub struct Ages([Known; Kind::AGED.len()]);
+pub struct Ages([KindAge; Kind::AGED.len()]);
 
 impl Ages {
-    fn of(&self, kind: Kind) -> &Known {
+    fn of(&self, kind: Kind) -> &KindAge {
         &self.0[kind as usize]
     }
 
     /// The store confirmed a kind at this time; earlier news change nothing.
     pub fn confirm(&self, kind: Kind, at: Time, now: Time) {
-        let known = self.of(kind);
-        let Some(before) = known.confirmed.get() else {
-            known.confirmed.set(Some(at));
+        let state = self.of(kind);
+        let Some(last) = state.confirmed.get() else {
+            state.confirmed.set(Some(at));
             return;
         };
-        known.longest.set(known.longest.get().max(now.since(before)));
-        known.confirmed.set(Some(before.max(at)));
+        state.max.set(state.max.get().max(now.since(last)));
+        state.confirmed.set(Some(last.max(at)));
     }
 
     /// Age of a kind if it has become old, or has been confirmed after that, since the last look.
-    pub fn turn(&self, kind: Kind, now: Time) -> Option<(bool, Age)> {
+    pub fn take_transition(&self, kind: Kind, now: Time) -> Option<(bool, Age)> {
         let age = self.age(kind, now)?;
-        let is_old = age.now >= waits::STALE_AFTER;
-        let was_old = self.of(kind).is_old.replace(is_old);
-        (is_old != was_old).then_some((is_old, age))
+        let is_stale = age.current >= waits::STALE_AFTER;
+        let was_stale = self.of(kind).is_stale.replace(is_stale);
+        (is_stale != was_stale).then_some((is_stale, age))
     }
 
     /// Nothing is known of a kind yet.
-    pub fn forget(&self, kind: Kind) {
+    pub fn clear(&self, kind: Kind) {
         self.of(kind).confirmed.set(None);
     }
 
@@ -65,8 +65,8 @@
 
     /// Age of a kind; `None` if it is not known.
     pub fn age(&self, kind: Kind, now: Time) -> Option<Age> {
-        let known = self.of(kind);
-        let age = now.since(known.confirmed.get()?);
-        Some(Age { now: age, longest: known.longest.get().max(age) })
+        let state = self.of(kind);
+        let age = now.since(state.confirmed.get()?);
+        Some(Age { current: age, max: state.max.get().max(age) })
     }
 }
--- a/crates/forward/src/watch/evacuations.rs
+++ b/crates/forward/src/watch/evacuations.rs
@@ -7,12 +7,12 @@
 use model::Name;
 use model::forward::Evacuations;
 
-use super::lists::Listed;
+use super::lists::ListKind;
 use crate::border::{Change, Kind};
 use crate::events::Event;
 use crate::node::Node;
 
-impl Listed for Evacuations {
+impl ListKind for Evacuations {
     const KIND: Kind = Kind::Evacuations;
     type Object = ();
 
@@ -25,26 +25,26 @@
         }
     }
 
-    fn known(node: &Node) -> BTreeMap<Name, ()> {
+    fn in_force(node: &Node) -> BTreeMap<Name, ()> {
         node.fleet(|f| f.evacuated().domains().map(|domain| (domain.clone(), ())).collect())
     }
 
-    fn take(node: &Node, at: u64, list: &List<()>) {
+    fn apply(node: &Node, at: u64, list: &List<()>) {
         let domains = list.objects().keys().cloned().collect();
-        take(node, Evacuations { at, domains }, "store");
+        apply(node, Evacuations { at, domains }, "store");
     }
 
     fn is_current(node: &Node) -> bool {
         node.fleet(|f| f.evacuated().is_current())
     }
 
-    fn needed(_node: &Node) -> Option<u64> {
+    fn required_revision(_node: &Node) -> Option<u64> {
         None
     }
 }
 
 /// Puts a list in force unless a newer one is, and tells the peers that follow this node.
-pub(super) fn take(node: &Node, list: Evacuations, from: &str) {
+pub(super) fn apply(node: &Node, list: Evacuations, from: &str) {
     let now = node.now();
     let revision = list.at;
     let was_known = node.fleet(|f| f.evacuated().is_known());
@@ -58,6 +58,6 @@
         Event::Evacuation { domain, state, revision, from, age_ms }.emit();
     }
     if !changes.is_empty() || !was_known {
-        node.feed.wake();
+        node.feed.notify();
     }
 }
--- a/crates/forward/src/watch/feed.rs
+++ b/crates/forward/src/watch/feed.rs
@@ -18,11 +18,11 @@
 use crate::events::Event;
 
 /// Age from which on the state is no use to a peer, which then asks another one.
-const STALE: Duration = Duration::from_millis(1_600);
+const STALE_AGE: Duration = Duration::from_millis(1_600);
 /// Time by which lists may be older than targets: a watch of theirs lasts so much longer.
-const LISTS_OLDER: Duration = Duration::from_millis(500);
+const LIST_AGE_ALLOWANCE: Duration = Duration::from_millis(500);
 /// Kinds that operators keep as lists.
-const LISTS: [Kind; 2] = [Kind::Evacuations, Kind::Rollouts];
+const LIST_KINDS: [Kind; 2] = [Kind::Evacuations, Kind::Rollouts];
 
 /// Revision, history and age of the targets' state.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     epoch: Cell<u64>,
     ages: Ages,
     out_of_touch: Cell<bool>,
-    news: watch::Sender<()>,
+    changed: watch::Sender<()>,
     reads_store: watch::Sender<bool>,
     /// For those that know nothing yet.
     pub snapshot: SnapshotCache,
@@ -41,7 +41,7 @@
 impl Default for Feed {
     fn default() -> Self {
         let ages = Ages::default();
-        for kind in LISTS {
+        for kind in LIST_KINDS {
             // Not followed, so never too old.
             ages.confirm(kind, Time::NEVER, Time::ZERO);
         }
@@ -50,7 +50,7 @@
             epoch: Cell::new(0),
             ages,
             out_of_touch: Cell::new(false),
-            news: watch::Sender::new(()),
+            changed: watch::Sender::new(()),
             reads_store: watch::Sender::new(false),
             snapshot: SnapshotCache::default(),
         }
@@ -60,11 +60,11 @@
 impl Feed {
     /// A list is part of the state from now on.
     pub fn follow(&self, kind: Kind) {
-        self.ages.forget(kind);
+        self.ages.clear(kind);
     }
 
     /// Revision that the state is at; `None` if none was ever read.
-    pub fn at(&self) -> Option<u64> {
+    pub fn revision(&self) -> Option<u64> {
         Some(self.history.borrow().at()).filter(|at| *at > 0)
     }
 
@@ -76,7 +76,8 @@
     /// Age of the state: time since the store confirmed it, that of lists less what they may
     /// be older.
     pub fn age(&self, now: Time) -> Duration {
-        let lists_at = LISTS.map(|kind| self.ages.confirmed(kind).map(|at| at + LISTS_OLDER));
+        let lists_at =
+            LIST_KINDS.map(|kind| self.ages.confirmed(kind).map(|at| at + LIST_AGE_ALLOWANCE));
         let oldest = lists_at.into_iter().fold(self.ages.confirmed(Kind::Targets), Option::min);
         oldest.map_or(Duration::MAX, |at| now.since(at))
     }
@@ -88,10 +89,10 @@
     }
 
     /// Tells of kinds that have become old, or are no longer.
-    pub fn tell_old(&self, now: Time) {
+    pub fn log_stale_kinds(&self, now: Time) {
         for kind in Kind::AGED {
-            if let Some((old, age)) = self.ages.turn(kind, now) {
-                let (age_ms, longest_ms) = (millis(age.now), millis(age.longest));
+            if let Some((old, age)) = self.ages.take_transition(kind, now) {
+                let (age_ms, longest_ms) = (millis(age.current), millis(age.max));
                 Event::Known { kind: kind.as_str(), old, age_ms, longest_ms }.emit();
             }
         }
@@ -99,9 +100,9 @@
 
     /// Whether this node's own source fails it, which for a relay is the store alone. Those that
     /// follow this node are told at once, for better or worse.
-    pub fn set_out_of_touch(&self, is_out: bool) {
-        if self.out_of_touch.replace(is_out) != is_out {
-            self.wake();
+    pub fn set_out_of_touch(&self, out_of_touch: bool) {
+        if self.out_of_touch.replace(out_of_touch) != out_of_touch {
+            self.notify();
         }
     }
 
@@ -112,14 +113,14 @@
 
     /// Whether an answer of this age is worth following.
     pub fn is_stale(age: Duration) -> bool {
-        age > STALE
+        age > STALE_AGE
     }
 
     /// A peer told of a state of this age, from which what lists may be older is off.
     pub fn confirm_all(&self, at: Time, now: Time) {
         self.confirm(Kind::Targets, at, now);
-        for kind in LISTS {
-            self.confirm(kind, at - LISTS_OLDER, now);
+        for kind in LIST_KINDS {
+            self.confirm(kind, at - LIST_AGE_ALLOWANCE, now);
         }
     }
 
@@ -128,7 +129,7 @@
         let was_stale = Feed::is_stale(self.age(now));
         self.ages.confirm(kind, at, now);
         if was_stale && !Feed::is_stale(self.age(now)) {
-            self.wake();
+            self.notify();
         }
     }
 
@@ -138,39 +139,39 @@
     }
 
     /// Returns once this node reads the store.
-    pub async fn reads_store(&self) {
+    pub async fn until_reads_store(&self) {
         let mut reads = self.reads_store.subscribe();
         let _ = reads.wait_for(|reads| *reads).await;
     }
 
     /// The whole state was read at a revision of an epoch.
-    pub fn restart(&self, epoch: u64, at: u64) {
+    pub fn restart(&self, epoch: u64, revision: u64) {
         self.epoch.set(epoch);
-        self.history.borrow_mut().restart(at);
-        self.wake();
+        self.history.borrow_mut().restart(revision);
+        self.notify();
     }
 
     /// Changes up to a revision were taken.
-    pub fn append(&self, at: u64, changes: Vec<TargetChange>) {
-        let news = !changes.is_empty();
-        self.history.borrow_mut().append(at, changes);
-        if news {
-            self.wake();
+    pub fn append(&self, revision: u64, changes: Vec<TargetChange>) {
+        let has_changes = !changes.is_empty();
+        self.history.borrow_mut().append(revision, changes);
+        if has_changes {
+            self.notify();
         }
     }
 
     /// Changes after a revision; `None` if the whole state is needed.
-    pub fn since(&self, at: u64) -> Option<Vec<TargetChange>> {
-        self.history.borrow().since(at)
+    pub fn changes_since(&self, revision: u64) -> Option<Vec<TargetChange>> {
+        self.history.borrow().since(revision)
     }
 
     /// Tells those that wait that there is news.
-    pub fn wake(&self) {
-        self.news.send_replace(());
+    pub fn notify(&self) {
+        self.changed.send_replace(());
     }
 
     /// Tells whenever there is news.
-    pub fn news(&self) -> watch::Receiver<()> {
-        self.news.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<()> {
+        self.changed.subscribe()
     }
 }
--- a/crates/forward/src/watch/mod.rs
+++ b/crates/forward/src/watch/mod.rs
@@ -25,11 +25,11 @@
 pub use ages::Age;
 pub use backoff::Backoff;
 pub use feed::Feed;
-pub use store::{CONNECT as STORE_CONNECT, Reader, Step};
-pub use targets::answer;
+pub use store::{CONNECT_TIMEOUT as STORE_CONNECT_TIMEOUT, Reader, StoreUpdate};
+pub use targets::answer_follower;
 
 /// Time between looks at targets whose entries vanished, and at the age of what is known.
-const EXPIRE: Duration = Duration::from_millis(200);
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts following all kinds.
 pub fn start(node: &Rc<Node>) {
@@ -57,7 +57,7 @@
 async fn expire(node: Rc<Node>) {
     let mut suspended = Duration::ZERO;
     loop {
-        tokio::time::sleep(EXPIRE).await;
+        tokio::time::sleep(EXPIRE_INTERVAL).await;
         let now = node.now();
         let before = std::mem::replace(&mut suspended, node.clock.suspended());
         if suspended > before {
@@ -65,7 +65,7 @@
         }
         node.fleet(|f| f.expire(now));
         node.limits.expire(&node);
-        node.feed.tell_old(now);
+        node.feed.log_stale_kinds(now);
     }
 }
 
--- a/crates/forward/src/watch/rollouts.rs
+++ b/crates/forward/src/watch/rollouts.rs
@@ -10,7 +10,7 @@
 use model::forward::{FollowAsk, Rollout, Rollouts};
 use util::http::Client;
 
-use super::lists::Listed;
+use super::lists::ListKind;
 use super::relays;
 use crate::border::{Change, Kind};
 use crate::events::Event;
@@ -20,14 +20,14 @@
 /// Time for a peer that is asked at the start, over a new connection.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between looks at whether any peer is known yet.
-const ASK_EVERY: Duration = Duration::from_millis(50);
+const ASK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time after which a node that found no peer goes on without one: most are found within a
 /// second, and until then one of a service's versions serves alone.
-const ASK_LONGEST: Duration = Duration::from_secs(3);
+const MAX_ASK_TIME: Duration = Duration::from_secs(3);
 /// Peers asked: one may have just started too.
-const ASKED: usize = 3;
+const MAX_ASKED_PEERS: usize = 3;
 
-impl Listed for Rollouts {
+impl ListKind for Rollouts {
     const KIND: Kind = Kind::Rollouts;
     type Object = Rollout;
 
@@ -40,15 +40,15 @@
         }
     }
 
-    fn known(node: &Node) -> BTreeMap<Name, Rollout> {
+    fn in_force(node: &Node) -> BTreeMap<Name, Rollout> {
         let orders = node.fleet(|f| f.versions().list()).unwrap_or_default().orders;
         orders.into_iter().map(|order| (order.service.clone(), order)).collect()
     }
 
-    fn take(node: &Node, at: u64, list: &List<Rollout>) {
+    fn apply(node: &Node, at: u64, list: &List<Rollout>) {
         let orders = list.objects().values().cloned().collect();
         let unreadable = list.unreadable().cloned().collect();
-        take(node, Rollouts { at, orders, unreadable, withdrawn: Vec::new() }, "store");
+        apply(node, Rollouts { at, orders, unreadable, withdrawn: Vec::new() }, "store");
     }
 
     fn is_current(node: &Node) -> bool {
@@ -56,23 +56,23 @@
     }
 
     /// A version that came beside another one gets nothing before orders are known up to then.
-    fn needed(node: &Node) -> Option<u64> {
+    fn required_revision(node: &Node) -> Option<u64> {
         node.fleet(|f| f.versions().unsettled())
     }
 }
 
 /// Asks peers, at the start, which orders were withdrawn before: the store does not tell.
 pub(super) async fn ask_peers(node: Rc<Node>) {
-    let limit = node.now() + ASK_LONGEST;
-    while node.now() < limit && !ask_some(&node).await {
-        tokio::time::sleep(ASK_EVERY).await;
+    let deadline = node.now() + MAX_ASK_TIME;
+    while node.now() < deadline && !ask_relay_peers(&node).await {
+        tokio::time::sleep(ASK_INTERVAL).await;
     }
     node.fleet(|f| f.versions_mut().set_awaiting_peers(false));
 }
 
 /// Takes what some peers know of orders; whether any answered.
-async fn ask_some(node: &Rc<Node>) -> bool {
-    let client = Client::new(peers::CONNECT);
+async fn ask_relay_peers(node: &Rc<Node>) -> bool {
+    let client = Client::new(peers::CONNECT_TIMEOUT);
     // Of the targets, nothing.
     let ask = FollowAsk {
         at: u64::MAX,
@@ -83,11 +83,11 @@
         patient: false,
     };
     let mut answered = false;
-    for peer in relays(node).peers.iter().take(ASKED) {
-        let asked = peers::follow(node, &client, peer.entry, &ask, None, ASK_TIMEOUT);
-        let answer = match asked.await {
-            Ok(followed) if !node.is_current(followed.epoch) => continue,
-            Ok(followed) => followed.answer,
+    for peer in relays(node).peers.iter().take(MAX_ASKED_PEERS) {
+        let response = peers::follow(node, &client, peer.entry, &ask, None, ASK_TIMEOUT);
+        let answer = match response.await {
+            Ok(response) if !node.is_current(response.epoch) => continue,
+            Ok(response) => response.answer,
             Err(e) => {
                 log::debug!("orders: {e}");
                 continue;
@@ -95,29 +95,29 @@
         };
         if let Some(list) = answer.rollouts {
             answered = true;
-            take(node, list, &peer.id.name);
+            apply(node, list, &peer.id.name);
         }
     }
     answered
 }
 
 /// Puts a list in force unless a newer one is, and tells the peers that follow this node.
-pub(super) fn take(node: &Node, list: Rollouts, from: &str) {
+pub(super) fn apply(node: &Node, list: Rollouts, from: &str) {
     let now = node.now();
     let (was_known, was_unsettled) =
         node.fleet(|f| (f.versions().is_known(), f.versions().unsettled().is_some()));
     let changes = node.fleet(|f| f.versions_mut().apply(list, now));
     for change in &changes {
-        tell(node, change, from);
+        log_change(node, change, from);
         node.rollouts.changed(change, now);
     }
     let is_settled = node.fleet(|f| f.versions().unsettled().is_none());
     if !changes.is_empty() || !was_known || (was_unsettled && is_settled) {
-        node.feed.wake();
+        node.feed.notify();
     }
 }
 
-fn tell(node: &Node, change: &RolloutChange, from: &str) {
+fn log_change(node: &Node, change: &RolloutChange, from: &str) {
     let (order, what) = match change {
         RolloutChange::Began(order) => (order, "ordered"),
         RolloutChange::State(order) => (order, "state"),
--- a/crates/forward/src/watch/store.rs
+++ b/crates/forward/src/watch/store.rs
@@ -14,19 +14,19 @@
 use crate::node::Node;
 
 /// Time to connect to the store.
-pub const CONNECT: Duration = Duration::from_millis(800);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time for a list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Times that a page is asked for again while the store is busy.
-const PAGE_TRIES: u32 = 12;
+const MAX_PAGE_RETRIES: u32 = 12;
 /// Longest wait before a page is asked for again.
-const PAGE_PAUSE: Duration = Duration::from_millis(600);
+const MAX_PAGE_DELAY: Duration = Duration::from_millis(600);
 /// Wait of a watch that is to be answered at once.
-pub(super) const AT_ONCE: Duration = Duration::from_millis(1);
+pub(super) const NO_WAIT: Duration = Duration::from_millis(1);
 /// Whom an epoch was heard of that the store itself told.
-const STORE: &str = "store";
+const EPOCH_SOURCE: &str = "store";
 /// Status of a call beyond the store's rate.
-const BUSY: u16 = 429;
+const TOO_MANY_REQUESTS: u16 = 429;
 /// Status of a watch whose history is gone.
 const GONE: u16 = 410;
 
@@ -59,40 +59,40 @@
 
 /// What one call brought.
 #[derive(Debug, Default)]
-pub struct Step {
+pub struct StoreUpdate {
     /// Revision that the state is at now.
-    pub at: u64,
+    pub revision: u64,
     /// Epoch of the store that it is of; `None` if the store tells none.
     pub epoch: Option<u64>,
     /// The changes are the whole state.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// They are the begin of a list that could not be read to its end.
-    pub cut: bool,
+    pub truncated: bool,
     /// Changes, oldest first.
     pub changes: Vec<Change>,
     /// Entries that cannot be read.
-    bad: Vec<BadEntry>,
+    malformed: Vec<BadEntry>,
 }
 
-impl Step {
+impl StoreUpdate {
     /// What was read of a list that cannot be continued.
-    fn cut(mut self) -> Self {
-        (self.whole, self.cut) = (false, true);
-        self.bad.push(BadEntry::new(None, "list", "no name to continue after"));
+    fn into_truncated(mut self) -> Self {
+        (self.is_snapshot, self.truncated) = (false, true);
+        self.malformed.push(BadEntry::new(None, "list", "no name to continue after"));
         self
     }
 }
 
 /// Names whose entries can be read after all changes, or are gone.
-fn healed(changes: &[Change]) -> BTreeSet<&Name> {
-    let mut healed = BTreeSet::new();
+fn readable_names(changes: &[Change]) -> BTreeSet<&Name> {
+    let mut names = BTreeSet::new();
     for change in changes {
         if let Change::Unreadable(name) = change {
-            healed.remove(name);
+            names.remove(name);
         }
-        healed.extend(change.read_name());
+        names.extend(change.read_name());
     }
-    healed
+    names
 }
 
 /// Reads one kind of object.
@@ -110,69 +110,73 @@
     /// A reader that has read nothing yet.
     pub fn new(node: Rc<Node>, kind: Kind) -> Self {
         let unreadable = UnreadableEntries::default();
-        let client = Client::new(CONNECT);
+        let client = Client::new(CONNECT_TIMEOUT);
         Reader { node, client, kind, failed: false, unreadable, epoch: None }
     }
 
     /// Changes are asked for of a state of this epoch, which a peer told of.
-    pub fn go_on_from(&mut self, epoch: u64) {
+    pub fn set_epoch(&mut self, epoch: u64) {
         self.epoch = Some(epoch);
     }
 
     /// Reads the whole state, or waits for changes since a revision.
-    pub async fn read(&mut self, at: Option<u64>, wait: Duration) -> Result<Step, ReadError> {
-        let read = match at {
+    pub async fn read(
+        &mut self,
+        since: Option<u64>,
+        wait: Duration,
+    ) -> Result<StoreUpdate, ReadError> {
+        let result = match since {
             None => self.list(false).await,
-            Some(at) => self.watch_surely(at, wait).await,
+            Some(since) => self.watch_with_retry(since, wait).await,
         };
-        match &read {
-            Ok(step) => {
-                self.answered();
-                self.note(step);
+        match &result {
+            Ok(update) => {
+                self.record_success();
+                self.log_malformed(update);
             }
-            Err(e) if e.is_history_gone() => self.answered(),
-            Err(e) => self.lost(&e.to_string()),
+            Err(e) if e.is_history_gone() => self.record_success(),
+            Err(e) => self.record_failure(&e.to_string()),
         }
-        read
+        result
     }
 
     /// Reads the whole state once, beside those that follow it: what becomes of this call says
     /// nothing of the store to others. It may be some seconds old, and is cheaper then.
-    pub async fn look(&mut self, may_be_old: bool) -> Result<Step, ReadError> {
-        let list = self.list(may_be_old).await;
-        match &list {
-            Ok(step) => self.note(step),
-            Err(_) => self.client = Client::new(CONNECT),
+    pub async fn read_once(&mut self, allow_stale: bool) -> Result<StoreUpdate, ReadError> {
+        let result = self.list(allow_stale).await;
+        match &result {
+            Ok(update) => self.log_malformed(update),
+            Err(_) => self.client = Client::new(CONNECT_TIMEOUT),
         }
-        list
+        result
     }
 
-    fn answered(&mut self) {
+    fn record_success(&mut self) {
         if std::mem::take(&mut self.failed) {
             Event::Store { kind: self.kind.as_str(), reachable: true, why: "" }.emit();
         }
         self.node.store_answered();
     }
 
-    fn lost(&mut self, why: &str) {
+    fn record_failure(&mut self, why: &str) {
         if !std::mem::replace(&mut self.failed, true) {
             Event::Store { kind: self.kind.as_str(), reachable: false, why }.emit();
         }
         self.node.store_lost();
         // A new client drops connections that hang behind a cut.
-        self.client = Client::new(CONNECT);
+        self.client = Client::new(CONNECT_TIMEOUT);
     }
 
     /// Tells of entries that cannot be read, or for another reason than before.
-    fn note(&mut self, step: &Step) {
-        if step.whole {
+    fn log_malformed(&mut self, update: &StoreUpdate) {
+        if update.is_snapshot {
             self.unreadable.restart();
         }
         let now = self.node.now();
-        for entry in &step.bad {
+        for entry in &update.malformed {
             let place = match &entry.name {
                 Some(name) => EntryKey::Name(name.clone()),
-                None if step.whole => EntryKey::ListIndex(entry.place.as_str().into()),
+                None if update.is_snapshot => EntryKey::ListIndex(entry.place.as_str().into()),
                 None => EntryKey::ChangeIndex(entry.place.as_str().into()),
             };
             if let Some(untold) = self.unreadable.record(place, &entry.why.as_str().into(), now) {
@@ -180,10 +184,10 @@
                 Event::Unreadable { kind, place, why, untold }.emit();
             }
         }
-        for name in healed(&step.changes) {
+        for name in readable_names(&update.changes) {
             self.unreadable.clear(name);
         }
-        if let Some(Change::Rules(_)) = step.changes.last() {
+        if let Some(Change::Rules(_)) = update.changes.last() {
             self.unreadable.clear_named();
         }
         self.node.metrics.unreadable(self.kind.as_str(), self.unreadable.count());
@@ -196,7 +200,7 @@
         let answer = self.client.get(&store, path, timeout).await?;
         let epoch = self.node.dialect.epoch(answer.headers());
         if let Some(epoch) = epoch {
-            self.node.saw_epoch(epoch, STORE);
+            self.node.saw_epoch(epoch, EPOCH_SOURCE);
         }
         Ok((epoch, answer.into_body()))
     }
@@ -204,76 +208,92 @@
     /// Reads a page, again while the store is busy: after a restart of all nodes their
     /// lists come together, and a list begun anew would only add to them.
     async fn get_page(&self, path: &str) -> Result<(Option<u64>, Bytes), CallError> {
-        for _ in 0..PAGE_TRIES {
+        for _ in 0..MAX_PAGE_RETRIES {
             match self.get(path, LIST_TIMEOUT).await {
-                Err(e) if e.status() == Some(BUSY) => {
-                    let pause = self.node.rng(|r| r.jitter(PAGE_PAUSE));
-                    tokio::time::sleep(pause).await;
+                Err(e) if e.status() == Some(TOO_MANY_REQUESTS) => {
+                    let delay = self.node.rng(|r| r.jitter(MAX_PAGE_DELAY));
+                    tokio::time::sleep(delay).await;
                 }
-                end => return end,
+                result => return result,
             }
         }
         self.get(path, LIST_TIMEOUT).await
     }
 
-    async fn list(&mut self, may_be_old: bool) -> Result<Step, ReadError> {
-        let step = self.pages(may_be_old).await?;
-        self.epoch = step.epoch;
-        Ok(step)
+    async fn list(&mut self, allow_stale: bool) -> Result<StoreUpdate, ReadError> {
+        let update = self.read_pages(allow_stale).await?;
+        self.epoch = update.epoch;
+        Ok(update)
     }
 
-    async fn pages(&self, may_be_old: bool) -> Result<Step, ReadError> {
+    async fn read_pages(&self, allow_stale: bool) -> Result<StoreUpdate, ReadError> {
         let dialect = &self.node.dialect;
-        let mut step = Step { whole: true, ..Step::default() };
+        let mut update = StoreUpdate { is_snapshot: true, ..StoreUpdate::default() };
         let mut after = None;
-        let mut asked = BTreeSet::new();
+        let mut cursors = BTreeSet::new();
         loop {
-            let path = match may_be_old {
+            let path = match allow_stale {
                 true => dialect.old_list(self.kind, after.as_ref()),
                 false => dialect.list(self.kind, after.as_ref()),
             };
             let (epoch, body) = self.get_page(&path).await?;
             let page = dialect.page(self.kind, &body)?;
-            if !self.node.is_current(epoch) || (after.is_some() && epoch != step.epoch) {
+            if !self.node.is_current(epoch) || (after.is_some() && epoch != update.epoch) {
                 return Err(ReadError::Restored);
             }
             if after.is_none() {
-                step.epoch = epoch;
+                update.epoch = epoch;
                 // Changes between two pages are seen again from the first revision on.
-                step.at = page.at;
+                update.revision = page.at;
             }
-            step.changes.extend(page.changes);
-            step.bad.extend(page.malformed);
+            update.changes.extend(page.changes);
+            update.malformed.extend(page.malformed);
             match page.more {
-                Some(name) if asked.insert(name.clone()) => after = Some(name),
-                None if !page.cut => return Ok(step),
+                Some(name) if cursors.insert(name.clone()) => after = Some(name),
+                None if !page.cut => return Ok(update),
                 // An entry may bear any name: what comes after one that was asked for is known.
-                Some(_) | None => return Ok(step.cut()),
+                Some(_) | None => return Ok(update.into_truncated()),
             }
         }
     }
 
     /// Watches, and where no answer comes in time asks at once over a new connection what
     /// changed meanwhile: the old one may have fallen silent.
-    async fn watch_surely(&mut self, at: u64, wait: Duration) -> Result<Step, ReadError> {
-        match self.watch(at, wait, wait + waits::WATCH_SLACK).await {
+    async fn watch_with_retry(
+        &mut self,
+        since: u64,
+        wait: Duration,
+    ) -> Result<StoreUpdate, ReadError> {
+        match self.watch(since, wait, wait + waits::WATCH_SLACK).await {
             Err(e) if e.is_timeout() => {
-                self.client = Client::new(CONNECT);
-                self.watch(at, AT_ONCE, waits::RETRY_TIMEOUT).await
+                self.client = Client::new(CONNECT_TIMEOUT);
+                self.watch(since, NO_WAIT, waits::RETRY_TIMEOUT).await
             }
-            end => end,
+            result => result,
         }
     }
 
-    async fn watch(&self, at: u64, wait: Duration, timeout: Duration) -> Result<Step, ReadError> {
-        let path = self.node.dialect.watch(self.kind, at, wait.as_millis() as u64);
+    async fn watch(
+        &self,
+        since: u64,
+        wait: Duration,
+        timeout: Duration,
+    ) -> Result<StoreUpdate, ReadError> {
+        let path = self.node.dialect.watch(self.kind, since, wait.as_millis() as u64);
         let (epoch, body) = self.get(&path, timeout).await?;
         if epoch.is_some() && epoch != self.epoch {
             // Its revisions are of another history than the one that this node is at.
             return Err(ReadError::Restored);
         }
         let page = self.node.dialect.changes(self.kind, &body)?;
-        let Page { changes, malformed: bad, .. } = page;
-        Ok(Step { at: page.at.max(at), epoch, whole: false, cut: false, changes, bad })
+        let Page { changes, malformed, .. } = page;
+        Ok(StoreUpdate {
+            revision: page.at.max(since),
+            epoch,
+            is_snapshot: false,
+            truncated: false,
+            changes,
+            malformed,
+        })
     }
 }
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -16,16 +16,16 @@
 
 use super::feed::Feed;
 use super::snapshot::{SNAPSHOT_TTL, SnapshotKey};
-use super::store::{Reader, Step};
+use super::store::{Reader, StoreUpdate};
 use super::{evacuations, millis, relays, rollouts};
 use crate::border::{Change, Kind};
 use crate::events::Event;
 use crate::node::Node;
-use crate::peers::{self, Followed};
+use crate::peers::{self, FollowResponse};
 
 /// Time after which a list that could not be read to its end is asked for again. Each change
 /// of what it did not bring is heard of meanwhile, and a try costs a call for each page.
-const LIST_AGAIN: Duration = Duration::from_secs(5);
+const RELIST_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Follows until the process ends.
 pub async fn follow(node: Rc<Node>) {
@@ -44,9 +44,9 @@
     /// The store's history does not reach back to this node's revision.
     history_gone: bool,
     /// When a list was read that had no end.
-    cut: Option<Time>,
+    truncated_at: Option<Time>,
     /// Its end was read at a revision that followers have too: at a later one they get it all.
-    owes: bool,
+    snapshot_due: bool,
     source: Option<Source>,
     /// The peer that was told to be behind.
     behind: Option<NodeId>,
@@ -56,15 +56,15 @@
     fn new(node: Rc<Node>) -> Self {
         let reader = Reader::new(node.clone(), Kind::Targets);
         let sources = Sources::default();
-        let client = Client::new(peers::CONNECT);
+        let client = Client::new(peers::CONNECT_TIMEOUT);
         Follower {
             node,
             reader,
             client,
             sources,
             history_gone: false,
-            cut: None,
-            owes: false,
+            truncated_at: None,
+            snapshot_due: false,
             source: None,
             behind: None,
         }
@@ -73,26 +73,26 @@
     async fn step(&mut self) {
         let relays = relays(&self.node);
         let now = self.node.now();
-        let jitter = |most| self.node.rng(|r| r.jitter(most));
+        let jitter = |max| self.node.rng(|r| r.jitter(max));
         let chosen = self.sources.choose(&relays, now, jitter);
         let reads_store = relays.role == Role::Relay || chosen.source == Source::Store;
         self.node.feed.set_reads_store(reads_store);
         if self.source.as_ref() != Some(&chosen.source) {
-            self.tell(&chosen.source);
+            self.log_source(&chosen.source);
             self.source = Some(chosen.source.clone());
         }
         tokio::time::sleep(chosen.pause).await;
         match chosen.source {
-            Source::Store => self.ask_store(&relays).await,
+            Source::Store => self.read_store(&relays).await,
             Source::Peer { node, await_fresh: patient } => {
-                self.ask_peer(&node, patient, relays.role).await
+                self.read_peer(&node, patient, relays.role).await
             }
             Source::Unavailable => return,
         }
         tokio::time::sleep(waits::COALESCE_TIME).await;
     }
 
-    fn tell(&self, source: &Source) {
+    fn log_source(&self, source: &Source) {
         let from = match source {
             Source::Store => "store",
             Source::Peer { node, .. } => &node.id.name,
@@ -102,34 +102,36 @@
         Event::Source { from, age_ms }.emit();
     }
 
-    async fn ask_store(&mut self, relays: &Relays) {
+    async fn read_store(&mut self, relays: &Relays) {
         let node = self.node.clone();
-        let is_due = self.cut.is_some_and(|at| node.now().since(at) >= LIST_AGAIN);
-        let known = node.feed.at().filter(|_| !self.history_gone);
-        let at = known.filter(|_| !is_due);
-        self.reader.go_on_from(node.feed.epoch());
-        match self.reader.read(at, waits::TARGETS_WATCH_WAIT).await {
-            Ok(mut step) => {
+        let relist_due =
+            self.truncated_at.is_some_and(|at| node.now().since(at) >= RELIST_INTERVAL);
+        let known = node.feed.revision().filter(|_| !self.history_gone);
+        let since = known.filter(|_| !relist_due);
+        self.reader.set_epoch(node.feed.epoch());
+        match self.reader.read(since, waits::TARGETS_WATCH_WAIT).await {
+            Ok(mut update) => {
                 self.history_gone = false;
                 node.feed.set_out_of_touch(false);
                 self.sources.store_answered();
-                if at.is_none() {
-                    self.owes = self.cut.is_some() && step.whole;
-                    self.cut = step.cut.then(|| node.now());
+                if since.is_none() {
+                    self.snapshot_due = self.truncated_at.is_some() && update.is_snapshot;
+                    self.truncated_at = update.truncated.then(|| node.now());
                 }
                 // What a list does not bring may have changed since: watches go on from there.
-                let is_of_known = step.epoch.is_none_or(|epoch| epoch == node.feed.epoch());
-                step.at = known.filter(|_| step.cut && is_of_known).unwrap_or(step.at);
-                take_step(&node, step);
-                if self.owes && node.feed.at() > known {
-                    node.feed.restart(node.feed.epoch(), node.feed.at().unwrap_or(0));
-                    self.owes = false;
+                let same_epoch = update.epoch.is_none_or(|epoch| epoch == node.feed.epoch());
+                update.revision =
+                    known.filter(|_| update.truncated && same_epoch).unwrap_or(update.revision);
+                apply_update(&node, update);
+                if self.snapshot_due && node.feed.revision() > known {
+                    node.feed.restart(node.feed.epoch(), node.feed.revision().unwrap_or(0));
+                    self.snapshot_due = false;
                 }
             }
             Err(e) if e.is_history_gone() => self.history_gone = true,
             Err(_) => {
                 let now = node.now();
-                let jitter = |most| node.rng(|r| r.jitter(most));
+                let jitter = |max| node.rng(|r| r.jitter(max));
                 self.sources.store_failed(relays.role, now, jitter);
                 // Whoever follows this node is better off elsewhere.
                 node.feed.set_out_of_touch(true);
@@ -137,7 +139,7 @@
         }
     }
 
-    async fn ask_peer(&mut self, peer: &PeerNode, patient: bool, role: Role) {
+    async fn read_peer(&mut self, peer: &PeerNode, patient: bool, role: Role) {
         let node = self.node.clone();
         let is_unsettled = node.fleet(|f| f.versions().unsettled().is_some());
         let wait = match role {
@@ -147,7 +149,7 @@
             _ => waits::PEER_WAIT,
         };
         let ask = FollowAsk {
-            at: node.feed.at().unwrap_or(0),
+            at: node.feed.revision().unwrap_or(0),
             rules: node.table().rules.version,
             evacuations: node.fleet(|f| f.evacuated().at().filter(|_| f.evacuated().is_current())),
             rollouts: node.fleet(|f| f.versions().revision().filter(|_| f.versions().is_current())),
@@ -156,7 +158,7 @@
         };
         let answer = self.follow(peer, ask, wait).await;
         let now = node.now();
-        let Some(Followed { answer, epoch }) = answer else {
+        let Some(FollowResponse { answer, epoch }) = answer else {
             self.sources.relay_failed(&peer.id, now);
             node.feed.set_out_of_touch(true);
             return;
@@ -173,16 +175,16 @@
         } else {
             self.sources.relay_fresh(&peer.id);
         }
-        self.note_behind(peer, answer.at);
+        self.log_behind(peer, answer.at);
         let (rules, confirmed) = (answer.rules, now - age);
         if is_current {
-            take_answer(&node, &peer.id.name, answer, epoch, confirmed);
+            apply_answer(&node, &peer.id.name, answer, epoch, confirmed);
         }
         // A relay asks peers only while the store fails it. Its standby is to go on in its
         // place: if it followed the relay again, each would follow the other.
         node.feed.set_out_of_touch(is_stale || role == Role::Relay);
         if rules > node.table().rules.version {
-            peers::take_rules(&node, &self.client, peer.entry).await;
+            peers::fetch_rules(&node, &self.client, peer.entry).await;
         }
         if rules <= node.table().rules.version {
             node.feed.confirm(Kind::Rules, now - rules_age, now);
@@ -190,8 +192,8 @@
     }
 
     /// Tells, once for a peer, that it is behind this node.
-    fn note_behind(&mut self, peer: &PeerNode, at: u64) {
-        let known_at = self.node.feed.at().unwrap_or(0);
+    fn log_behind(&mut self, peer: &PeerNode, at: u64) {
+        let known_at = self.node.feed.revision().unwrap_or(0);
         if at >= known_at {
             self.behind = None;
         } else if self.behind.as_ref() != Some(&peer.id) {
@@ -207,17 +209,17 @@
         peer: &PeerNode,
         ask: FollowAsk,
         wait: Duration,
-    ) -> Option<Followed> {
+    ) -> Option<FollowResponse> {
         let (node, entry) = (&self.node, peer.entry);
         let epoch = Some(node.feed.epoch());
-        let patience = wait + waits::PEER_SLACK;
-        match peers::follow(node, &self.client, entry, &ask, epoch, patience).await {
+        let timeout = wait + waits::PEER_SLACK;
+        match peers::follow(node, &self.client, entry, &ask, epoch, timeout).await {
             Err(e) if e.kind == CallKind::Timeout => {
-                self.client = Client::new(peers::CONNECT);
+                self.client = Client::new(peers::CONNECT_TIMEOUT);
                 let ask = FollowAsk { wait_ms: 0, patient: false, ..ask };
-                let again =
+                let retry =
                     peers::follow(node, &self.client, entry, &ask, epoch, waits::RETRY_TIMEOUT);
-                again.await.ok()
+                retry.await.ok()
             }
             answer => answer.ok(),
         }
@@ -225,21 +227,22 @@
 }
 
 /// Takes what the store told.
-fn take_step(node: &Node, step: Step) {
+fn apply_update(node: &Node, update: StoreUpdate) {
     let now = node.now();
-    let Step { at, epoch, whole, cut, changes, .. } = step;
+    let StoreUpdate { revision, epoch, is_snapshot, truncated, changes, .. } = update;
     let epoch = epoch.unwrap_or(node.feed.epoch());
     let changes: Vec<TargetChange> = changes.into_iter().filter_map(target_change).collect();
     let doubt = node.doubt(|d| d.read_from_store(now));
-    let begins = cut && (node.feed.at() != Some(at) || node.feed.epoch() != epoch);
-    if whole {
-        take_whole(node, epoch, at, list_of(changes), doubt);
+    let is_new_state =
+        truncated && (node.feed.revision() != Some(revision) || node.feed.epoch() != epoch);
+    if is_snapshot {
+        apply_snapshot(node, epoch, revision, list_targets(changes), doubt);
     } else {
-        take_changes(node, at, changes, doubt);
+        apply_changes(node, revision, changes, doubt);
     }
-    if begins {
+    if is_new_state {
         // More may be there, but what is known can be used, and is all that followers can have.
-        node.feed.restart(epoch, at);
+        node.feed.restart(epoch, revision);
         node.know_targets();
     }
     // For a cut list too: what it brought is as the store has it, and followers that took this
@@ -248,38 +251,44 @@
 }
 
 /// Takes what a peer told.
-fn take_answer(node: &Node, from: &str, answer: FollowAnswer, epoch: Option<u64>, confirmed: Time) {
-    let FollowAnswer { at, doubt_ms, news, evacuations, rollouts, .. } = answer;
+fn apply_answer(
+    node: &Node,
+    from: &str,
+    answer: FollowAnswer,
+    epoch: Option<u64>,
+    confirmed: Time,
+) {
+    let FollowAnswer { at: revision, doubt_ms, news, evacuations, rollouts, .. } = answer;
     let epoch = epoch.unwrap_or(node.feed.epoch());
     // Before the targets, so that no new one is used that is to get nothing.
     if let Some(list) = evacuations {
-        evacuations::take(node, list, from);
+        evacuations::apply(node, list, from);
     }
     if let Some(list) = rollouts {
-        rollouts::take(node, list, from);
+        rollouts::apply(node, list, from);
     }
     let now = node.now();
-    let heard = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
+    let doubt = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
     match news {
         TargetNews::Unknown => return,
-        TargetNews::Whole(list) => take_whole(node, epoch, at, list, heard()),
+        TargetNews::Whole(list) => apply_snapshot(node, epoch, revision, list, doubt()),
         // Changes of another history than the one that this node is at.
         TargetNews::Changes(_) if epoch != node.feed.epoch() => return,
-        TargetNews::Changes(changes) => take_changes(node, at, changes, heard()),
+        TargetNews::Changes(changes) => apply_changes(node, revision, changes, doubt()),
     }
     node.feed.confirm_all(confirmed, node.now());
 }
 
-fn take_whole(node: &Node, epoch: u64, at: u64, list: TargetList, doubt: Option<Time>) {
+fn apply_snapshot(node: &Node, epoch: u64, revision: u64, list: TargetList, doubt: Option<Time>) {
     let now = node.now();
     let services: BTreeSet<Name> = list.targets.iter().map(|t| t.service.clone()).collect();
     node.fleet(|f| f.replace(list, doubt, now));
     services.iter().for_each(|service| node.maker_came(service));
-    node.feed.restart(epoch, at);
+    node.feed.restart(epoch, revision);
     node.know_targets();
 }
 
-fn take_changes(node: &Node, at: u64, changes: Vec<TargetChange>, doubt: Option<Time>) {
+fn apply_changes(node: &Node, revision: u64, changes: Vec<TargetChange>, doubt: Option<Time>) {
     let now = node.now();
     let changes = drop_superseded(changes);
     for change in &changes {
@@ -307,7 +316,7 @@
             }
         }
     }
-    node.feed.append(at, changes);
+    node.feed.append(revision, changes);
 }
 
 fn target_change(change: Change) -> Option<TargetChange> {
@@ -319,7 +328,7 @@
     }
 }
 
-fn list_of(changes: Vec<TargetChange>) -> TargetList {
+fn list_targets(changes: Vec<TargetChange>) -> TargetList {
     let mut list = TargetList::default();
     for change in changes {
         match change {
@@ -334,12 +343,16 @@
 /// Answers a peer that follows this node, and tells an epoch of the store or does not, as soon as
 /// there is news: with the epoch of this node and an encoded [`FollowAnswer`]; `None` if this node
 /// stops.
-pub async fn answer(node: &Node, ask: FollowAsk, epoch: Option<u64>) -> Option<(u64, Bytes)> {
-    let limit = node.now() + Duration::from_millis(ask.wait_ms);
-    let mut news = node.feed.news();
-    while has_no_news(node, &ask, epoch) {
-        let heard = node.clock.until(limit, news.changed()).await;
-        if heard.is_none() {
+pub async fn answer_follower(
+    node: &Node,
+    ask: FollowAsk,
+    epoch: Option<u64>,
+) -> Option<(u64, Bytes)> {
+    let deadline = node.now() + Duration::from_millis(ask.wait_ms);
+    let mut updates = node.feed.subscribe();
+    while is_up_to_date(node, &ask, epoch) {
+        let changed = node.clock.until(deadline, updates.changed()).await;
+        if changed.is_none() {
             break;
         }
     }
@@ -347,12 +360,12 @@
         return None;
     }
     let news = match changes_for(node, &ask, epoch) {
-        _ if node.feed.at().is_none() => TargetNews::Unknown,
+        _ if node.feed.revision().is_none() => TargetNews::Unknown,
         Some(changes) => TargetNews::Changes(changes),
         None => return Some((node.feed.epoch(), snapshot_answer(node))),
     };
     let known_rollouts = ask.rollouts.filter(|_| knows_epoch(node, epoch));
-    Some((node.feed.epoch(), encoded(&answer_of(node, news, known_rollouts, Duration::ZERO))))
+    Some((node.feed.epoch(), encode(&build_answer(node, news, known_rollouts, Duration::ZERO))))
 }
 
 /// Whether a peer's state is of the epoch of this node's; builds that tell none are taken to be.
@@ -365,7 +378,7 @@
 fn changes_for(node: &Node, ask: &FollowAsk, epoch: Option<u64>) -> Option<Vec<TargetChange>> {
     match epoch.map_or(Ordering::Equal, |epoch| epoch.cmp(&node.feed.epoch())) {
         Ordering::Less => None,
-        Ordering::Equal => node.feed.since(ask.at),
+        Ordering::Equal => node.feed.changes_since(ask.at),
         Ordering::Greater => Some(Vec::new()),
     }
 }
@@ -383,20 +396,20 @@
     };
     node.feed.snapshot.get(key, now, || {
         let news = TargetNews::Whole(node.fleet(|f| f.list(now)));
-        encoded(&answer_of(node, news, None, SNAPSHOT_TTL))
+        encode(&build_answer(node, news, None, SNAPSHOT_TTL))
     })
 }
 
-fn encoded(answer: &FollowAnswer) -> Bytes {
+fn encode(answer: &FollowAnswer) -> Bytes {
     rmp_serde::to_vec(answer).expect("messages encode").into()
 }
 
 /// An answer that may be given for some time after now.
-fn answer_of(
+fn build_answer(
     node: &Node,
     news: TargetNews,
     known_rollouts: Option<u64>,
-    kept: Duration,
+    ttl: Duration,
 ) -> FollowAnswer {
     let now = node.now();
     let rules_age = node.feed.age_of(Kind::Rules, now);
@@ -405,32 +418,34 @@
         let is_newer = versions.is_current() && versions.revision() > known_rollouts;
         is_newer.then(|| versions.list()).flatten()
     });
-    let doubt = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(kept));
+    let doubt = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(ttl));
     FollowAnswer {
-        at: node.feed.at().unwrap_or(0),
-        age_ms: millis(node.feed.age(now).saturating_add(kept)),
+        at: node.feed.revision().unwrap_or(0),
+        age_ms: millis(node.feed.age(now).saturating_add(ttl)),
         out_of_touch: node.feed.is_out_of_touch(),
-        doubt_ms: doubt.map_or(0, |left| left.as_millis() as u64),
+        doubt_ms: doubt.map_or(0, |remaining| remaining.as_millis() as u64),
         rules: node.table().rules.version,
-        rules_age_ms: millis(rules_age.map_or(Duration::MAX, |age| age.now.saturating_add(kept))),
+        rules_age_ms: millis(
+            rules_age.map_or(Duration::MAX, |age| age.current.saturating_add(ttl)),
+        ),
         evacuations: node.fleet(|f| f.evacuated().list().filter(|_| f.evacuated().is_current())),
         rollouts,
         news,
     }
 }
 
-fn has_no_news(node: &Node, ask: &FollowAsk, epoch: Option<u64>) -> bool {
-    let known = node.feed.at().unwrap_or(0);
+fn is_up_to_date(node: &Node, ask: &FollowAsk, epoch: Option<u64>) -> bool {
+    let known = node.feed.revision().unwrap_or(0);
     let is_same = knows_epoch(node, epoch);
-    let lacks = || node.feed.since(ask.at).is_none_or(|c| !c.is_empty());
-    let lacks_targets = !is_same || (known > ask.at && lacks());
+    let has_changes = || node.feed.changes_since(ask.at).is_none_or(|c| !c.is_empty());
+    let lacks_targets = !is_same || (known > ask.at && has_changes());
     let lacks_lists = node.fleet(|f| {
         f.evacuated().changed_since(ask.evacuations.filter(|_| is_same))
             || f.versions().has_changed_since(ask.rollouts.filter(|_| is_same))
     });
-    let lacks = lacks_targets || lacks_lists;
+    let is_behind = lacks_targets || lacks_lists;
     let is_fresh = !node.feed.is_out_of_touch() && !Feed::is_stale(node.feed.age(node.now()));
-    !lacks
+    !is_behind
         && (is_fresh || ask.patient)
         && node.table().rules.version <= ask.rules
         && !node.is_stopping()
