--- a/crates/forward/src/quarantine/ends.rs
+++ b/crates/forward/src/quarantine/ends.rs
@@ -1,4 +1,4 @@
-//! Finds out whether targets ended under requests whose connections broke.
+//! Determines whether a target crashed under requests whose connections broke.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,40 +14,41 @@
 use crate::node::Node;
 use crate::upstream;
 
-/// Pauses before a target is connected to. The second finds one whose connections broke a
-/// moment before nobody listened any more.
+/// Delays before each connection attempt to a target. The second attempt catches a target whose
+/// connections broke shortly before its listening socket closed.
 const CONNECT_DELAYS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(100)];
-/// Time between looks at what discovery says after that.
+/// Interval at which the target's presence in discovery is checked after those attempts.
 const PRESENCE_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for which that is looked at: entries of targets that ended lapse within three of their
-/// beats, most within 2 s.
+/// Time for which its presence is checked: the entry of a crashed target expires within three
+/// heartbeats, usually within 2 s.
 const PRESENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Requests named in one line, at most.
+/// Maximum number of requests named in one log line.
 const MAX_LOGGED_REQUESTS: usize = 8;
 
-/// What broke off at a target.
+/// Work that was interrupted at a target.
 #[derive(Clone, PartialEq, Eq)]
 pub(super) enum Work {
     /// A request of this node.
     Request(Fingerprint),
-    /// Pieces of an attempt that some node has taken.
+    /// Pieces of an attempt, which any node may be serving.
     Pieces(Name),
 }
 
-/// What broke off at a target, while it is found out whether that ended.
+/// Interrupted work of a target for which no verdict has been reached yet.
 struct CrashCheck {
     started_at: Time,
     work: Vec<Work>,
-    /// How an end showed to another request.
+    /// Evidence of the crash from another request.
     evidence: Option<&'static str>,
 }
 
-/// Checks under way.
+/// Checks in progress, by target.
 #[derive(Default)]
 pub(super) struct CrashChecks(RefCell<HashMap<TargetId, CrashCheck>>);
 
 impl CrashChecks {
-    /// What a target may have begun broke off there without a whole answer.
+    /// Starts a check of a target that may have begun this work and did not answer it completely,
+    /// or adds the work to a check in progress.
     pub fn start_check(&self, node: &Rc<Node>, target: &Target, work: Vec<Work>) {
         let mut checks = self.0.borrow_mut();
         if let Some(check) = checks.get_mut(&target.id) {
@@ -58,7 +59,7 @@
         }
         let presence = node.fleet(|f| f.presence(&target.id));
         if matches!(presence, Presence::Draining | Presence::Removed) {
-            // It was known to leave before the connection broke.
+            // A planned stop was announced before the connection broke.
             return;
         }
         let check = CrashCheck { started_at: node.now(), work, evidence: None };
@@ -66,7 +67,7 @@
         tokio::task::spawn_local(run_check(node.clone(), target.clone()));
     }
 
-    /// Another send showed that a target has ended.
+    /// Records evidence from another send that the target has crashed.
     pub fn record_evidence(&self, target: &TargetId, how: &'static str) {
         if let Some(check) = self.0.borrow_mut().get_mut(target) {
             check.evidence.get_or_insert(how);
--- a/crates/forward/src/quarantine/mod.rs
+++ b/crates/forward/src/quarantine/mod.rs
@@ -1,5 +1,5 @@
-//! Requests that end the targets which run them: what shows that a target ended, and what nodes
-//! tell each other of it.
+//! Quarantine of requests that crash the targets that run them: detects crashes, exchanges reports
+//! with the other nodes, and keeps held requests in the store.
 
 mod ends;
 mod record;
@@ -19,58 +19,60 @@
 use ends::{CrashChecks, Work};
 use spread::PeerSends;
 
-/// Starts to tell peers, and to keep in the store what is held.
+/// Starts the tasks that report to peers and that write and read held requests in the store.
 pub fn start(node: &Rc<Node>) {
     tokio::task::spawn_local(spread::run(node.clone()));
     tokio::task::spawn_local(record::write(node.clone()));
     tokio::task::spawn_local(record::read(node.clone()));
 }
 
-/// Why a request is refused that is held.
+/// Reason given to callers whose request is held.
 pub const HELD_REASON: &str = "the targets that ran this request ended";
-/// Who tells of what this node saw itself.
+/// Source in log lines: requests of this node.
 const OWN_REQUESTS: &str = "own requests";
-/// The same of what stands in the store.
+/// Source in log lines: records in the store.
 const FROM_STORE: &str = "store";
-/// Targets named in one line, at most.
+/// Maximum number of targets named in one log line.
 const MAX_LOGGED_TARGETS: usize = 8;
 
-/// Requests under which targets ended, as this node knows them.
+/// This node's view of the requests under which targets crashed.
 #[derive(Default)]
 pub struct LocalQuarantine {
     machine: RefCell<Quarantine>,
     crash_checks: CrashChecks,
-    /// Attempts that this node serves.
+    /// Attempts that this node is serving.
     open_attempts: RefCell<HashMap<Name, Fingerprint>>,
     peer_sends: PeerSends,
     changed: Notify,
-    /// A request is held, and may have to be written.
+    /// Signals that a held request may have to be written to the store.
     record_due: Notify,
 }
 
 impl LocalQuarantine {
-    /// Uses what is known for a moment.
+    /// Runs `f` on the state machine.
     fn machine<T>(&self, f: impl FnOnce(&mut Quarantine) -> T) -> T {
         f(&mut self.machine.borrow_mut())
     }
 
-    /// The store came back from an older copy: what is held is written there again.
+    /// Schedules all held requests to be written again after the store was restored from an older
+    /// copy.
     pub fn store_restored(&self) {
         self.machine(Quarantine::clear_stored);
         self.record_due.notify_one();
     }
 
-    /// Why a request is not to be sent; `None` if it may be.
+    /// Returns the hold on a request; `None` if it may be sent.
     pub fn hold(&self, node: &Node, request: Fingerprint) -> Option<Hold> {
         self.machine(|q| q.hold(request, node.now()))
     }
 
-    /// A request came, and is to be refused if it is held.
+    /// Records that a request arrived. It must be refused if a hold is returned.
     pub fn record_arrival(&self, node: &Node, request: Fingerprint) -> Option<Hold> {
         self.machine(|q| q.record_arrival(request, node.now()))
     }
 
-    /// A request is about to be sent; whether it may be.
+    /// Returns whether a request may be sent now. Logs the send if it is the single trial of a
+    /// held request.
     pub fn try_send(&self, node: &Node, id: &str, request: Fingerprint) -> bool {
         let Ok(let_through) = self.machine(|q| q.try_send(request, node.now())) else {
             return false;
@@ -82,34 +84,35 @@
         true
     }
 
-    /// A request that a target may have begun broke off there without a whole answer.
+    /// Checks a target that may have begun a request and did not answer it completely.
     pub fn request_interrupted(&self, node: &Rc<Node>, target: &Target, request: Fingerprint) {
         self.crash_checks.start_check(node, target, vec![Work::Request(request)]);
     }
 
-    /// The same of a call for pieces of these attempts.
+    /// Checks a target that may have begun a call for these pieces and did not answer it
+    /// completely.
     pub fn call_interrupted(&self, node: &Rc<Node>, target: &Target, pieces: &[PieceOrder]) {
         let attempts: BTreeSet<&Name> = pieces.iter().map(|p| &p.attempt).collect();
         let work = attempts.into_iter().map(|attempt| Work::Pieces(attempt.clone()));
         self.crash_checks.start_check(node, target, work.collect());
     }
 
-    /// This node serves an attempt from now on.
+    /// Registers an attempt that this node serves.
     pub fn attempt_started(&self, attempt: &str, request: Fingerprint) {
         self.open_attempts.borrow_mut().insert(attempt.into(), request);
     }
 
-    /// The attempt is over.
+    /// Removes an attempt that has finished.
     pub fn attempt_ended(&self, attempt: &str) {
         self.open_attempts.borrow_mut().remove(attempt);
     }
 
-    /// A send showed that a target has ended.
+    /// Records evidence from a send that a target has crashed.
     pub fn crash_observed(&self, target: &Target, how: &'static str) {
         self.crash_checks.record_evidence(&target.id, how);
     }
 
-    /// A target answered a request whole.
+    /// Records that a target answered a request completely.
     pub fn request_answered(&self, node: &Node, request: Fingerprint) {
         if let Some(change) = self.machine(|q| q.record_answer(request, node.now())) {
             self.handle_changes(OWN_REQUESTS, vec![(request, change)]);
@@ -117,7 +120,8 @@
         }
     }
 
-    /// A target ended under this work.
+    /// Records that a target crashed under this work. A crash under pieces is also reported to the
+    /// peers.
     fn target_crashed(&self, node: &Rc<Node>, target: &Target, work: Vec<Work>) {
         let (mut requests, mut attempts) = (Vec::new(), Vec::new());
         for work in work {
@@ -148,7 +152,7 @@
         self.changed.notify_one();
     }
 
-    /// A maker ended under pieces, some of which may be of attempts that this node serves.
+    /// Records a worker's crash under pieces, some of which may belong to attempts of this node.
     fn worker_crashed(&self, node: &Node, crash: &MakerEnd) {
         let requests: Vec<Fingerprint> = {
             let open = self.open_attempts.borrow();
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Takes what a peer tells; returns what this node knows beyond that.
+    /// Merges a peer's report; returns the suspects that the report lacks.
     pub fn merge_report(&self, node: &Node, report: &QuarantineNews) -> QuarantineNews {
         report.makers.iter().for_each(|crash| self.worker_crashed(node, crash));
         let now = node.now();
@@ -170,19 +174,19 @@
         QuarantineNews { from: node.peers.id.clone(), suspects, makers: Vec::new() }
     }
 
-    /// An operator lets a request through again.
+    /// Releases a request on behalf of an operator.
     fn release(&self, from: &str, request: Fingerprint) {
         if self.machine(|q| q.release(request)) {
             self.handle_changes(from, vec![(request, Change::Released("operator"))]);
         }
     }
 
-    /// Requests that are held.
+    /// Number of requests that are held.
     pub fn count_held(&self, node: &Node) -> usize {
         self.machine(|q| q.count_held(node.now()))
     }
 
-    /// Tells what has changed, and whoever told it.
+    /// Logs changes with their source, and wakes the writer if a request is held.
     fn handle_changes(&self, from: &str, changes: Changes) {
         for (request, change) in changes {
             let same = request.to_string();
--- a/crates/forward/src/quarantine/record.rs
+++ b/crates/forward/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! Keeps requests that are held in the store, and takes those that it has.
+//! Writes records of held requests to the store, and reads the list of all of them from it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,23 +15,24 @@
 use crate::node::Node;
 use crate::watch::{Reader, STORE_CONNECT_TIMEOUT, StoreUpdate};
 
-/// Time between looks at what is to be written, and the least between two tries.
+/// Interval at which unwritten records are looked for, and the minimum time between attempts.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
-/// Records written at one look: callers that end targets by the dozen fill no store.
+/// Maximum number of records written per interval, so that callers that crash dozens of targets
+/// cannot flood the store.
 const MAX_WRITES: usize = 4;
-/// Time between two lists: an operator who releases a request waits that long. A list that may
-/// be old costs a tenth of another one.
+/// Interval between list reads, and so the delay until an operator's release of a request takes
+/// effect. A list that may be stale costs the store a tenth of a current one.
 const READ_INTERVAL: Duration = Duration::from_secs(5);
-/// The same until the first list, which is to be new.
+/// Interval until the first list is read, which must be current.
 const FIRST_READ_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for a call.
+/// Timeout of a call to the store.
 const TIMEOUT: Duration = Duration::from_millis(1500);
-/// Status of an object that is there already.
+/// Status for an object that already exists.
 const CONFLICT: u16 = 409;
-/// Status of an object that is gone.
+/// Status for an object that does not exist.
 const NOT_FOUND: u16 = 404;
 
-/// Writes until the process ends.
+/// Writes records of held requests until the process ends.
 pub async fn write(node: Rc<Node>) {
     loop {
         if node.quarantine.count_held(&node) == 0 {
@@ -52,7 +53,7 @@
     let (store, client) = store_client(node);
     let post = async { client.post(&store, &path, media, body).await.map(drop) };
     let result = match tokio::time::timeout(TIMEOUT, post).await {
-        // It was there already, or the answer to an earlier try was lost.
+        // It already existed, or an earlier attempt created it but its answer was lost.
         Ok(Err(e)) if e.status() == Some(CONFLICT) => Ok(()),
         Ok(result) => result.map_err(|e| e.to_string()),
         Err(_) => Err("no answer in time".into()),
@@ -72,8 +73,8 @@
     log_recorded("released", request, result);
 }
 
-/// The store's address, and a connection of its own: one whose answer was lost says nothing
-/// further.
+/// Address of the store, and a client with a new connection: an existing one whose answer was
+/// lost may have fallen silent. Counts the call.
 fn store_client(node: &Node) -> (String, Client) {
     node.metrics.store_call(Kind::Quarantine.as_str());
     (node.settings().store.to_string(), Client::new(STORE_CONNECT_TIMEOUT))
@@ -84,7 +85,7 @@
     Event::Recorded { same: &request.to_string(), what, why: &why }.emit();
 }
 
-/// Reads until the process ends, for as long as this node reads the store.
+/// Reads the records in the store until the process ends, while this node reads the store.
 pub async fn read(node: Rc<Node>) {
     let mut reader = Reader::new(node.clone(), Kind::Quarantine);
     let mut known = BTreeMap::new();
@@ -96,23 +97,24 @@
             Ok(update) => {
                 has_list = true;
                 if std::mem::replace(&mut epoch, update.epoch) != update.epoch {
-                    // What an older copy of the store lacks was not deleted by an operator.
+                    // No operator deleted the records that an older copy of the store lacks.
                     known.clear();
                 }
-                // An object that is missing in half of a list is not gone.
+                // An object that is missing from a truncated list is not necessarily deleted.
                 if !update.truncated {
                     apply_list(&node, &mut known, update).await;
                 }
             }
-            Err(e) => log::debug!("quarantine: {e}"),
+            Err(e) => log::debug!("quarantine: could not read the list: {e}"),
         }
-        // What was held before this node started is to be known soon.
+        // Requests that were held before this node started must be known soon.
         tokio::time::sleep(if has_list { READ_INTERVAL } else { FIRST_READ_INTERVAL }).await;
     }
 }
 
-/// Takes a list; `seen` has the records that this node saw before, and at which revision. One that
-/// cannot be read any more holds on: only an operator's deletion releases a request.
+/// Applies a complete list. `known` maps the records that this node has read to the revision they
+/// were read at. A record that has become unreadable keeps its hold: only an operator's deletion
+/// releases a request.
 async fn apply_list(node: &Node, known: &mut BTreeMap<Fingerprint, u64>, update: StoreUpdate) {
     let StoreUpdate { revision, changes, .. } = update;
     let (mut records, mut present) = (Vec::new(), BTreeSet::new());
--- a/crates/forward/src/quarantine/spread.rs
+++ b/crates/forward/src/quarantine/spread.rs
@@ -1,4 +1,4 @@
-//! Tells peers of requests under which targets ended.
+//! Sends reports of requests under which targets crashed to the peers.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -16,14 +16,15 @@
 use crate::node::Node;
 use crate::peers::{self, MAX_CONCURRENT_SENDS, QUARANTINE};
 
-/// Time between looks at who is still to be told: peers come, or did not answer.
+/// Interval at which peers that still need a report are looked for, because they have joined or
+/// did not answer.
 const SCAN_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for a peer's answer, the farthest region's included.
+/// Timeout for a peer's answer, long enough for the farthest region.
 const TIMEOUT: Duration = Duration::from_millis(800);
-/// Time after which a peer that did not answer is told again.
+/// Delay before a report is sent again to a peer that did not answer.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Peers with a message under way, and those that did not answer.
+/// Peers with a report in flight, and peers that did not answer the last one.
 #[derive(Default)]
 pub(super) struct PeerSends {
     in_flight: RefCell<HashSet<NodeId>>,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Runs until the process ends.
+/// Sends reports until the process ends.
 pub async fn run(node: Rc<Node>) {
     let q = &node.quarantine;
     loop {
@@ -86,15 +87,15 @@
     QuarantineNews { from: node.peers.id.clone(), suspects, makers }
 }
 
-/// Tells all peers of a maker's end, once: the node that took an attempt is not known. One that
-/// does not hear of it misses one end of those that hold a request.
+/// Reports a worker's crash to all peers, since the nodes that serve its attempts are not known.
+/// The report is sent once: a peer that misses it counts one crash too few towards a hold.
 pub(super) fn broadcast_crash(node: &Rc<Node>, crash: MakerEnd) {
     let node = node.clone();
     tokio::task::spawn_local(async move {
         let report = build_report(&node, Vec::new(), vec![crash]);
         let peers = node.peers.roster(|r| r.peers());
         let each = |_: &PeerNode, result: Result<QuarantineNews, CallError>| {
-            let _ = result.inspect_err(|e| log::debug!("quarantine: {e}"));
+            let _ = result.inspect_err(|e| log::debug!("quarantine: crash report failed: {e}"));
         };
         peers::broadcast(&node, &peers, QUARANTINE, &report, TIMEOUT, each).await;
     });
@@ -103,7 +104,7 @@
 async fn send(node: Rc<Node>, message: Outgoing) {
     let Outgoing { peer, news, versions } = message;
     let q = &node.quarantine;
-    // A kept connection may have fallen silent.
+    // The existing connection may have fallen silent.
     let new_client = q.peer_sends.has_failed(&peer.id).then(|| Client::new(peers::CONNECT_TIMEOUT));
     let client = new_client.as_ref().unwrap_or(&node.client);
     let report = build_report(&node, news, Vec::new());
@@ -120,7 +121,7 @@
             true
         }
         Err(e) => {
-            log::debug!("quarantine: {e}");
+            log::debug!("quarantine: report failed: {e}");
             false
         }
     };
