--- a/crates/forward/src/peers/membership.rs
+++ b/crates/forward/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! Drives the membership machine over UDP, and takes newer rules that it hears of.
+//! Drives the membership machine over UDP, and fetches newer rules that peers announce through it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,13 +14,13 @@
 use crate::events::Event;
 use crate::node::Node;
 
-/// Largest datagram.
+/// Maximum size of a datagram in bytes.
 const MAX_DATAGRAM_BYTES: usize = 9000;
-/// Time that a node's own source has to bring rules of which a peer told: a relay's link
-/// bears more than that of any peer, and a follower asks it each 100 ms.
+/// Time that this node's own source has to deliver rules that a peer announced. A relay's link
+/// has more capacity than that of any peer, and a follower polls its relay every 100 ms.
 const SOURCE_GRACE: Duration = Duration::from_millis(150);
 
-/// Runs until the process ends.
+/// Runs membership until the process ends.
 pub async fn run(
     node: Rc<Node>,
     socket: UdpSocket,
@@ -39,7 +39,7 @@
         let event = tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((n, from)) => read_packet(from, &buffer[..n]),
-                // An unreachable peer's ICMP answer shows up here.
+                // The ICMP answer of an unreachable peer is reported as an error here.
                 Err(_) => None,
             },
             () = node.clock.sleep_until(machine.next_tick()) => Some(MemberEvent::Tick),
@@ -66,7 +66,7 @@
     Some(MemberEvent::Packet { from, packet })
 }
 
-/// Tells the roster which peers have changed.
+/// Copies the peers that have changed to the roster.
 fn update_roster(node: &Node, machine: &mut Member) {
     let now = node.now();
     let changed = machine.take_changed();
@@ -105,7 +105,7 @@
             if let Some(crossing) = Crossing::to_peer(node, Kind::Member, to) {
                 crossing.sent_datagram(bytes.len());
             }
-            // A lost datagram is no news; probes are made for it.
+            // Send errors are ignored: the probes of membership tolerate lost datagrams.
             let _ = socket.send_to(&bytes, to).await;
         }
         Action::NewerManifest(number, from) => request_rules(node, number, from),
@@ -119,8 +119,8 @@
     }
 }
 
-/// A peer has this version of the rules. It is asked for them if they do not come from
-/// where this node reads them, and nobody else is asked yet.
+/// Fetches a version of the rules from the peer that announced it, unless this node's own source
+/// delivers it first or another peer is already being asked for it.
 fn request_rules(node: &Rc<Node>, version: u64, from: SocketAddr) {
     if version > node.peers.requested_rules.get() {
         node.peers.requested_rules.set(version);
@@ -133,6 +133,6 @@
     if node.table().rules.version < version {
         super::fetch_rules(&node, &node.client, from).await;
     }
-    // Whoever next tells of a number that is still missing is asked again.
+    // The next peer that announces a version still missing is asked for it.
     node.peers.requested_rules.set(node.table().rules.version);
 }
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Peers: membership over UDP, a small HTTP server for the other nodes, and what this
-//! node believes of them.
+//! Peers: membership over UDP, a small HTTP server for the other nodes, and this node's view of
+//! their health.
 
 mod membership;
 mod resting;
@@ -42,25 +42,25 @@
     ROLLOUT_STATE, StateWrite, WAITS,
 };
 
-/// Header by which nodes tell the epoch of the store that what they know is of.
+/// Header that carries the epoch of the store from which a node's state was read.
 pub const EPOCH: HeaderName = HeaderName::from_static("pumicevale-epoch");
-/// Time to connect to a peer.
+/// Timeout for connecting to a peer.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time for a peer to hand over its rules: the largest take a small host's link a second.
+/// Timeout for fetching a peer's rules: the largest take a second over a small host's link.
 const RULES_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time for a ping's answer: a host whose share of its core is used up gets nothing for up
-/// to 100 ms.
+/// Timeout for a ping's answer: a host that has used up its CPU share can be throttled for up to
+/// 100 ms.
 const PING_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time after which a ping without an answer is sent over a new connection too: most answers
-/// between failure domains take a few milliseconds, and a new connection needs a moment.
+/// Delay before an unanswered ping is also sent over a new connection: most answers between
+/// failure domains take a few milliseconds, and connecting takes part of [`PING_TIMEOUT`].
 const PING_RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Time for which it is remembered that a peer's connections fell silent. Orders that wait
-/// on them hear of it within some tens of milliseconds.
+/// Retention of the record that a peer's connections fell silent. Orders that wait on them read
+/// it within some tens of milliseconds.
 const HUNG_RETENTION: Duration = Duration::from_secs(10);
 
-/// Peers of a node.
+/// Roster of a node's peers, and the state of the connections to them.
 pub struct Peers {
-    /// This start of the node.
+    /// Id of this node, which changes at each start.
     pub id: NodeId,
     roster: RefCell<Roster>,
     hung: RefCell<HashMap<NodeId, Time>>,
@@ -69,7 +69,7 @@
 }
 
 impl Peers {
-    /// Nobody is known yet.
+    /// Starts with an empty roster.
     pub fn new(me: Name, domain: Name, capacity: u8, regions: Regions) -> Self {
         let id = NodeId { name: me.clone(), start: rand::random::<u64>().max(1) };
         let mut roster = Roster::new(me, domain, capacity);
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Uses what is believed of peers for a moment.
+    /// Runs `f` on the roster.
     pub fn roster<T>(&self, f: impl FnOnce(&mut Roster) -> T) -> T {
         f(&mut self.roster.borrow_mut())
     }
 
-    /// A peer answers over new connections only.
+    /// Records that a peer answers over new connections only.
     fn record_hung(&self, id: &NodeId, now: Time) {
         let mut hung = self.hung.borrow_mut();
         hung.retain(|_, at| now.since(*at) < HUNG_RETENTION);
@@ -100,12 +100,12 @@
         self.hung.borrow().get(id).is_some_and(|at| *at >= since)
     }
 
-    /// Tells the peers that this node is gone.
+    /// Announces to the peers that this node leaves.
     pub fn leave(&self) {
         self.command(MemberEvent::Leave);
     }
 
-    /// Addresses at which peers may be found have changed.
+    /// Replaces the addresses through which peers are discovered.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.command(MemberEvent::Seeds(seeds));
     }
@@ -117,17 +117,17 @@
     }
 }
 
-/// Messages of one kind of news under way at once.
+/// Maximum number of reports of one kind in flight.
 pub const MAX_CONCURRENT_SENDS: usize = 32;
-/// Status of a peer that does not know a path.
+/// Status returned by a peer that does not know a path.
 const NOT_FOUND: u16 = 404;
 
-/// Whether a peer is of a build that does not know such messages.
+/// Whether a call failed because the peer's build does not support its path.
 pub fn is_unsupported(error: &CallError) -> bool {
     error.status() == Some(NOT_FOUND)
 }
 
-/// Asks a peer over this node's kept connections.
+/// Calls a peer over this node's pooled connections. Fields are encoded by position.
 pub async fn call<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     peer: SocketAddr,
@@ -138,8 +138,7 @@
     call_with(node, &node.client, peer, path, message, timeout).await
 }
 
-/// Asks a peer over a client's connections. All that nodes send to each other but datagrams
-/// goes through here, where it is counted.
+/// Calls a peer over the connections of `client`. Fields are encoded by position.
 async fn call_with<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     client: &Client,
@@ -152,7 +151,7 @@
     send(node, client, peer, path, bytes, timeout).await
 }
 
-/// Tells a peer, which may be of another build: fields go by their names.
+/// Calls a peer with fields encoded by name, so that it may run another build.
 pub async fn call_named<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     client: &Client,
@@ -165,7 +164,7 @@
     send(node, client, peer, path, bytes, timeout).await
 }
 
-/// Tells many peers the same; `each` takes what came of it.
+/// Sends the same message to many peers, with fields encoded by name; `each` receives each result.
 pub async fn broadcast<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     to: &[PeerNode],
@@ -199,7 +198,8 @@
     read_rmp_answer(&name, &metered(node, peer, path, sent, call).await?)
 }
 
-/// Counts what a call takes to a peer and back.
+/// Counts the bytes of a call and its answer. Everything that nodes send to each other, except
+/// datagrams, passes through here.
 async fn metered(
     node: &Node,
     peer: SocketAddr,
@@ -218,7 +218,7 @@
     Ok(answer)
 }
 
-/// What a question to a peer counts as.
+/// Kind of traffic that a path is counted as.
 fn traffic_kind(path: &str) -> Kind {
     match path {
         BATCH | WAITS => Kind::Order,
@@ -231,7 +231,7 @@
     }
 }
 
-/// Takes a peer's rules if they are newer than this node's.
+/// Fetches a peer's rules, and adopts them if they are newer than this node's.
 pub async fn fetch_rules(node: &Node, client: &Client, peer: SocketAddr) {
     let from = peer.to_string();
     let rules = call_with::<_, Rules>(node, client, peer, server::RULES, &(), RULES_TIMEOUT);
@@ -241,17 +241,17 @@
     }
 }
 
-/// What a peer that is followed knows.
+/// Response of a peer that this node follows.
 #[derive(Debug)]
 pub struct FollowResponse {
-    /// Its answer.
+    /// The peer's state, or its changes since the last answer.
     pub answer: FollowAnswer,
-    /// Epoch of the store that it knows this of; `None` if its build does not tell.
+    /// Epoch of the store that the answer belongs to; `None` if the peer's build does not send it.
     pub epoch: Option<u64>,
 }
 
-/// What a peer knows of the targets, within this time, whom this node tells the epoch of what it
-/// knows; a whole list is waited for as long as it comes.
+/// Follows a peer's state of the targets, and sends it the epoch of this node's state. `timeout`
+/// limits the wait for changes; a full list may take longer while data keeps arriving.
 pub async fn follow(
     node: &Node,
     client: &Client,
@@ -281,13 +281,13 @@
     Ok(FollowResponse { answer: read_rmp_answer(&name, &answer)?, epoch: peer_epoch })
 }
 
-/// The epoch of the store that a message between nodes tells, if it does.
+/// Reads the epoch of the store from the headers of a message between nodes.
 pub fn read_epoch(headers: &HeaderMap) -> Option<u64> {
     headers.get(EPOCH)?.to_str().ok()?.parse().ok()
 }
 
-/// Whether a peer answers, by what is known or else by a ping that all of this node's
-/// orders share.
+/// Whether a peer is responsive. If the roster cannot tell, the peer is pinged, and the result is
+/// recorded there for all orders of this node.
 pub async fn is_responsive(node: &Rc<Node>, peer: &PeerNode) -> bool {
     match node.peers.roster(|r| r.reachability(&peer.id, node.now())) {
         Reachability::Responsive => true,
@@ -308,18 +308,18 @@
     }
 }
 
-/// Over which connection a peer answered a ping.
+/// Connection over which a peer answered a ping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pong {
-    /// A kept one.
+    /// A pooled connection.
     Kept,
-    /// Only a new one: kept ones have fallen silent.
+    /// A new connection only: the pooled ones have fallen silent.
     New,
-    /// None.
+    /// No connection.
     None,
 }
 
-/// Pings a peer over a kept connection, and soon over a new one as well.
+/// Pings a peer over a pooled connection, and after [`PING_RETRY_DELAY`] over a new one as well.
 async fn ping(node: &Rc<Node>, peer: SocketAddr) -> Pong {
     let new = tokio::task::spawn_local(ping_new_connection(node.clone(), peer));
     let kept = call::<_, ()>(node, peer, server::PING, &(), PING_TIMEOUT).await;
@@ -340,17 +340,17 @@
     call_with::<_, ()>(&node, &client, peer, server::PING, &(), remaining).await.is_ok()
 }
 
-/// Asks peers at once whether they are there, and waits for their answers.
+/// Checks concurrently whether peers are responsive, and waits for all results.
 pub async fn ping_all(node: &Rc<Node>, peers: &[PeerNode]) {
     join_all(peers.iter().map(|p| is_responsive(node, p))).await;
 }
 
-/// Starts membership and the server for peers.
+/// Starts membership, the server for peers, and the reports to peers.
 pub async fn start(node: &Rc<Node>) -> anyhow::Result<()> {
     let address = node.settings().bind_address();
     let socket = UdpSocket::bind(address)
         .await
-        .with_context(|| format!("could not take UDP port {address}"))?;
+        .with_context(|| format!("could not bind UDP address {address}"))?;
     let listener = crate::ingress::listen(address)?;
     let (commands, events) = mpsc::unbounded_channel();
     *node.peers.commands.borrow_mut() = Some(commands);
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -1,4 +1,5 @@
-//! Answers the other nodes: orders of pieces, frees, rules and targets, pings.
+//! HTTP server for the other nodes: batch orders, results to free, rules, targets, permits,
+//! reports and pings.
 
 use std::rc::Rc;
 
@@ -18,55 +19,55 @@
 use crate::stages::{self, NotMade};
 use crate::watch;
 
-/// Path of batch orders.
+/// Path for batch orders.
 pub const BATCH: &str = "/v1/batch";
-/// Path of the waits of a coordinator's orders.
+/// Path for the expected waits of a coordinator's orders.
 pub const WAITS: &str = "/v1/waits";
-/// Path of results to be freed.
+/// Path for results to free.
 pub const FREE: &str = "/v1/free";
-/// Path of a ping.
+/// Path for pings.
 pub const PING: &str = "/v1/ping";
-/// Path of news of the targets.
+/// Path for following the state of the targets.
 pub const FOLLOW: &str = "/v1/follow";
-/// Path of the question which engine reads a prompt.
+/// Path for choosing the engine that prefills a prompt.
 pub const PREFILL: &str = "/v1/prefill";
-/// Path of prompts that have been read.
+/// Path for the ends of prefills.
 pub const PREFILL_END: &str = "/v1/prefill-end";
-/// Path of what a node saw of a version on trial.
+/// Path for a node's evidence on a trial version.
 pub const ROLLOUT: &str = "/v1/rollout";
-/// Path of an order's state that is to be written.
+/// Path for rollout states to write to the store.
 pub const ROLLOUT_STATE: &str = "/v1/rollout-state";
-/// Path of requests under which targets ended.
+/// Path for reports of requests under which targets crashed.
 pub const QUARANTINE: &str = "/v1/quarantine";
-/// Path of permits to send requests to targets that name limits.
+/// Path for permits to send requests to targets with limits.
 pub const PERMIT: &str = "/v1/permit";
-/// Path of news of such limits.
+/// Path for reports of such limits.
 pub const LIMITS: &str = "/v1/limits";
-/// Path of the rules.
+/// Path for the rules.
 pub const RULES: &str = "/v1/rules";
-/// Largest message of a peer.
+/// Maximum size of a peer's message in bytes.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// Results that a peer's coordinator made and that are no longer wanted.
+/// Results, made on a peer coordinator's order, that are no longer needed.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FreeRequest {
-    /// Makers that made them.
+    /// Pool of the workers that hold them.
     pub pool: PoolId,
-    /// Results.
+    /// Handles of the results.
     pub handles: Vec<Handle>,
 }
 
-/// A state of an order that a peer whom the store turns away has written by this node. The
-/// answer is whether it stands; `None` if the store turned this node away too.
+/// Rollout state that this node writes for a peer whose calls the store rejects. The answer is
+/// whether the state is in force; `None` if the store rejected this node too.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StateWrite {
-    /// The order as it is to be unchanged.
+    /// The rollout in the form that the store must still hold.
     pub order: Rollout,
-    /// State to be written.
+    /// State to write.
     pub state: RolloutState,
 }
 
-/// Serves until the process ends.
+/// Serves peers until the process ends.
 pub async fn run(node: Rc<Node>, listener: TcpListener) {
     small::serve(listener, move |request| answer(node.clone(), request)).await;
 }
@@ -91,10 +92,10 @@
     result.unwrap_or_else(|refusal| refusal)
 }
 
-/// An answer, or the refusal of what was asked.
+/// Answer to a peer, or the error response.
 type HandlerResult = Result<Response<Body>, Response<Body>>;
 
-/// Reads a peer's message; `otherwise` says what is wrong with anything else.
+/// Reads a peer's message; `error` is the text of the response if it cannot be decoded.
 async fn read_message<T: DeserializeOwned>(
     request: Request<Incoming>,
     error: &str,
@@ -105,7 +106,7 @@
 
 async fn follow(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
     let epoch = read_epoch(request.headers());
-    let ask: FollowAsk = read_message(request, "not a question for news").await?;
+    let ask: FollowAsk = read_message(request, "invalid follow request").await?;
     let answer = watch::answer_follower(node, ask, epoch).await;
     let (epoch, answer) =
         answer.ok_or_else(|| text(StatusCode::SERVICE_UNAVAILABLE, "stopping"))?;
@@ -115,19 +116,19 @@
 }
 
 async fn prefill(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let ask = read_message(request, "not a prompt to be placed").await?;
+    let ask = read_message(request, "invalid prefill request").await?;
     Ok(rmp(&node.schedulers.place(node, &ask)))
 }
 
 async fn rollout(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let report = read_message(request, "not a report").await?;
+    let report = read_message(request, "invalid rollout report").await?;
     let answer = rollout::judge(node, report);
-    let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such order"))?;
+    let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such rollout"))?;
     Ok(rmp(&answer))
 }
 
 async fn rollout_state(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let StateWrite { order, state } = read_message(request, "not an order's state").await?;
+    let StateWrite { order, state } = read_message(request, "invalid rollout state").await?;
     let in_force = match rollout::at_store(node, &order, state).await {
         Written::Stands => Some(true),
         Written::Not => Some(false),
@@ -137,39 +138,39 @@
 }
 
 async fn prefill_end(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let end = read_message(request, "not the end of a prompt").await?;
+    let end = read_message(request, "invalid end of a prefill").await?;
     node.schedulers.end(end, node.now());
     Ok(rmp(&()))
 }
 
 async fn quarantine(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let news = read_message(request, "not news of requests").await?;
+    let news = read_message(request, "invalid quarantine report").await?;
     Ok(rmp_named(&node.quarantine.merge_report(node, &news)))
 }
 
 async fn permit(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let ask = read_message(request, "not an ask for a permit").await?;
+    let ask = read_message(request, "invalid permit request").await?;
     let answer = limits::answer(node, &ask);
-    let answer = answer.ok_or_else(|| text(StatusCode::CONFLICT, "another node comes first"))?;
+    let answer = answer.ok_or_else(|| text(StatusCode::CONFLICT, "another node issues permits"))?;
     Ok(rmp_named(&answer))
 }
 
 async fn limit_report(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let news = read_message(request, "not news of limits").await?;
+    let news = read_message(request, "invalid limit report").await?;
     limits::take(node, news);
     Ok(rmp_named(&()))
 }
 
 async fn free(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let FreeRequest { pool, handles } = read_message(request, "not results to free").await?;
+    let FreeRequest { pool, handles } = read_message(request, "invalid free request").await?;
     node.pools.free(node, &pool, handles);
     Ok(rmp(&()))
 }
 
 async fn waits(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let pool: PoolId = read_message(request, "not a pool of makers").await?;
+    let pool: PoolId = read_message(request, "invalid pool id").await?;
     if node.is_stopping() || !node.peers.roster(|r| r.coordinates(&pool, node.now())) {
-        return Err(text(StatusCode::CONFLICT, "another node comes first"));
+        return Err(text(StatusCode::CONFLICT, "another node is the batch coordinator"));
     }
     let waits = node.pools.waits(node, &pool);
     let waits = waits.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such stage service"))?;
@@ -177,7 +178,7 @@
 }
 
 async fn batch(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let order: BatchOrder = read_message(request, "not a batch order").await?;
+    let order: BatchOrder = read_message(request, "invalid batch order").await?;
     let stopping = || text(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     if node.is_stopping() {
         return Err(stopping());
@@ -185,7 +186,9 @@
     match stages::take(node, order).await {
         Ok(answer) => Ok(rmp(&answer)),
         Err(NotMade::Moved) if node.is_stopping() => Err(stopping()),
-        Err(NotMade::Moved) => Err(text(StatusCode::CONFLICT, "another node comes first")),
+        Err(NotMade::Moved) => {
+            Err(text(StatusCode::CONFLICT, "another node is the batch coordinator"))
+        }
         Err(NotMade::NoService) => Err(text(StatusCode::NOT_FOUND, "no such stage service")),
     }
 }
