--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -52,7 +52,7 @@
 /// 100 ms.
 const PING_TIMEOUT: Duration = Duration::from_millis(150);
 /// Delay before an unanswered ping is also sent over a new connection: most answers between
-/// failure domains take a few milliseconds, and connecting takes part of [`PING_TIMEOUT`].
+/// failure domains take a few milliseconds, and connecting takes part of `PING_TIMEOUT`.
 const PING_RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Retention of the record that a peer's connections fell silent. Orders that wait on them read
 /// it within some tens of milliseconds.
@@ -319,7 +319,7 @@
     None,
 }
 
-/// Pings a peer over a pooled connection, and after [`PING_RETRY_DELAY`] over a new one as well.
+/// Pings a peer over a pooled connection, and after `PING_RETRY_DELAY` over a new one as well.
 async fn ping(node: &Rc<Node>, peer: SocketAddr) -> Pong {
     let new = tokio::task::spawn_local(ping_new_connection(node.clone(), peer));
     let kept = call::<_, ()>(node, peer, server::PING, &(), PING_TIMEOUT).await;
--- a/crates/forward/src/peers/resting.rs
+++ b/crates/forward/src/peers/resting.rs
@@ -21,7 +21,8 @@
         self.0.borrow().get(id).is_some_and(|until| now < *until)
     }
 
-    /// Whether a peer's last call failed recently, during its backoff or up to [`RETENTION`] after.
+    /// Whether a peer's last call failed recently: its backoff lasts, or ended at most `RETENTION`
+    /// ago.
     pub fn failed_recently(&self, id: &NodeId, now: Time) -> bool {
         self.0.borrow().get(id).is_some_and(|until| now < *until + RETENTION)
     }
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -151,7 +151,8 @@
 async fn permit(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
     let ask = read_message(request, "invalid permit request").await?;
     let answer = limits::answer(node, &ask);
-    let answer = answer.ok_or_else(|| text(StatusCode::CONFLICT, "another node issues permits"))?;
+    let answer =
+        answer.ok_or_else(|| text(StatusCode::CONFLICT, "this node is not the permit issuer"))?;
     Ok(rmp_named(&answer))
 }
 
@@ -170,7 +171,7 @@
 async fn waits(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
     let pool: PoolId = read_message(request, "invalid pool id").await?;
     if node.is_stopping() || !node.peers.roster(|r| r.coordinates(&pool, node.now())) {
-        return Err(text(StatusCode::CONFLICT, "another node is the batch coordinator"));
+        return Err(text(StatusCode::CONFLICT, "this node is not the batch coordinator"));
     }
     let waits = node.pools.waits(node, &pool);
     let waits = waits.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such stage service"))?;
@@ -187,7 +188,7 @@
         Ok(answer) => Ok(rmp(&answer)),
         Err(NotMade::Moved) if node.is_stopping() => Err(stopping()),
         Err(NotMade::Moved) => {
-            Err(text(StatusCode::CONFLICT, "another node is the batch coordinator"))
+            Err(text(StatusCode::CONFLICT, "this node is not the batch coordinator"))
         }
         Err(NotMade::NoService) => Err(text(StatusCode::NOT_FOUND, "no such stage service")),
     }
