--- a/crates/forward/src/watch/ages.rs
+++ b/crates/forward/src/watch/ages.rs
@@ -1,5 +1,5 @@
-//! How old what this node knows is, for each kind of object: the time since the store last
-//! confirmed it, to this node or to a peer that it follows.
+//! Age of this node's state for each kind of object: the time since the store last confirmed it,
+//! to this node or to a peer that it follows.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 
 use crate::border::Kind;
 
-/// Age of one kind: now, and the greatest since the kind was first known.
+/// Age of one kind of object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Age {
-    /// Time since it was last confirmed.
+    /// Time since the last confirmation.
     pub current: Duration,
-    /// Greatest age that it ever reached.
+    /// Maximum age since the kind was first confirmed.
     pub max: Duration,
 }
 
@@ -25,7 +25,7 @@
     is_stale: Cell<bool>,
 }
 
-/// Ages of all kinds.
+/// Ages of all kinds that decisions depend on.
 #[derive(Debug, Default)]
 pub struct Ages([KindAge; Kind::AGED.len()]);
 
@@ -34,7 +34,8 @@
         &self.0[kind as usize]
     }
 
-    /// The store confirmed a kind at this time; earlier news change nothing.
+    /// Records that the store confirmed a kind at `at`. A confirmation before the last one has no
+    /// effect.
     pub fn confirm(&self, kind: Kind, at: Time, now: Time) {
         let state = self.of(kind);
         let Some(last) = state.confirmed.get() else {
@@ -45,7 +46,7 @@
         state.confirmed.set(Some(last.max(at)));
     }
 
-    /// Age of a kind if it has become old, or has been confirmed after that, since the last look.
+    /// Returns whether a kind is stale, and its age, if that has changed since the last call.
     pub fn take_transition(&self, kind: Kind, now: Time) -> Option<(bool, Age)> {
         let age = self.age(kind, now)?;
         let is_stale = age.current >= waits::STALE_AFTER;
@@ -53,17 +54,17 @@
         (is_stale != was_stale).then_some((is_stale, age))
     }
 
-    /// Nothing is known of a kind yet.
+    /// Marks a kind as never confirmed.
     pub fn clear(&self, kind: Kind) {
         self.of(kind).confirmed.set(None);
     }
 
-    /// When a kind was last confirmed, if it ever was.
+    /// Time of a kind's last confirmation; `None` if there was none.
     pub fn confirmed(&self, kind: Kind) -> Option<Time> {
         self.of(kind).confirmed.get()
     }
 
-    /// Age of a kind; `None` if it is not known.
+    /// Age of a kind; `None` if it was never confirmed.
     pub fn age(&self, kind: Kind, now: Time) -> Option<Age> {
         let state = self.of(kind);
         let age = now.since(state.confirmed.get()?);
--- a/crates/forward/src/watch/evacuations.rs
+++ b/crates/forward/src/watch/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations: what a list of them changes.
+//! Applies lists of evacuations.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Puts a list in force unless a newer one is, and tells the peers that follow this node.
+/// Applies a list unless a newer one is in force, and notifies the peers that follow this node.
 pub(super) fn apply(node: &Node, list: Evacuations, from: &str) {
     let now = node.now();
     let revision = list.at;
--- a/crates/forward/src/watch/feed.rs
+++ b/crates/forward/src/watch/feed.rs
@@ -1,7 +1,7 @@
-//! The targets' state as this node has it, and what its peers can follow of it.
+//! This node's state of the targets, in the form that peers follow.
 //!
-//! Evacuations and roll-outs are part of that state where they are followed. The store is asked
-//! for them less often than for targets, so they may be older before the state is no use.
+//! Evacuations and rollouts are part of that state if they are followed. They are read from the
+//! store less often than targets, so they may be older before the state counts as stale.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -17,24 +17,24 @@
 use crate::border::Kind;
 use crate::events::Event;
 
-/// Age from which on the state is no use to a peer, which then asks another one.
+/// Age beyond which the state is stale for a follower, which then switches to another peer.
 const STALE_AGE: Duration = Duration::from_millis(1_600);
-/// Time by which lists may be older than targets: a watch of theirs lasts so much longer.
+/// Additional age allowed for lists, whose watches last this much longer than those of targets.
 const LIST_AGE_ALLOWANCE: Duration = Duration::from_millis(500);
-/// Kinds that operators keep as lists.
+/// Kinds that operators maintain as lists.
 const LIST_KINDS: [Kind; 2] = [Kind::Evacuations, Kind::Rollouts];
 
-/// Revision, history and age of the targets' state.
+/// State of the targets: revision, recent changes and age.
 #[derive(Debug)]
 pub struct Feed {
     history: RefCell<History<TargetChange>>,
-    /// Epoch of the store that the history is of.
+    /// Epoch of the store that the history belongs to.
     epoch: Cell<u64>,
     ages: Ages,
     out_of_touch: Cell<bool>,
     changed: watch::Sender<()>,
     reads_store: watch::Sender<bool>,
-    /// For those that know nothing yet.
+    /// Encoded state for followers that have none yet.
     pub snapshot: SnapshotCache,
 }
 
@@ -42,7 +42,7 @@
     fn default() -> Self {
         let ages = Ages::default();
         for kind in LIST_KINDS {
-            // Not followed, so never too old.
+            // A list that is not followed never counts as stale.
             ages.confirm(kind, Time::NEVER, Time::ZERO);
         }
         Feed {
@@ -58,23 +58,23 @@
 }
 
 impl Feed {
-    /// A list is part of the state from now on.
+    /// Makes a list part of the state.
     pub fn follow(&self, kind: Kind) {
         self.ages.clear(kind);
     }
 
-    /// Revision that the state is at; `None` if none was ever read.
+    /// Revision of the state; `None` if none was ever read.
     pub fn revision(&self) -> Option<u64> {
         Some(self.history.borrow().at()).filter(|at| *at > 0)
     }
 
-    /// Epoch of the store that the state is of.
+    /// Epoch of the store that the state belongs to.
     pub fn epoch(&self) -> u64 {
         self.epoch.get()
     }
 
-    /// Age of the state: time since the store confirmed it, that of lists less what they may
-    /// be older.
+    /// Age of the state: the time since the store last confirmed all of it. Lists may be older by
+    /// `LIST_AGE_ALLOWANCE`.
     pub fn age(&self, now: Time) -> Duration {
         let lists_at =
             LIST_KINDS.map(|kind| self.ages.confirmed(kind).map(|at| at + LIST_AGE_ALLOWANCE));
@@ -82,13 +82,13 @@
         oldest.map_or(Duration::MAX, |at| now.since(at))
     }
 
-    /// Age of one kind; `None` if it is not known, or not followed.
+    /// Age of one kind; `None` if it was never confirmed or is not followed.
     pub fn age_of(&self, kind: Kind, now: Time) -> Option<Age> {
         let is_followed = self.ages.confirmed(kind) != Some(Time::NEVER);
         self.ages.age(kind, now).filter(|_| is_followed)
     }
 
-    /// Tells of kinds that have become old, or are no longer.
+    /// Logs the kinds that have become stale or fresh again since the last call.
     pub fn log_stale_kinds(&self, now: Time) {
         for kind in Kind::AGED {
             if let Some((old, age)) = self.ages.take_transition(kind, now) {
@@ -98,25 +98,26 @@
         }
     }
 
-    /// Whether this node's own source fails it, which for a relay is the store alone. Those that
-    /// follow this node are told at once, for better or worse.
+    /// Sets whether this node has lost contact with its own source, which for a relay is the store
+    /// alone. Followers are notified at once of a change in either direction.
     pub fn set_out_of_touch(&self, out_of_touch: bool) {
         if self.out_of_touch.replace(out_of_touch) != out_of_touch {
             self.notify();
         }
     }
 
-    /// Whether this node's own source fails it.
+    /// Whether this node has lost contact with its own source.
     pub fn is_out_of_touch(&self) -> bool {
         self.out_of_touch.get()
     }
 
-    /// Whether an answer of this age is worth following.
+    /// Whether state of this age is too old to be followed.
     pub fn is_stale(age: Duration) -> bool {
         age > STALE_AGE
     }
 
-    /// A peer told of a state of this age, from which what lists may be older is off.
+    /// Records that a peer's state was confirmed at `at`. The peer reduced its age by the allowance
+    /// for lists, so they count as confirmed that much earlier.
     pub fn confirm_all(&self, at: Time, now: Time) {
         self.confirm(Kind::Targets, at, now);
         for kind in LIST_KINDS {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// The store confirmed a kind at this time.
+    /// Records that the store confirmed a kind at `at`, and notifies followers if the state is no
+    /// longer stale.
     pub fn confirm(&self, kind: Kind, at: Time, now: Time) {
         let was_stale = Feed::is_stale(self.age(now));
         self.ages.confirm(kind, at, now);
@@ -133,25 +135,25 @@
         }
     }
 
-    /// Whether this node reads the store from now on: as a relay, or for want of one.
+    /// Sets whether this node reads the store, because it is a relay or has none to follow.
     pub fn set_reads_store(&self, reads: bool) {
         self.reads_store.send_if_modified(|was| std::mem::replace(was, reads) != reads);
     }
 
-    /// Returns once this node reads the store.
+    /// Waits until this node reads the store.
     pub async fn until_reads_store(&self) {
         let mut reads = self.reads_store.subscribe();
         let _ = reads.wait_for(|reads| *reads).await;
     }
 
-    /// The whole state was read at a revision of an epoch.
+    /// Records that the complete state was read at a revision of an epoch.
     pub fn restart(&self, epoch: u64, revision: u64) {
         self.epoch.set(epoch);
         self.history.borrow_mut().restart(revision);
         self.notify();
     }
 
-    /// Changes up to a revision were taken.
+    /// Records the changes applied up to a revision.
     pub fn append(&self, revision: u64, changes: Vec<TargetChange>) {
         let has_changes = !changes.is_empty();
         self.history.borrow_mut().append(revision, changes);
@@ -160,17 +162,17 @@
         }
     }
 
-    /// Changes after a revision; `None` if the whole state is needed.
+    /// Changes after a revision; `None` if the complete state is needed.
     pub fn changes_since(&self, revision: u64) -> Option<Vec<TargetChange>> {
         self.history.borrow().since(revision)
     }
 
-    /// Tells those that wait that there is news.
+    /// Notifies all subscribers of a change.
     pub fn notify(&self) {
         self.changed.send_replace(());
     }
 
-    /// Tells whenever there is news.
+    /// Subscribes to changes of the state.
     pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
--- a/crates/forward/src/watch/lists.rs
+++ b/crates/forward/src/watch/lists.rs
@@ -1,5 +1,5 @@
-//! Follows a list of objects that operators keep in the store, for as long as this node reads
-//! it: as a relay, or for want of one. The others hear of it from where they follow the targets.
+//! Follows a list of objects that operators maintain in the store, while this node reads the store
+//! because it is a relay or has none to follow. Other nodes receive the list with the targets.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,35 +13,36 @@
 use crate::border::{Change, Kind};
 use crate::node::Node;
 
-/// Longest wait after a failed call.
+/// Maximum jitter of the delay after a failed call.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
-/// Time for which a failed call waits for another one to show that the store answers again.
+/// Maximum time to wait, after a failed call, until another call shows that the store answers
+/// again.
 const OUTAGE_WAIT: Duration = Duration::from_secs(2);
 
-/// A kind of object that is followed as a list.
+/// Kind of object that is followed as a list.
 pub(super) trait ListKind {
-    /// The kind.
+    /// Kind in the store.
     const KIND: Kind;
-    /// What is kept of an object.
+    /// Stored form of an object.
     type Object;
 
-    /// What a change says of an object of the kind; `None` if it is of another one.
+    /// Name and state of the object in a change; `None` if the object is of another kind.
     fn entry(change: Change) -> Option<(Name, Entry<Self::Object>)>;
 
-    /// The objects in force at this node, whoever told of them.
+    /// Objects in force at this node, from whichever source.
     fn in_force(node: &Node) -> BTreeMap<Name, Self::Object>;
 
-    /// Puts the list as it is at a revision in force.
+    /// Puts the list at a revision in force.
     fn apply(node: &Node, at: u64, list: &List<Self::Object>);
 
-    /// Whether the list in force is of the latest epoch of the store.
+    /// Whether the list in force belongs to the latest epoch of the store.
     fn is_current(node: &Node) -> bool;
 
-    /// Revision up to which the list is to be known at once, if it is not to wait for news.
+    /// Revision up to which the list must be read at once; `None` if it can wait for changes.
     fn required_revision(node: &Node) -> Option<u64>;
 }
 
-/// Follows until the process ends.
+/// Follows the list until the process ends.
 pub(super) async fn follow<L: ListKind>(node: Rc<Node>) {
     let mut reader = Reader::new(node.clone(), L::KIND);
     let mut list = List::default();
@@ -50,7 +51,8 @@
         tokio::time::sleep(waits::COALESCE_TIME).await;
         node.feed.until_reads_store().await;
         match read::<L>(&node, &mut reader, list.at()).await {
-            // An object that is not known may bind: nothing is in force by half of a list.
+            // An object that was not read may restrict what is allowed, so a truncated list is not
+            // applied.
             Ok(update) if update.truncated => backoff.wait(&node, MAX_RETRY_DELAY).await,
             Ok(update) => {
                 backoff.reset();
@@ -65,8 +67,8 @@
     }
 }
 
-/// Reads the list, or waits for changes until it is needed at once. Where it has not been
-/// confirmed for long it is asked for at once too: whoever follows this node goes by its age.
+/// Reads the list, or waits for changes until a later revision is required at once. The wait is
+/// skipped if the list was not confirmed for long, because followers judge this node by its age.
 async fn read<L: ListKind>(
     node: &Node,
     reader: &mut Reader,
@@ -82,10 +84,10 @@
     reader.read(since, NO_WAIT).await
 }
 
-/// Returns once the list is needed at a later revision than this.
+/// Waits until the list is required at a later revision than `known`.
 async fn until_required<L: ListKind>(node: &Node, known: Option<u64>) {
     let Some(known) = known else {
-        // The whole list is being read, which does not wait.
+        // The complete list is being read, without a wait for changes.
         return std::future::pending().await;
     };
     let mut updates = node.feed.subscribe();
@@ -101,7 +103,7 @@
     let StoreUpdate { revision, is_snapshot, changes, .. } = update;
     let entries = changes.into_iter().filter_map(L::entry);
     if is_snapshot {
-        // Peers may have told of objects before this node read any itself.
+        // Peers may have sent objects before this node read any itself.
         list.set_objects(L::in_force(node));
         list.replace(revision, entries);
     } else {
--- a/crates/forward/src/watch/mod.rs
+++ b/crates/forward/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Follows rules, targets, evacuations and roll-outs: in the store, or through peers that do.
+//! Follows rules, targets, evacuations and rollouts in the store, or through peers that do.
 
 mod ages;
 mod backoff;
@@ -28,7 +28,7 @@
 pub use store::{CONNECT_TIMEOUT as STORE_CONNECT_TIMEOUT, Reader, StoreUpdate};
 pub use targets::answer_follower;
 
-/// Time between looks at targets whose entries vanished, and at the age of what is known.
+/// Interval at which targets with vanished entries and the age of the state are checked.
 const EXPIRE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts following all kinds.
@@ -52,8 +52,9 @@
     tokio::task::spawn_local(expire(node.clone()));
 }
 
-/// Forgets, in time, targets whose entries vanished, and tells what has become old, and that the
-/// machine was suspended. This look at the clock wakes whoever waits for a time then.
+/// Periodically removes targets whose entries vanished and whose grace period is over, and logs
+/// state that has become stale and suspensions of the machine. Reading the clock also wakes the
+/// tasks whose timers stood still during a suspension.
 async fn expire(node: Rc<Node>) {
     let mut suspended = Duration::ZERO;
     loop {
@@ -73,7 +74,7 @@
     age.as_millis().min(u128::from(u32::MAX)) as u64
 }
 
-/// Who relays the store's state to this node.
+/// Relays of the store's state for this node. If the policy does not use relays, every node is one.
 fn relays(node: &Node) -> Relays {
     let relays = node.peers.roster(|r| r.relays(node.now()));
     if node.settings().policy.relays {
--- a/crates/forward/src/watch/rollouts.rs
+++ b/crates/forward/src/watch/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: what a list of their orders changes.
+//! Applies lists of rollout orders.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,14 +17,14 @@
 use crate::node::Node;
 use crate::peers;
 
-/// Time for a peer that is asked at the start, over a new connection.
+/// Timeout of a query to a peer at the start, over a new connection.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between looks at whether any peer is known yet.
+/// Interval between queries until a peer is known and answers.
 const ASK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after which a node that found no peer goes on without one: most are found within a
-/// second, and until then one of a service's versions serves alone.
+/// Time after which a node that found no peer continues without one. Most peers are found within a
+/// second, and until then only one version of each service serves.
 const MAX_ASK_TIME: Duration = Duration::from_secs(3);
-/// Peers asked: one may have just started too.
+/// Maximum number of peers queried, since one may have just started too.
 const MAX_ASKED_PEERS: usize = 3;
 
 impl ListKind for Rollouts {
@@ -55,13 +55,14 @@
         node.fleet(|f| f.versions().is_current())
     }
 
-    /// A version that came beside another one gets nothing before orders are known up to then.
+    /// A version that appears beside another one gets no requests until the orders are known up to
+    /// the revision at which it appeared.
     fn required_revision(node: &Node) -> Option<u64> {
         node.fleet(|f| f.versions().unsettled())
     }
 }
 
-/// Asks peers, at the start, which orders were withdrawn before: the store does not tell.
+/// Asks peers at the start which orders were withdrawn before, since the store does not record it.
 pub(super) async fn ask_peers(node: Rc<Node>) {
     let deadline = node.now() + MAX_ASK_TIME;
     while node.now() < deadline && !ask_relay_peers(&node).await {
@@ -70,10 +71,10 @@
     node.fleet(|f| f.versions_mut().set_awaiting_peers(false));
 }
 
-/// Takes what some peers know of orders; whether any answered.
+/// Applies the orders that some peers know. Returns whether any of them has read orders.
 async fn ask_relay_peers(node: &Rc<Node>) -> bool {
     let client = Client::new(peers::CONNECT_TIMEOUT);
-    // Of the targets, nothing.
+    // No targets are requested.
     let ask = FollowAsk {
         at: u64::MAX,
         rules: node.table().rules.version,
@@ -89,7 +90,7 @@
             Ok(response) if !node.is_current(response.epoch) => continue,
             Ok(response) => response.answer,
             Err(e) => {
-                log::debug!("orders: {e}");
+                log::debug!("orders: query of a peer failed: {e}");
                 continue;
             }
         };
@@ -101,7 +102,7 @@
     answered
 }
 
-/// Puts a list in force unless a newer one is, and tells the peers that follow this node.
+/// Applies a list unless a newer one is in force, and notifies the peers that follow this node.
 pub(super) fn apply(node: &Node, list: Rollouts, from: &str) {
     let now = node.now();
     let (was_known, was_unsettled) =
--- a/crates/forward/src/watch/rules.rs
+++ b/crates/forward/src/watch/rules.rs
@@ -1,6 +1,6 @@
-//! Follows the rules in the store, for as long as this node reads it: as a relay, or for
-//! want of one. The others take the rules from where they follow the targets; news of a
-//! newer version also comes with membership, whoever told of it first.
+//! Follows the rules in the store, while this node reads the store because it is a relay or has
+//! none to follow. Other nodes fetch the rules from the peer through which they follow the targets;
+//! membership also announces newer versions from any peer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::border::{Change, Kind};
 use crate::node::Node;
 
-/// Longest wait of a relay after a failed call.
+/// Maximum jitter of a relay's delay after a failed call.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
-/// Longest wait of any other node.
+/// The same for any other node.
 const MAX_FOLLOWER_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// Follows until the process ends.
+/// Follows the rules until the process ends.
 pub async fn follow(node: Rc<Node>) {
     let mut reader = Reader::new(node.clone(), Kind::Rules);
     let mut since = None;
@@ -27,7 +27,7 @@
         node.feed.until_reads_store().await;
         let is_relay = relays(&node).role == Role::Relay;
         match reader.read(since, waits::RULES_WATCH_WAIT).await {
-            // The rules may be among what it did not bring.
+            // The rules may be in the missing part of the list.
             Ok(update) if update.truncated => {
                 adopt(&node, update);
                 since = None;
@@ -51,7 +51,7 @@
 fn adopt(node: &Node, update: StoreUpdate) {
     let is_truncated = update.truncated;
     for change in update.changes {
-        // Rules are never taken back, only replaced.
+        // Rules are only ever replaced, never deleted.
         if let Change::Rules(rules) = change {
             node.adopt(*rules, "store");
         }
--- a/crates/forward/src/watch/store.rs
+++ b/crates/forward/src/watch/store.rs
@@ -1,4 +1,4 @@
-//! Reads lists and watches of the store.
+//! Client for lists and watches of the store.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -13,21 +13,21 @@
 use crate::events::Event;
 use crate::node::Node;
 
-/// Time to connect to the store.
+/// Timeout for connecting to the store.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time for a list.
+/// Timeout for one page of a list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Times that a page is asked for again while the store is busy.
+/// Maximum number of delayed retries of a page while the store is busy.
 const MAX_PAGE_RETRIES: u32 = 12;
-/// Longest wait before a page is asked for again.
+/// Maximum delay before a page is retried.
 const MAX_PAGE_DELAY: Duration = Duration::from_millis(600);
-/// Wait of a watch that is to be answered at once.
+/// Wait of a watch that the store answers at once.
 pub(super) const NO_WAIT: Duration = Duration::from_millis(1);
-/// Whom an epoch was heard of that the store itself told.
+/// Source in log lines of an epoch that the store itself reported.
 const EPOCH_SOURCE: &str = "store";
-/// Status of a call beyond the store's rate.
+/// Status for a call that exceeds the store's rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// Status of a watch whose history is gone.
+/// Status for a watch from a revision that the store's history no longer covers.
 const GONE: u16 = 410;
 
 /// Why the store could not be read.
@@ -37,12 +37,12 @@
     Call(#[from] CallError),
     /// {0}
     Malformed(#[from] Malformed),
-    /// the store came back from an older copy meanwhile
+    /// the store was restored from an older copy meanwhile
     Restored,
 }
 
 impl ReadError {
-    /// Whether the watch's history is gone, so that the list is to be read anew.
+    /// Whether the history that a watch needs is gone, so that the list must be read again.
     pub fn is_history_gone(&self) -> bool {
         match self {
             ReadError::Call(e) => e.status() == Some(GONE),
@@ -51,31 +51,31 @@
         }
     }
 
-    /// Whether no answer came in time, which says more of the connection than of the store.
+    /// Whether the call timed out, which indicates a silent connection rather than a failed store.
     fn is_timeout(&self) -> bool {
         matches!(self, ReadError::Call(e) if e.kind == CallKind::Timeout)
     }
 }
 
-/// What one call brought.
+/// State or changes read from the store.
 #[derive(Debug, Default)]
 pub struct StoreUpdate {
-    /// Revision that the state is at now.
+    /// Revision of the state after these changes.
     pub revision: u64,
-    /// Epoch of the store that it is of; `None` if the store tells none.
+    /// Epoch of the store that the revision belongs to; `None` if the store does not send one.
     pub epoch: Option<u64>,
-    /// The changes are the whole state.
+    /// The changes are the complete state.
     pub is_snapshot: bool,
-    /// They are the begin of a list that could not be read to its end.
+    /// The changes are the beginning of a list that could not be read to its end.
     pub truncated: bool,
-    /// Changes, oldest first.
+    /// Changes from oldest to newest.
     pub changes: Vec<Change>,
-    /// Entries that cannot be read.
+    /// Entries that cannot be parsed.
     malformed: Vec<BadEntry>,
 }
 
 impl StoreUpdate {
-    /// What was read of a list that cannot be continued.
+    /// Marks the update as the part that was read of a list that cannot be continued.
     fn into_truncated(mut self) -> Self {
         (self.is_snapshot, self.truncated) = (false, true);
         self.malformed.push(BadEntry::new(None, "list", "no name to continue after"));
@@ -83,7 +83,7 @@
     }
 }
 
-/// Names whose entries can be read after all changes, or are gone.
+/// Names whose entries, after all changes, can be parsed or are removed.
 fn readable_names(changes: &[Change]) -> BTreeSet<&Name> {
     let mut names = BTreeSet::new();
     for change in changes {
@@ -95,31 +95,31 @@
     names
 }
 
-/// Reads one kind of object.
+/// Reads one kind of object from the store.
 pub struct Reader {
     node: Rc<Node>,
     client: Client,
     kind: Kind,
     failed: bool,
     unreadable: UnreadableEntries,
-    /// Epoch of the state that changes are asked for of.
+    /// Epoch of the state from which watches continue.
     epoch: Option<u64>,
 }
 
 impl Reader {
-    /// A reader that has read nothing yet.
+    /// Creates a reader without any state.
     pub fn new(node: Rc<Node>, kind: Kind) -> Self {
         let unreadable = UnreadableEntries::default();
         let client = Client::new(CONNECT_TIMEOUT);
         Reader { node, client, kind, failed: false, unreadable, epoch: None }
     }
 
-    /// Changes are asked for of a state of this epoch, which a peer told of.
+    /// Continues watches from a state of this epoch, which may have come from a peer.
     pub fn set_epoch(&mut self, epoch: u64) {
         self.epoch = Some(epoch);
     }
 
-    /// Reads the whole state, or waits for changes since a revision.
+    /// Reads the complete state, or waits for changes since a revision.
     pub async fn read(
         &mut self,
         since: Option<u64>,
@@ -140,8 +140,9 @@
         result
     }
 
-    /// Reads the whole state once, beside those that follow it: what becomes of this call says
-    /// nothing of the store to others. It may be some seconds old, and is cheaper then.
+    /// Reads the complete state once, independently of the tasks that follow it: the outcome does
+    /// not affect whether the store counts as reachable. With `allow_stale` the state may be some
+    /// seconds old, which is cheaper.
     pub async fn read_once(&mut self, allow_stale: bool) -> Result<StoreUpdate, ReadError> {
         let result = self.list(allow_stale).await;
         match &result {
@@ -163,11 +164,11 @@
             Event::Store { kind: self.kind.as_str(), reachable: false, why }.emit();
         }
         self.node.store_lost();
-        // A new client drops connections that hang behind a cut.
+        // A new client drops connections that hang after a network partition.
         self.client = Client::new(CONNECT_TIMEOUT);
     }
 
-    /// Tells of entries that cannot be read, or for another reason than before.
+    /// Logs entries that cannot be parsed, unless they were logged with the same reason before.
     fn log_malformed(&mut self, update: &StoreUpdate) {
         if update.is_snapshot {
             self.unreadable.restart();
@@ -193,7 +194,7 @@
         self.node.metrics.unreadable(self.kind.as_str(), self.unreadable.count());
     }
 
-    /// An answer's body, and the epoch of the store that it tells.
+    /// Returns the epoch of the store and the body of an answer.
     async fn get(&self, path: &str, timeout: Duration) -> Result<(Option<u64>, Bytes), CallError> {
         self.node.metrics.store_call(self.kind.as_str());
         let store = self.node.settings().store.to_string();
@@ -205,8 +206,8 @@
         Ok((epoch, answer.into_body()))
     }
 
-    /// Reads a page, again while the store is busy: after a restart of all nodes their
-    /// lists come together, and a list begun anew would only add to them.
+    /// Reads a page, with retries while the store is busy: after a restart of all nodes their lists
+    /// arrive together, and starting a list again would only add load.
     async fn get_page(&self, path: &str) -> Result<(Option<u64>, Bytes), CallError> {
         for _ in 0..MAX_PAGE_RETRIES {
             match self.get(path, LIST_TIMEOUT).await {
@@ -243,7 +244,7 @@
             }
             if after.is_none() {
                 update.epoch = epoch;
-                // Changes between two pages are seen again from the first revision on.
+                // A watch from the first page's revision repeats changes made between two pages.
                 update.revision = page.at;
             }
             update.changes.extend(page.changes);
@@ -251,14 +252,15 @@
             match page.more {
                 Some(name) if cursors.insert(name.clone()) => after = Some(name),
                 None if !page.cut => return Ok(update),
-                // An entry may bear any name: what comes after one that was asked for is known.
+                // Entries may have arbitrary names. The page after a name that was already used
+                // as a cursor has been read.
                 Some(_) | None => return Ok(update.into_truncated()),
             }
         }
     }
 
-    /// Watches, and where no answer comes in time asks at once over a new connection what
-    /// changed meanwhile: the old one may have fallen silent.
+    /// Watches for changes. After a timeout, asks at once over a new connection what has changed,
+    /// because the old one may have fallen silent.
     async fn watch_with_retry(
         &mut self,
         since: u64,
@@ -282,7 +284,7 @@
         let path = self.node.dialect.watch(self.kind, since, wait.as_millis() as u64);
         let (epoch, body) = self.get(&path, timeout).await?;
         if epoch.is_some() && epoch != self.epoch {
-            // Its revisions are of another history than the one that this node is at.
+            // Its revisions belong to another history than this node's state.
             return Err(ReadError::Restored);
         }
         let page = self.node.dialect.changes(self.kind, &body)?;
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -1,5 +1,6 @@
-//! Follows the targets: the relay of each failure domain in the store, the others through
-//! it. News of newer rules comes the same way, and they are fetched from there.
+//! Follows the targets: the relay of each failure domain reads them from the store, and the other
+//! nodes follow the relay. Answers also carry the version of the rules, and newer rules are fetched
+//! from the same peer.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -23,11 +24,11 @@
 use crate::node::Node;
 use crate::peers::{self, FollowResponse};
 
-/// Time after which a list that could not be read to its end is asked for again. Each change
-/// of what it did not bring is heard of meanwhile, and a try costs a call for each page.
+/// Time after which a truncated list is read again. Until then watches deliver every change to its
+/// missing part, and a retry costs one call per page.
 const RELIST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Follows until the process ends.
+/// Follows the targets until the process ends.
 pub async fn follow(node: Rc<Node>) {
     let mut follower = Follower::new(node);
     loop {
@@ -38,17 +39,18 @@
 struct Follower {
     node: Rc<Node>,
     reader: Reader,
-    /// For relays only, so that it can be replaced once a connection has fallen silent.
+    /// Client for calls to relays only, replaced when a connection has fallen silent.
     client: Client,
     sources: Sources,
-    /// The store's history does not reach back to this node's revision.
+    /// The store's history no longer covers this node's revision.
     history_gone: bool,
-    /// When a list was read that had no end.
+    /// Time at which the last list was read, if it was truncated.
     truncated_at: Option<Time>,
-    /// Its end was read at a revision that followers have too: at a later one they get it all.
+    /// A complete list was read after a truncated one. Followers may have the truncated list at the
+    /// same revision, so the complete list is sent to them once the revision is later.
     snapshot_due: bool,
     source: Option<Source>,
-    /// The peer that was told to be behind.
+    /// Peer that was last logged as behind this node.
     behind: Option<NodeId>,
 }
 
@@ -118,7 +120,8 @@
                     self.snapshot_due = self.truncated_at.is_some() && update.is_snapshot;
                     self.truncated_at = update.truncated.then(|| node.now());
                 }
-                // What a list does not bring may have changed since: watches go on from there.
+                // Entries missing from a truncated list may have changed since the known revision,
+                // so watches continue from that revision.
                 let same_epoch = update.epoch.is_none_or(|epoch| epoch == node.feed.epoch());
                 update.revision =
                     known.filter(|_| update.truncated && same_epoch).unwrap_or(update.revision);
@@ -133,7 +136,7 @@
                 let now = node.now();
                 let jitter = |max| node.rng(|r| r.jitter(max));
                 self.sources.store_failed(relays.role, now, jitter);
-                // Whoever follows this node is better off elsewhere.
+                // Followers of this node should switch to another source.
                 node.feed.set_out_of_touch(true);
             }
         }
@@ -143,7 +146,7 @@
         let node = self.node.clone();
         let is_unsettled = node.fleet(|f| f.versions().unsettled().is_some());
         let wait = match role {
-            // The peer, which reads the orders, soon knows them up to the newest version.
+            // The peer reads the orders, and soon knows them up to the newest version.
             _ if is_unsettled => waits::COALESCE_TIME,
             Role::Standby => waits::STANDBY_WAIT,
             _ => waits::PEER_WAIT,
@@ -180,8 +183,8 @@
         if is_current {
             apply_answer(&node, &peer.id.name, answer, epoch, confirmed);
         }
-        // A relay asks peers only while the store fails it. Its standby is to go on in its
-        // place: if it followed the relay again, each would follow the other.
+        // A relay follows a peer only without contact with the store. Its standby must take its
+        // place rather than follow it, or the two would follow each other.
         node.feed.set_out_of_touch(is_stale || role == Role::Relay);
         if rules > node.table().rules.version {
             peers::fetch_rules(&node, &self.client, peer.entry).await;
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Tells, once for a peer, that it is behind this node.
+    /// Logs, once per peer, that it is behind this node.
     fn log_behind(&mut self, peer: &PeerNode, at: u64) {
         let known_at = self.node.feed.revision().unwrap_or(0);
         if at >= known_at {
@@ -202,8 +205,8 @@
         }
     }
 
-    /// Asks a peer, and where no answer comes in time once more over a new connection: the old
-    /// one may have fallen silent, and whoever takes the peer for lost leaves it for seconds.
+    /// Follows a peer, with one retry over a new connection after a timeout: the old connection may
+    /// have fallen silent, and a peer that counts as failed is skipped for seconds.
     async fn follow(
         &mut self,
         peer: &PeerNode,
@@ -226,7 +229,7 @@
     }
 }
 
-/// Takes what the store told.
+/// Applies an update from the store.
 fn apply_update(node: &Node, update: StoreUpdate) {
     let now = node.now();
     let StoreUpdate { revision, epoch, is_snapshot, truncated, changes, .. } = update;
@@ -241,16 +244,16 @@
         apply_changes(node, revision, changes, doubt);
     }
     if is_new_state {
-        // More may be there, but what is known can be used, and is all that followers can have.
+        // The store may hold more, but what is known can be used, and followers can get no more.
         node.feed.restart(epoch, revision);
         node.know_targets();
     }
-    // For a cut list too: what it brought is as the store has it, and followers that took this
-    // node for stale would find no other that knows more.
+    // This holds for a truncated list too: what was read is current, and followers that took this
+    // node for stale would find no other node that knows more.
     node.feed.confirm(Kind::Targets, now, now);
 }
 
-/// Takes what a peer told.
+/// Applies an answer from a peer.
 fn apply_answer(
     node: &Node,
     from: &str,
@@ -260,7 +263,8 @@
 ) {
     let FollowAnswer { at: revision, doubt_ms, news, evacuations, rollouts, .. } = answer;
     let epoch = epoch.unwrap_or(node.feed.epoch());
-    // Before the targets, so that no new one is used that is to get nothing.
+    // Evacuations and rollouts precede the targets, so that no new target is used that must get no
+    // requests.
     if let Some(list) = evacuations {
         evacuations::apply(node, list, from);
     }
@@ -272,7 +276,7 @@
     match news {
         TargetNews::Unknown => return,
         TargetNews::Whole(list) => apply_snapshot(node, epoch, revision, list, doubt()),
-        // Changes of another history than the one that this node is at.
+        // These changes belong to another history than this node's state.
         TargetNews::Changes(_) if epoch != node.feed.epoch() => return,
         TargetNews::Changes(changes) => apply_changes(node, revision, changes, doubt()),
     }
@@ -340,9 +344,9 @@
     list
 }
 
-/// Answers a peer that follows this node, and tells an epoch of the store or does not, as soon as
-/// there is news: with the epoch of this node and an encoded [`FollowAnswer`]; `None` if this node
-/// stops.
+/// Answers a follower as soon as there are changes for it, or its wait is over. `epoch` is the
+/// epoch of its state, if it sent one. Returns the epoch of this node's state and an encoded
+/// [`FollowAnswer`]; `None` if this node is stopping.
 pub async fn answer_follower(
     node: &Node,
     ask: FollowAsk,
@@ -368,13 +372,14 @@
     Some((node.feed.epoch(), encode(&build_answer(node, news, known_rollouts, Duration::ZERO))))
 }
 
-/// Whether a peer's state is of the epoch of this node's; builds that tell none are taken to be.
+/// Whether a peer's state is of the same epoch as this node's; builds that send no epoch are
+/// assumed to be.
 fn knows_epoch(node: &Node, epoch: Option<u64>) -> bool {
     epoch.is_none_or(|epoch| epoch == node.feed.epoch())
 }
 
-/// What a peer lacks of the targets; `None` if it needs them all. One that knows a later epoch
-/// gets nothing of an earlier one.
+/// Changes of the targets that a peer lacks; `None` if it needs the complete list. A peer that
+/// knows a later epoch gets no state of an earlier one.
 fn changes_for(node: &Node, ask: &FollowAsk, epoch: Option<u64>) -> Option<Vec<TargetChange>> {
     match epoch.map_or(Ordering::Equal, |epoch| epoch.cmp(&node.feed.epoch())) {
         Ordering::Less => None,
@@ -383,8 +388,8 @@
     }
 }
 
-/// The answer with the whole list. Many that have just started ask for it together, so that it
-/// is encoded once for all of a moment.
+/// Answer with the complete list. Many nodes that start together request it at once, so the
+/// encoded form is shared for a short time.
 fn snapshot_answer(node: &Node) -> Bytes {
     let now = node.now();
     let key = SnapshotKey {
@@ -404,7 +409,7 @@
     rmp_serde::to_vec(answer).expect("messages encode").into()
 }
 
-/// An answer that may be given for some time after now.
+/// Builds an answer that may be sent for up to `ttl` from now, with ages increased accordingly.
 fn build_answer(
     node: &Node,
     news: TargetNews,
