--- a/crates/forward/src/quarantine/mod.rs
+++ b/crates/forward/src/quarantine/mod.rs
@@ -74,10 +74,10 @@
     /// Returns whether a request may be sent now. Logs the send if it is the single trial of a
     /// held request.
     pub fn try_send(&self, node: &Node, id: &str, request: Fingerprint) -> bool {
-        let Ok(let_through) = self.machine(|q| q.try_send(request, node.now())) else {
+        let Ok(is_trial) = self.machine(|q| q.try_send(request, node.now())) else {
             return false;
         };
-        if let_through {
+        if is_trial {
             Event::LetThrough { id, same: &request.to_string() }.emit();
             self.changed.notify_one();
         }
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -235,13 +235,13 @@
     let StoreUpdate { revision, epoch, is_snapshot, truncated, changes, .. } = update;
     let epoch = epoch.unwrap_or(node.feed.epoch());
     let changes: Vec<TargetChange> = changes.into_iter().filter_map(target_change).collect();
-    let doubt = node.doubt(|d| d.read_from_store(now));
+    let grace = node.doubt(|d| d.read_from_store(now));
     let is_new_state =
         truncated && (node.feed.revision() != Some(revision) || node.feed.epoch() != epoch);
     if is_snapshot {
-        apply_snapshot(node, epoch, revision, list_targets(changes), doubt);
+        apply_snapshot(node, epoch, revision, list_targets(changes), grace);
     } else {
-        apply_changes(node, revision, changes, doubt);
+        apply_changes(node, revision, changes, grace);
     }
     if is_new_state {
         // The store may hold more, but what is known can be used, and followers can get no more.
@@ -272,27 +272,27 @@
         rollouts::apply(node, list, from);
     }
     let now = node.now();
-    let doubt = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
+    let grace = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
     match news {
         TargetNews::Unknown => return,
-        TargetNews::Whole(list) => apply_snapshot(node, epoch, revision, list, doubt()),
+        TargetNews::Whole(list) => apply_snapshot(node, epoch, revision, list, grace()),
         // These changes belong to another history than this node's state.
         TargetNews::Changes(_) if epoch != node.feed.epoch() => return,
-        TargetNews::Changes(changes) => apply_changes(node, revision, changes, doubt()),
+        TargetNews::Changes(changes) => apply_changes(node, revision, changes, grace()),
     }
     node.feed.confirm_all(confirmed, node.now());
 }
 
-fn apply_snapshot(node: &Node, epoch: u64, revision: u64, list: TargetList, doubt: Option<Time>) {
+fn apply_snapshot(node: &Node, epoch: u64, revision: u64, list: TargetList, grace: Option<Time>) {
     let now = node.now();
     let services: BTreeSet<Name> = list.targets.iter().map(|t| t.service.clone()).collect();
-    node.fleet(|f| f.replace(list, doubt, now));
+    node.fleet(|f| f.replace(list, grace, now));
     services.iter().for_each(|service| node.maker_came(service));
     node.feed.restart(epoch, revision);
     node.know_targets();
 }
 
-fn apply_changes(node: &Node, revision: u64, changes: Vec<TargetChange>, doubt: Option<Time>) {
+fn apply_changes(node: &Node, revision: u64, changes: Vec<TargetChange>, grace: Option<Time>) {
     let now = node.now();
     let changes = drop_superseded(changes);
     for change in &changes {
@@ -315,7 +315,7 @@
                 }
             }
             TargetChange::Gone(name) => {
-                node.fleet(|f| f.remove(name, doubt, now));
+                node.fleet(|f| f.remove(name, grace, now));
                 Event::Target { target: name, service: "", state: "gone" }.emit();
             }
         }
@@ -423,12 +423,12 @@
         let is_newer = versions.is_current() && versions.revision() > known_rollouts;
         is_newer.then(|| versions.list()).flatten()
     });
-    let doubt = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(ttl));
+    let grace = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(ttl));
     FollowAnswer {
         at: node.feed.revision().unwrap_or(0),
         age_ms: millis(node.feed.age(now).saturating_add(ttl)),
         out_of_touch: node.feed.is_out_of_touch(),
-        doubt_ms: doubt.map_or(0, |remaining| remaining.as_millis() as u64),
+        doubt_ms: grace.map_or(0, |remaining| remaining.as_millis() as u64),
         rules: node.table().rules.version,
         rules_age_ms: millis(
             rules_age.map_or(Duration::MAX, |age| age.current.saturating_add(ttl)),
