--- a/crates/forward/src/limits/ask.rs
+++ b/crates/forward/src/limits/ask.rs
@@ -101,13 +101,13 @@
         match node.limits.keeper(node, &target.id, &target.domain) {
             None => return (None, Err("unsettled")),
             Some(None) => return (None, Ok(issue(node, &ask).0)),
-            Some(Some(peer)) if node.limits.unresponsive.rests(&peer.id, node.now()) => {
+            Some(Some(peer)) if node.limits.unresponsive.is_backed_off(&peer.id, node.now()) => {
                 return (Some(peer), Err("silent"));
             }
             Some(Some(peer)) => match request_from_peer(node, &peer, &ask).await {
                 Ok(grant) => return (Some(peer), Ok(grant)),
                 // The next node in the order is the keeper then.
-                Err(e) if peers::is_unknown(&e) => {
+                Err(e) if peers::is_unsupported(&e) => {
                     node.limits.record_unsupported_peer(&peer, PERMIT)
                 }
                 Err(e) if e.status().is_some() => return (Some(peer), Err("not_keeper")),
@@ -124,15 +124,15 @@
 ) -> Result<Grant, CallError> {
     // A pooled connection may be dead after a timeout.
     let unresponsive = &node.limits.unresponsive;
-    let fresh = unresponsive.has_rested(&peer.id, node.now()).then(|| Client::new(PERMIT_TIMEOUT));
+    let fresh = unresponsive.failed_recently(&peer.id, node.now()).then(|| Client::new(PERMIT_TIMEOUT));
     let client = fresh.as_ref().unwrap_or(&node.client);
-    let answer = peers::tell(node, client, peer.entry, PERMIT, ask, PERMIT_TIMEOUT).await;
+    let answer = peers::call_named(node, client, peer.entry, PERMIT, ask, PERMIT_TIMEOUT).await;
     let now = node.now();
     match &answer {
         Err(e) if e.status().is_none() => {
-            unresponsive.did_not_answer(&peer.id, KEEPER_BACKOFF, now)
+            unresponsive.record_failure(&peer.id, KEEPER_BACKOFF, now)
         }
-        _ => unresponsive.answered(&peer.id),
+        _ => unresponsive.record_answer(&peer.id),
     }
     let PermitAnswer { granted, after_ms, word: observation } =
         answer.inspect_err(|e| log::debug!("permit: {e}"))?;
--- a/crates/forward/src/limits/mod.rs
+++ b/crates/forward/src/limits/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::events::Event;
 use crate::node::Node;
-use crate::peers::Resting;
+use crate::peers::PeerBackoff;
 
 pub use ask::{Permit, handle_permit_request, request_permit};
 pub use spread::handle_news;
@@ -31,7 +31,7 @@
     /// Peers whose build does not support limits.
     unsupported_peers: RefCell<HashSet<NodeId>>,
     /// Keepers that did not respond.
-    unresponsive: Resting,
+    unresponsive: PeerBackoff,
     retry_pacers: RefCell<HashMap<Name, RetryPacer>>,
     pending_news: spread::PendingNews,
 }
--- a/crates/forward/src/limits/spread.rs
+++ b/crates/forward/src/limits/spread.rs
@@ -45,7 +45,7 @@
             peers.into_iter().filter(|p| !node.limits.is_unsupported(&p.id)).collect();
         let news = LimitNews { limits, spread: false };
         let on_result = |peer: &PeerNode, result| record_send_result(&node, peer, result);
-        peers::tell_many::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, on_result).await;
+        peers::broadcast::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, on_result).await;
         tokio::time::sleep(MIN_ROUND_INTERVAL).await;
     }
 }
@@ -64,7 +64,7 @@
 fn record_send_result(node: &Node, peer: &PeerNode, result: Result<(), CallError>) {
     match result {
         Ok(()) => {}
-        Err(e) if peers::is_unknown(&e) => node.limits.record_unsupported_peer(peer, LIMITS),
+        Err(e) if peers::is_unsupported(&e) => node.limits.record_unsupported_peer(peer, LIMITS),
         Err(e) => log::debug!("limits: {e}"),
     }
 }
@@ -91,7 +91,7 @@
                 let client = &node.client;
                 // If the report is lost, the next permit request carries the observation.
                 let result =
-                    peers::tell(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
+                    peers::call_named(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
                 record_send_result(&node, &peer, result);
             });
         }
--- a/crates/forward/src/peers/membership.rs
+++ b/crates/forward/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! Drives the membership machine over UDP, and takes newer rules that it hears of.
+//! Drives the membership machine over UDP, and fetches newer rules that peers announce through it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,13 +14,13 @@
 use crate::events::Event;
 use crate::node::Node;
 
-/// Largest datagram.
-const DATAGRAM_MAX: usize = 9000;
-/// Time that a node's own source has to bring rules of which a peer told: a relay's link
-/// bears more than that of any peer, and a follower asks it each 100 ms.
-const SOURCE_FIRST: Duration = Duration::from_millis(150);
+/// Maximum size of a datagram in bytes.
+const MAX_DATAGRAM_BYTES: usize = 9000;
+/// Time that this node's own source has to deliver rules that a peer announced. A relay's link
+/// has more capacity than that of any peer, and a follower polls its relay every 100 ms.
+const SOURCE_GRACE: Duration = Duration::from_millis(150);
 
-/// Runs until the process ends.
+/// Runs membership until the process ends.
 pub async fn run(
     node: Rc<Node>,
     socket: UdpSocket,
@@ -34,12 +34,12 @@
     let mut machine = Member::new(me, Tuning::for_serving_nodes(), rand::random());
     machine.handle_event(node.now(), MemberEvent::Seeds(s.seed_addresses()));
     let mut changes = PendingChanges::default();
-    let mut buffer = vec![0; DATAGRAM_MAX];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let event = tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((n, from)) => read_packet(from, &buffer[..n]),
-                // An unreachable peer's ICMP answer shows up here.
+                // The ICMP answer of an unreachable peer is reported as an error here.
                 Err(_) => None,
             },
             () = node.clock.sleep_until(machine.next_tick()) => Some(MemberEvent::Tick),
@@ -49,14 +49,14 @@
             continue;
         };
         for action in machine.handle_event(node.now(), event) {
-            act(&node, &socket, &mut changes, action).await;
+            perform(&node, &socket, &mut changes, action).await;
         }
-        for (domain, took) in machine.take_round_trips() {
-            node.peers.roster(|r| r.record_rtt(&domain, took));
+        for (domain, rtt) in machine.take_round_trips() {
+            node.peers.roster(|r| r.record_rtt(&domain, rtt));
         }
-        publish(&node, &mut machine);
+        update_roster(&node, &mut machine);
         if let Some(change) = changes.take_due(node.now()) {
-            tell(machine.count(), &change);
+            log_view(machine.count(), &change);
         }
     }
 }
@@ -66,8 +66,8 @@
     Some(MemberEvent::Packet { from, packet })
 }
 
-/// Tells the roster which peers have changed.
-fn publish(node: &Node, machine: &mut Member) {
+/// Copies the peers that have changed to the roster.
+fn update_roster(node: &Node, machine: &mut Member) {
     let now = node.now();
     let changed = machine.take_changed();
     let view = |p: &decide::member::Peer| PeerView {
@@ -87,23 +87,28 @@
     });
 }
 
-fn tell(up: usize, change: &ViewChange) {
+fn log_view(up: usize, change: &ViewChange) {
     let ViewChange { alive, suspected, dead, left, names } = change;
     let (alive, suspected, dead, left) = (*alive, *suspected, *dead, *left);
     Event::View { up, alive, suspected, dead, left, names }.emit();
 }
 
-async fn act(node: &Rc<Node>, socket: &UdpSocket, changes: &mut PendingChanges, action: Action) {
+async fn perform(
+    node: &Rc<Node>,
+    socket: &UdpSocket,
+    changes: &mut PendingChanges,
+    action: Action,
+) {
     match action {
         Action::Send(to, packet) => {
             let bytes = rmp_serde::to_vec(&packet).expect("packets encode");
             if let Some(crossing) = Crossing::to_peer(node, Kind::Member, to) {
                 crossing.sent_datagram(bytes.len());
             }
-            // A lost datagram is no news; probes are made for it.
+            // Send errors are ignored: the probes of membership tolerate lost datagrams.
             let _ = socket.send_to(&bytes, to).await;
         }
-        Action::NewerManifest(number, from) => hear(node, number, from),
+        Action::NewerManifest(number, from) => request_rules(node, number, from),
         Action::Changed(rumor) => {
             changes.note(&rumor.node.id.name, rumor.health, node.now());
             if rumor.health == Health::Left {
@@ -114,20 +119,20 @@
     }
 }
 
-/// A peer has this version of the rules. It is asked for them if they do not come from
-/// where this node reads them, and nobody else is asked yet.
-fn hear(node: &Rc<Node>, number: u64, from: SocketAddr) {
-    if number > node.peers.fetching.get() {
-        node.peers.fetching.set(number);
-        tokio::task::spawn_local(fetch(node.clone(), number, from));
+/// Fetches a version of the rules from the peer that announced it, unless this node's own source
+/// delivers it first or another peer is already being asked for it.
+fn request_rules(node: &Rc<Node>, version: u64, from: SocketAddr) {
+    if version > node.peers.requested_rules.get() {
+        node.peers.requested_rules.set(version);
+        tokio::task::spawn_local(fetch_after_grace(node.clone(), version, from));
     }
 }
 
-async fn fetch(node: Rc<Node>, number: u64, from: SocketAddr) {
-    tokio::time::sleep(SOURCE_FIRST).await;
-    if node.table().rules.version < number {
-        super::take_rules(&node, &node.client, from).await;
+async fn fetch_after_grace(node: Rc<Node>, version: u64, from: SocketAddr) {
+    tokio::time::sleep(SOURCE_GRACE).await;
+    if node.table().rules.version < version {
+        super::fetch_rules(&node, &node.client, from).await;
     }
-    // Whoever next tells of a number that is still missing is asked again.
-    node.peers.fetching.set(node.table().rules.version);
+    // The next peer that announces a version still missing is asked for it.
+    node.peers.requested_rules.set(node.table().rules.version);
 }
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Peers: membership over UDP, a small HTTP server for the other nodes, and what this
-//! node believes of them.
+//! Peers: membership over UDP, a small HTTP server for the other nodes, and this node's view of
+//! their health.
 
 mod membership;
 mod resting;
@@ -36,40 +36,40 @@
 use crate::node::Node;
 use crate::quarantine;
 
-pub use resting::Resting;
+pub use resting::PeerBackoff;
 pub use server::{
-    BATCH, FREE, LIMITS, PERMIT, PREFILL, PREFILL_END, QUARANTINE, ROLLOUT, ROLLOUT_STATE,
-    RemoteFree, RemoteState, WAITS,
+    BATCH, FREE, FreeRequest, LIMITS, PERMIT, PREFILL, PREFILL_END, QUARANTINE, ROLLOUT,
+    ROLLOUT_STATE, StateWrite, WAITS,
 };
 
-/// Header by which nodes tell the epoch of the store that what they know is of.
+/// Header that carries the epoch of the store from which a node's state was read.
 pub const EPOCH: HeaderName = HeaderName::from_static("pumicevale-epoch");
-/// Time to connect to a peer.
-pub const CONNECT: Duration = Duration::from_millis(250);
-/// Time for a peer to hand over its rules: the largest take a small host's link a second.
+/// Timeout for connecting to a peer.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout for fetching a peer's rules: the largest take a second over a small host's link.
 const RULES_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time for a ping's answer: a host whose share of its core is used up gets nothing for up
-/// to 100 ms.
+/// Timeout for a ping's answer: a host that has used up its CPU share can be throttled for up to
+/// 100 ms.
 const PING_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time after which a ping without an answer is sent over a new connection too: most answers
-/// between failure domains take a few milliseconds, and a new connection needs a moment.
-const PING_AGAIN: Duration = Duration::from_millis(40);
-/// Time for which it is remembered that a peer's connections fell silent. Orders that wait
-/// on them hear of it within some tens of milliseconds.
-const HUNG_KEPT: Duration = Duration::from_secs(10);
-
-/// Peers of a node.
+/// Delay before an unanswered ping is also sent over a new connection: most answers between
+/// failure domains take a few milliseconds, and connecting takes part of `PING_TIMEOUT`.
+const PING_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Retention of the record that a peer's connections fell silent. Orders that wait on them read
+/// it within some tens of milliseconds.
+const HUNG_RETENTION: Duration = Duration::from_secs(10);
+
+/// Roster of a node's peers, and the state of the connections to them.
 pub struct Peers {
-    /// This start of the node.
+    /// Id of this node, which changes at each start.
     pub id: NodeId,
     roster: RefCell<Roster>,
     hung: RefCell<HashMap<NodeId, Time>>,
-    fetching: Cell<u64>,
+    requested_rules: Cell<u64>,
     commands: RefCell<Option<mpsc::UnboundedSender<MemberEvent>>>,
 }
 
 impl Peers {
-    /// Nobody is known yet.
+    /// Starts with an empty roster.
     pub fn new(me: Name, domain: Name, capacity: u8, regions: Regions) -> Self {
         let id = NodeId { name: me.clone(), start: rand::random::<u64>().max(1) };
         let mut roster = Roster::new(me, domain, capacity);
@@ -78,20 +78,20 @@
             id,
             roster: RefCell::new(roster),
             hung: RefCell::default(),
-            fetching: Cell::new(0),
+            requested_rules: Cell::new(0),
             commands: RefCell::new(None),
         }
     }
 
-    /// Uses what is believed of peers for a moment.
+    /// Runs `f` on the roster.
     pub fn roster<T>(&self, f: impl FnOnce(&mut Roster) -> T) -> T {
         f(&mut self.roster.borrow_mut())
     }
 
-    /// A peer answers over new connections only.
-    fn note_hung(&self, id: &NodeId, now: Time) {
+    /// Records that a peer answers over new connections only.
+    fn record_hung(&self, id: &NodeId, now: Time) {
         let mut hung = self.hung.borrow_mut();
-        hung.retain(|_, at| now.since(*at) < HUNG_KEPT);
+        hung.retain(|_, at| now.since(*at) < HUNG_RETENTION);
         hung.insert(id.clone(), now);
     }
 
@@ -100,12 +100,12 @@
         self.hung.borrow().get(id).is_some_and(|at| *at >= since)
     }
 
-    /// Tells the peers that this node is gone.
+    /// Announces to the peers that this node leaves.
     pub fn leave(&self) {
         self.command(MemberEvent::Leave);
     }
 
-    /// Addresses at which peers may be found have changed.
+    /// Replaces the addresses through which peers are discovered.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.command(MemberEvent::Seeds(seeds));
     }
@@ -117,72 +117,71 @@
     }
 }
 
-/// Messages of one kind of news under way at once.
-pub const AT_ONCE: usize = 32;
-/// Status of a peer that does not know a path.
+/// Maximum number of reports of one kind in flight.
+pub const MAX_CONCURRENT_SENDS: usize = 32;
+/// Status returned by a peer that does not know a path.
 const NOT_FOUND: u16 = 404;
 
-/// Whether a peer is of a build that does not know such messages.
-pub fn is_unknown(error: &CallError) -> bool {
+/// Whether a call failed because the peer's build does not support its path.
+pub fn is_unsupported(error: &CallError) -> bool {
     error.status() == Some(NOT_FOUND)
 }
 
-/// Asks a peer over this node's kept connections.
-pub async fn ask<Q: Serialize, A: DeserializeOwned>(
+/// Calls a peer over this node's pooled connections. Fields are encoded by position.
+pub async fn call<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     peer: SocketAddr,
     path: &str,
-    question: &Q,
+    message: &Q,
     timeout: Duration,
 ) -> Result<A, CallError> {
-    ask_over(node, &node.client, peer, path, question, timeout).await
+    call_with(node, &node.client, peer, path, message, timeout).await
 }
 
-/// Asks a peer over a client's connections. All that nodes send to each other but datagrams
-/// goes through here, where it is counted.
-async fn ask_over<Q: Serialize, A: DeserializeOwned>(
+/// Calls a peer over the connections of `client`. Fields are encoded by position.
+async fn call_with<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     client: &Client,
     peer: SocketAddr,
     path: &str,
-    question: &Q,
+    message: &Q,
     timeout: Duration,
 ) -> Result<A, CallError> {
-    let bytes = rmp_serde::to_vec(question).expect("messages encode");
+    let bytes = rmp_serde::to_vec(message).expect("messages encode");
     send(node, client, peer, path, bytes, timeout).await
 }
 
-/// Tells a peer, which may be of another build: fields go by their names.
-pub async fn tell<Q: Serialize, A: DeserializeOwned>(
+/// Calls a peer with fields encoded by name, so that it may run another build.
+pub async fn call_named<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     client: &Client,
     peer: SocketAddr,
     path: &str,
-    news: &Q,
+    message: &Q,
     timeout: Duration,
 ) -> Result<A, CallError> {
-    let bytes = rmp_serde::to_vec_named(news).expect("messages encode");
+    let bytes = rmp_serde::to_vec_named(message).expect("messages encode");
     send(node, client, peer, path, bytes, timeout).await
 }
 
-/// Tells many peers the same; `each` takes what came of it.
-pub async fn tell_many<Q: Serialize, A: DeserializeOwned>(
+/// Sends the same message to many peers, with fields encoded by name; `each` receives each result.
+pub async fn broadcast<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     to: &[PeerNode],
     path: &str,
-    news: &Q,
+    message: &Q,
     timeout: Duration,
     each: impl Fn(&PeerNode, Result<A, CallError>),
 ) {
-    let bytes = rmp_serde::to_vec_named(news).expect("messages encode");
-    for some in to.chunks(AT_ONCE) {
-        let telling = some.iter().map(|peer| {
+    let bytes = rmp_serde::to_vec_named(message).expect("messages encode");
+    for chunk in to.chunks(MAX_CONCURRENT_SENDS) {
+        let calls = chunk.iter().map(|peer| {
             let (bytes, each) = (bytes.clone(), &each);
             async move {
                 each(peer, send(node, &node.client, peer.entry, path, bytes, timeout).await);
             }
         });
-        join_all(telling).await;
+        join_all(calls).await;
     }
 }
 
@@ -196,18 +195,19 @@
 ) -> Result<A, CallError> {
     let (name, sent) = (peer.to_string(), bytes.len());
     let call = client.rmp_bytes(&name, path, bytes, timeout);
-    read_rmp_answer(&name, &counted(node, peer, path, sent, call).await?)
+    read_rmp_answer(&name, &metered(node, peer, path, sent, call).await?)
 }
 
-/// Counts what a call takes to a peer and back.
-async fn counted(
+/// Counts the bytes of a call and its answer. Everything that nodes send to each other, except
+/// datagrams, passes through here.
+async fn metered(
     node: &Node,
     peer: SocketAddr,
     path: &str,
     sent: usize,
     call: impl Future<Output = Result<Bytes, CallError>>,
 ) -> Result<Bytes, CallError> {
-    let crossing = Crossing::to_peer(node, kind_of(path), peer);
+    let crossing = Crossing::to_peer(node, traffic_kind(path), peer);
     if let Some(crossing) = &crossing {
         crossing.sent(sent);
     }
@@ -218,8 +218,8 @@
     Ok(answer)
 }
 
-/// What a question to a peer counts as.
-fn kind_of(path: &str) -> Kind {
+/// Kind of traffic that a path is counted as.
+fn traffic_kind(path: &str) -> Kind {
     match path {
         BATCH | WAITS => Kind::Order,
         FREE => Kind::Free,
@@ -231,64 +231,64 @@
     }
 }
 
-/// Takes a peer's rules if they are newer than this node's.
-pub async fn take_rules(node: &Node, client: &Client, peer: SocketAddr) {
+/// Fetches a peer's rules, and adopts them if they are newer than this node's.
+pub async fn fetch_rules(node: &Node, client: &Client, peer: SocketAddr) {
     let from = peer.to_string();
-    let rules = ask_over::<_, Rules>(node, client, peer, server::RULES, &(), RULES_TIMEOUT);
+    let rules = call_with::<_, Rules>(node, client, peer, server::RULES, &(), RULES_TIMEOUT);
     match rules.await {
         Ok(rules) => _ = node.adopt(rules, &from),
         Err(e) => log::debug!("rules: {e}"),
     }
 }
 
-/// What a peer that is followed knows.
+/// Response of a peer that this node follows.
 #[derive(Debug)]
-pub struct Followed {
-    /// Its answer.
+pub struct FollowResponse {
+    /// The peer's state, or its changes since the last answer.
     pub answer: FollowAnswer,
-    /// Epoch of the store that it knows this of; `None` if its build does not tell.
+    /// Epoch of the store that the answer belongs to; `None` if the peer's build does not send it.
     pub epoch: Option<u64>,
 }
 
-/// What a peer knows of the targets, within this time, whom this node tells the epoch of what it
-/// knows; a whole list is waited for as long as it comes.
+/// Follows a peer's state of the targets, and sends it the epoch of this node's state. `timeout`
+/// limits the wait for changes; a full list may take longer while data keeps arriving.
 pub async fn follow(
     node: &Node,
     client: &Client,
     peer: SocketAddr,
-    question: &FollowAsk,
+    ask: &FollowAsk,
     epoch: Option<u64>,
     timeout: Duration,
-) -> Result<Followed, CallError> {
-    let timeouts = match question.at {
+) -> Result<FollowResponse, CallError> {
+    let timeouts = match ask.at {
         0 => Timeouts { head: timeout, idle: waits::PEER_SLACK, total: waits::SNAPSHOT_TIMEOUT },
         _ => Timeouts { head: timeout, idle: timeout, total: timeout },
     };
-    let bytes = rmp_serde::to_vec(question).expect("messages encode");
+    let bytes = rmp_serde::to_vec(ask).expect("messages encode");
     let (name, sent) = (peer.to_string(), bytes.len());
     let mut request = Request::post(format!("http://{name}{}", server::FOLLOW))
         .header(header::CONTENT_TYPE, RMP)
         .body(Full::new(Bytes::from(bytes)))
         .expect("address, path and media type are valid");
     request.headers_mut().extend(epoch.map(|epoch| (EPOCH, epoch.into())));
-    let mut told = None;
+    let mut peer_epoch = None;
     let call = async {
         let (head, body) = client.send_streamed(&name, request, timeouts).await?.into_parts();
-        told = epoch_of(&head.headers);
+        peer_epoch = read_epoch(&head.headers);
         Ok(body)
     };
-    let answer = counted(node, peer, server::FOLLOW, sent, call).await?;
-    Ok(Followed { answer: read_rmp_answer(&name, &answer)?, epoch: told })
+    let answer = metered(node, peer, server::FOLLOW, sent, call).await?;
+    Ok(FollowResponse { answer: read_rmp_answer(&name, &answer)?, epoch: peer_epoch })
 }
 
-/// The epoch of the store that a message between nodes tells, if it does.
-pub fn epoch_of(headers: &HeaderMap) -> Option<u64> {
+/// Reads the epoch of the store from the headers of a message between nodes.
+pub fn read_epoch(headers: &HeaderMap) -> Option<u64> {
     headers.get(EPOCH)?.to_str().ok()?.parse().ok()
 }
 
-/// Whether a peer answers, by what is known or else by a ping that all of this node's
-/// orders share.
-pub async fn answers(node: &Rc<Node>, peer: &PeerNode) -> bool {
+/// Whether a peer is responsive. If the roster cannot tell, the peer is pinged, and the result is
+/// recorded there for all orders of this node.
+pub async fn is_responsive(node: &Rc<Node>, peer: &PeerNode) -> bool {
     match node.peers.roster(|r| r.reachability(&peer.id, node.now())) {
         Reachability::Responsive => true,
         Reachability::Silent => false,
@@ -296,7 +296,7 @@
             let pong = ping(node, peer.entry).await;
             let now = node.now();
             if pong == Pong::New {
-                node.peers.note_hung(&peer.id, now);
+                node.peers.record_hung(&peer.id, now);
                 Event::Hung { peer: &peer.id.name }.emit();
             }
             match pong {
@@ -308,21 +308,21 @@
     }
 }
 
-/// Over which connection a peer answered a ping.
+/// Connection over which a peer answered a ping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pong {
-    /// A kept one.
+    /// A pooled connection.
     Kept,
-    /// Only a new one: kept ones have fallen silent.
+    /// A new connection only: the pooled ones have fallen silent.
     New,
-    /// None.
+    /// No connection.
     None,
 }
 
-/// Pings a peer over a kept connection, and soon over a new one as well.
+/// Pings a peer over a pooled connection, and after `PING_RETRY_DELAY` over a new one as well.
 async fn ping(node: &Rc<Node>, peer: SocketAddr) -> Pong {
-    let new = tokio::task::spawn_local(ping_again(node.clone(), peer));
-    let kept = ask::<_, ()>(node, peer, server::PING, &(), PING_TIMEOUT).await;
+    let new = tokio::task::spawn_local(ping_new_connection(node.clone(), peer));
+    let kept = call::<_, ()>(node, peer, server::PING, &(), PING_TIMEOUT).await;
     match kept {
         Ok(()) => {
             new.abort();
@@ -333,36 +333,36 @@
     }
 }
 
-async fn ping_again(node: Rc<Node>, peer: SocketAddr) -> bool {
-    tokio::time::sleep(PING_AGAIN).await;
-    let left = PING_TIMEOUT - PING_AGAIN;
-    let client = Client::new(left);
-    ask_over::<_, ()>(&node, &client, peer, server::PING, &(), left).await.is_ok()
+async fn ping_new_connection(node: Rc<Node>, peer: SocketAddr) -> bool {
+    tokio::time::sleep(PING_RETRY_DELAY).await;
+    let remaining = PING_TIMEOUT - PING_RETRY_DELAY;
+    let client = Client::new(remaining);
+    call_with::<_, ()>(&node, &client, peer, server::PING, &(), remaining).await.is_ok()
 }
 
-/// Asks peers at once whether they are there, and waits for their answers.
-pub async fn ask_all(node: &Rc<Node>, peers: &[PeerNode]) {
-    join_all(peers.iter().map(|p| answers(node, p))).await;
+/// Checks concurrently whether peers are responsive, and waits for all results.
+pub async fn ping_all(node: &Rc<Node>, peers: &[PeerNode]) {
+    join_all(peers.iter().map(|p| is_responsive(node, p))).await;
 }
 
-/// Starts membership and the server for peers.
+/// Starts membership, the server for peers, and the reports to peers.
 pub async fn start(node: &Rc<Node>) -> anyhow::Result<()> {
     let address = node.settings().bind_address();
     let socket = UdpSocket::bind(address)
         .await
-        .with_context(|| format!("could not take UDP port {address}"))?;
+        .with_context(|| format!("could not bind UDP address {address}"))?;
     let listener = crate::ingress::listen(address)?;
     let (commands, events) = mpsc::unbounded_channel();
     *node.peers.commands.borrow_mut() = Some(commands);
     tokio::task::spawn_local(membership::run(node.clone(), socket, events));
     tokio::task::spawn_local(server::run(node.clone(), listener));
-    tokio::task::spawn_local(tell_versions(node.clone()));
+    tokio::task::spawn_local(announce_versions(node.clone()));
     quarantine::start(node);
     limits::start(node);
     Ok(())
 }
 
-async fn tell_versions(node: Rc<Node>) {
+async fn announce_versions(node: Rc<Node>) {
     let mut versions = node.versions();
     while versions.changed().await.is_ok() {
         let version = *versions.borrow_and_update();
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -1,4 +1,5 @@
-//! Answers the other nodes: orders of pieces, frees, rules and targets, pings.
+//! HTTP server for the other nodes: batch orders, results to free, rules, targets, permits,
+//! reports and pings.
 
 use std::rc::Rc;
 
@@ -10,7 +11,7 @@
 use tokio::net::TcpListener;
 use util::http::{Body, RMP, full, read_rmp, rmp, rmp_named, text};
 
-use super::{EPOCH, epoch_of};
+use super::{EPOCH, read_epoch};
 use crate::ingress::small;
 use crate::limits;
 use crate::node::Node;
@@ -18,61 +19,61 @@
 use crate::stages::{self, NotMade};
 use crate::watch;
 
-/// Path of batch orders.
+/// Path for batch orders.
 pub const BATCH: &str = "/v1/batch";
-/// Path of the waits of a coordinator's orders.
+/// Path for the expected waits of a coordinator's orders.
 pub const WAITS: &str = "/v1/waits";
-/// Path of results to be freed.
+/// Path for results to free.
 pub const FREE: &str = "/v1/free";
-/// Path of a ping.
+/// Path for pings.
 pub const PING: &str = "/v1/ping";
-/// Path of news of the targets.
+/// Path for following the state of the targets.
 pub const FOLLOW: &str = "/v1/follow";
-/// Path of the question which engine reads a prompt.
+/// Path for choosing the engine that prefills a prompt.
 pub const PREFILL: &str = "/v1/prefill";
-/// Path of prompts that have been read.
+/// Path for the ends of prefills.
 pub const PREFILL_END: &str = "/v1/prefill-end";
-/// Path of what a node saw of a version on trial.
+/// Path for a node's evidence on a trial version.
 pub const ROLLOUT: &str = "/v1/rollout";
-/// Path of an order's state that is to be written.
+/// Path for rollout states to write to the store.
 pub const ROLLOUT_STATE: &str = "/v1/rollout-state";
-/// Path of requests under which targets ended.
+/// Path for reports of requests under which targets crashed.
 pub const QUARANTINE: &str = "/v1/quarantine";
-/// Path of permits to send requests to targets that name limits.
+/// Path for permits to send requests to targets with limits.
 pub const PERMIT: &str = "/v1/permit";
-/// Path of news of such limits.
+/// Path for reports of such limits.
 pub const LIMITS: &str = "/v1/limits";
-/// Path of the rules.
+/// Path for the rules.
 pub const RULES: &str = "/v1/rules";
-/// Largest message of a peer.
-const MESSAGE_MAX: usize = 8 << 20;
+/// Maximum size of a peer's message in bytes.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// Results that a peer's coordinator made and that are no longer wanted.
+/// Results, made on a peer coordinator's order, that are no longer needed.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RemoteFree {
-    /// Makers that made them.
+pub struct FreeRequest {
+    /// Pool of the workers that hold them.
     pub pool: PoolId,
-    /// Results.
+    /// Handles of the results.
     pub handles: Vec<Handle>,
 }
 
-/// A state of an order that a peer whom the store turns away has written by this node. The
-/// answer is whether it stands; `None` if the store turned this node away too.
+/// Rollout state that this node writes for a peer whose calls the store rejects. The answer is
+/// whether the state is in force; `None` if the store rejected this node too.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RemoteState {
-    /// The order as it is to be unchanged.
+pub struct StateWrite {
+    /// The rollout in the form that the store must still hold.
     pub order: Rollout,
-    /// State to be written.
+    /// State to write.
     pub state: RolloutState,
 }
 
-/// Serves until the process ends.
+/// Serves peers until the process ends.
 pub async fn run(node: Rc<Node>, listener: TcpListener) {
     small::serve(listener, move |request| answer(node.clone(), request)).await;
 }
 
 async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Response<Body> {
-    let answered = match request.uri().path() {
+    let result = match request.uri().path() {
         RULES => Ok(full(StatusCode::OK, RMP, node.table().encoded())),
         PING => Ok(rmp(&())),
         FOLLOW => follow(&node, request).await,
@@ -85,28 +86,28 @@
         ROLLOUT_STATE => rollout_state(&node, request).await,
         QUARANTINE => quarantine(&node, request).await,
         PERMIT => permit(&node, request).await,
-        LIMITS => limit_news(&node, request).await,
+        LIMITS => limit_report(&node, request).await,
         _ => Err(text(StatusCode::NOT_FOUND, "no such path")),
     };
-    answered.unwrap_or_else(|refusal| refusal)
+    result.unwrap_or_else(|refusal| refusal)
 }
 
-/// An answer, or the refusal of what was asked.
-type Answered = Result<Response<Body>, Response<Body>>;
+/// Answer to a peer, or the error response.
+type HandlerResult = Result<Response<Body>, Response<Body>>;
 
-/// Reads a peer's message; `otherwise` says what is wrong with anything else.
-async fn message<T: DeserializeOwned>(
+/// Reads a peer's message; `error` is the text of the response if it cannot be decoded.
+async fn read_message<T: DeserializeOwned>(
     request: Request<Incoming>,
-    otherwise: &str,
+    error: &str,
 ) -> Result<T, Response<Body>> {
-    let message = read_rmp(request, MESSAGE_MAX).await;
-    message.ok_or_else(|| text(StatusCode::BAD_REQUEST, otherwise))
+    let message = read_rmp(request, MAX_MESSAGE_BYTES).await;
+    message.ok_or_else(|| text(StatusCode::BAD_REQUEST, error))
 }
 
-async fn follow(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let epoch = epoch_of(request.headers());
-    let ask: FollowAsk = message(request, "not a question for news").await?;
-    let answer = watch::answer(node, ask, epoch).await;
+async fn follow(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let epoch = read_epoch(request.headers());
+    let ask: FollowAsk = read_message(request, "invalid follow request").await?;
+    let answer = watch::answer_follower(node, ask, epoch).await;
     let (epoch, answer) =
         answer.ok_or_else(|| text(StatusCode::SERVICE_UNAVAILABLE, "stopping"))?;
     let mut answer = full(StatusCode::OK, RMP, answer);
@@ -114,70 +115,71 @@
     Ok(answer)
 }
 
-async fn prefill(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let ask = message(request, "not a prompt to be placed").await?;
+async fn prefill(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let ask = read_message(request, "invalid prefill request").await?;
     Ok(rmp(&node.schedulers.place(node, &ask)))
 }
 
-async fn rollout(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let report = message(request, "not a report").await?;
+async fn rollout(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let report = read_message(request, "invalid rollout report").await?;
     let answer = rollout::judge(node, report);
-    let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such order"))?;
+    let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such rollout"))?;
     Ok(rmp(&answer))
 }
 
-async fn rollout_state(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let RemoteState { order, state } = message(request, "not an order's state").await?;
-    let stands = match rollout::at_store(node, &order, state).await {
+async fn rollout_state(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let StateWrite { order, state } = read_message(request, "invalid rollout state").await?;
+    let in_force = match rollout::at_store(node, &order, state).await {
         Written::Stands => Some(true),
         Written::Not => Some(false),
         Written::Unknown => None,
     };
-    Ok(rmp(&stands))
+    Ok(rmp(&in_force))
 }
 
-async fn prefill_end(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let end = message(request, "not the end of a prompt").await?;
+async fn prefill_end(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let end = read_message(request, "invalid end of a prefill").await?;
     node.schedulers.record_end(end, node.now());
     Ok(rmp(&()))
 }
 
-async fn quarantine(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let news = message(request, "not news of requests").await?;
-    Ok(rmp_named(&node.quarantine.hear(node, &news)))
+async fn quarantine(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let news = read_message(request, "invalid quarantine report").await?;
+    Ok(rmp_named(&node.quarantine.merge_report(node, &news)))
 }
 
-async fn permit(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let ask = message(request, "not an ask for a permit").await?;
+async fn permit(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let ask = read_message(request, "invalid permit request").await?;
     let answer = limits::handle_permit_request(node, &ask);
-    let answer = answer.ok_or_else(|| text(StatusCode::CONFLICT, "another node comes first"))?;
+    let answer =
+        answer.ok_or_else(|| text(StatusCode::CONFLICT, "this node is not the permit issuer"))?;
     Ok(rmp_named(&answer))
 }
 
-async fn limit_news(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let news = message(request, "not news of limits").await?;
+async fn limit_report(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let news = read_message(request, "invalid limit report").await?;
     limits::handle_news(node, news);
     Ok(rmp_named(&()))
 }
 
-async fn free(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let RemoteFree { pool, handles } = message(request, "not results to free").await?;
+async fn free(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let FreeRequest { pool, handles } = read_message(request, "invalid free request").await?;
     node.pools.free(node, &pool, handles);
     Ok(rmp(&()))
 }
 
-async fn waits(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let pool: PoolId = message(request, "not a pool of makers").await?;
+async fn waits(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let pool: PoolId = read_message(request, "invalid pool id").await?;
     if node.is_stopping() || !node.peers.roster(|r| r.coordinates(&pool, node.now())) {
-        return Err(text(StatusCode::CONFLICT, "another node comes first"));
+        return Err(text(StatusCode::CONFLICT, "this node is not the batch coordinator"));
     }
     let waits = node.pools.waits(node, &pool);
     let waits = waits.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such stage service"))?;
     Ok(rmp(&waits))
 }
 
-async fn batch(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
-    let order: BatchOrder = message(request, "not a batch order").await?;
+async fn batch(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
+    let order: BatchOrder = read_message(request, "invalid batch order").await?;
     let stopping = || text(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     if node.is_stopping() {
         return Err(stopping());
@@ -185,7 +187,9 @@
     match stages::take(node, order).await {
         Ok(answer) => Ok(rmp(&answer)),
         Err(NotMade::Moved) if node.is_stopping() => Err(stopping()),
-        Err(NotMade::Moved) => Err(text(StatusCode::CONFLICT, "another node comes first")),
+        Err(NotMade::Moved) => {
+            Err(text(StatusCode::CONFLICT, "this node is not the batch coordinator"))
+        }
         Err(NotMade::NoService) => Err(text(StatusCode::NOT_FOUND, "no such stage service")),
     }
 }
--- a/crates/forward/src/prefill/mod.rs
+++ b/crates/forward/src/prefill/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::events::Event;
 use crate::node::Node;
-use crate::peers::{self, PREFILL, PREFILL_END, Resting};
+use crate::peers::{self, PREFILL, PREFILL_END, PeerBackoff};
 
 /// Minimum prompt tokens for which the scheduler is asked. Shorter prompts are read within a few
 /// milliseconds, but may wait hundreds of milliseconds behind others.
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct Schedulers {
     local: RefCell<HashMap<Group, Scheduler>>,
-    unresponsive: Resting,
+    unresponsive: PeerBackoff,
 }
 
 impl Schedulers {
@@ -110,7 +110,7 @@
 }
 
 async fn report_end(node: Rc<Node>, address: SocketAddr, end: PrefillEnd) {
-    let result = peers::ask::<_, ()>(&node, address, PREFILL_END, &end, END_TIMEOUT).await;
+    let result = peers::call::<_, ()>(&node, address, PREFILL_END, &end, END_TIMEOUT).await;
     if let Err(e) = result {
         log::debug!("scheduler: {e}");
     }
@@ -177,13 +177,13 @@
 }
 
 async fn ask_peer(node: &Rc<Node>, peer: &PeerNode, ask: &PrefillAsk) -> Option<PrefillAnswer> {
-    if node.schedulers.unresponsive.rests(&peer.id, node.now()) {
+    if node.schedulers.unresponsive.is_backed_off(&peer.id, node.now()) {
         return None;
     }
-    match peers::ask(node, peer.entry, PREFILL, ask, SCHEDULER_TIMEOUT).await {
+    match peers::call(node, peer.entry, PREFILL, ask, SCHEDULER_TIMEOUT).await {
         Ok(answer) => Some(answer),
         Err(e) => {
-            node.schedulers.unresponsive.did_not_answer(&peer.id, SCHEDULER_BACKOFF, node.now());
+            node.schedulers.unresponsive.record_failure(&peer.id, SCHEDULER_BACKOFF, node.now());
             Event::Scheduler {
                 service: &ask.service,
                 domain: &ask.domain,
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -12,7 +12,7 @@
 use crate::events::Event;
 use crate::limits::{self, Permit};
 use crate::prefill::{self, Prompt, PromptGuard};
-use crate::quarantine::HELD;
+use crate::quarantine::HELD_REASON;
 use crate::rollout;
 use crate::stages::Made;
 
@@ -242,7 +242,7 @@
     pub(super) async fn next_target(&self, chosen: Option<Target>) -> Option<Choice> {
         if self.quarantine_hold().is_some() {
             self.node.metrics.held_back(&self.route.name);
-            self.progress(|p| p.reason = HELD.into());
+            self.progress(|p| p.reason = HELD_REASON.into());
             return None;
         }
         let attempts = self.progress(|p| p.attempts);
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -133,7 +133,7 @@
             is_logged: false,
         };
         let _open = node.opened();
-        node.quarantine.begins(&admitted.head.id, admitted.fingerprint);
+        node.quarantine.attempt_started(&admitted.head.id, admitted.fingerprint);
         let deadline = admitted.deadline - RESPONSE_MARGIN;
         let admitted = Admitted { deadline, ..admitted };
         Exchange { node, admitted, progress: RefCell::new(progress), _open }
@@ -312,12 +312,12 @@
 
     /// Records that the request was interrupted at a target that may have started it.
     pub(super) fn record_interruption(&self, target: &Target) {
-        self.node.quarantine.broke_off(&self.node, target, self.fingerprint);
+        self.node.quarantine.request_interrupted(&self.node, target, self.fingerprint);
     }
 
     /// Records that a target answered the request completely.
     pub(super) fn record_completion(&self) {
-        self.node.quarantine.answered(&self.node, self.fingerprint);
+        self.node.quarantine.request_answered(&self.node, self.fingerprint);
     }
 
     /// The hold on the request if targets crashed while they ran it; it must not be sent then.
@@ -409,6 +409,6 @@
 impl Drop for Exchange {
     fn drop(&mut self) {
         self.log_end(0, "caller_left");
-        self.node.quarantine.is_over(&self.head.id);
+        self.node.quarantine.attempt_ended(&self.head.id);
     }
 }
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -20,7 +20,7 @@
 use crate::heard;
 use crate::node::Node;
 use crate::prefill::PromptGuard;
-use crate::quarantine::HELD;
+use crate::quarantine::HELD_REASON;
 use crate::rollout::{self, Sent};
 use crate::stages::Made;
 use crate::upstream::{self, Answer};
@@ -113,7 +113,7 @@
         Ok(socket) => socket,
         Err(e) => {
             if e.is_refused() {
-                exchange.node.quarantine.seen_ended(target, "refused");
+                exchange.node.quarantine.crash_observed(target, "refused");
             }
             return attempt.no_response(Observation::Unreachable, e.to_string());
         }
@@ -127,8 +127,8 @@
         exchange.progress(|p| p.reason = "permit expired before the send".into());
         return Outcome::NoResponse;
     }
-    if !exchange.node.quarantine.sends(&exchange.node, &exchange.head.id, exchange.fingerprint) {
-        exchange.progress(|p| p.reason = HELD.into());
+    if !exchange.node.quarantine.try_send(&exchange.node, &exchange.head.id, exchange.fingerprint) {
+        exchange.progress(|p| p.reason = HELD_REASON.into());
         return Outcome::NoResponse;
     }
     exchange.progress(|p| p.attempts.connected());
@@ -195,7 +195,7 @@
             return self.may_have_run("answer has the id of another request".into());
         }
         if answer_head.misdirected {
-            self.exchange.node.quarantine.seen_ended(self.target, "replaced");
+            self.exchange.node.quarantine.crash_observed(self.target, "replaced");
             return self
                 .not_run(Observation::Replaced, "address now belongs to another target".into());
         }
--- a/crates/forward/src/watch/store.rs
+++ b/crates/forward/src/watch/store.rs
@@ -1,4 +1,4 @@
-//! Reads lists and watches of the store.
+//! Client for lists and watches of the store.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -13,21 +13,21 @@
 use crate::events::Event;
 use crate::node::Node;
 
-/// Time to connect to the store.
-pub const CONNECT: Duration = Duration::from_millis(800);
-/// Time for a list.
+/// Timeout for connecting to the store.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout for one page of a list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Times that a page is asked for again while the store is busy.
-const PAGE_TRIES: u32 = 12;
-/// Longest wait before a page is asked for again.
-const PAGE_PAUSE: Duration = Duration::from_millis(600);
-/// Wait of a watch that is to be answered at once.
-pub(super) const AT_ONCE: Duration = Duration::from_millis(1);
-/// Whom an epoch was heard of that the store itself told.
-const STORE: &str = "store";
-/// Status of a call beyond the store's rate.
-const BUSY: u16 = 429;
-/// Status of a watch whose history is gone.
+/// Maximum number of delayed retries of a page while the store is busy.
+const MAX_PAGE_RETRIES: u32 = 12;
+/// Maximum delay before a page is retried.
+const MAX_PAGE_DELAY: Duration = Duration::from_millis(600);
+/// Wait of a watch that the store answers at once.
+pub(super) const NO_WAIT: Duration = Duration::from_millis(1);
+/// Source in log lines of an epoch that the store itself reported.
+const EPOCH_SOURCE: &str = "store";
+/// Status for a call that exceeds the store's rate limit.
+const TOO_MANY_REQUESTS: u16 = 429;
+/// Status for a watch from a revision that the store's history no longer covers.
 const GONE: u16 = 410;
 
 /// Why the store could not be read.
@@ -37,12 +37,12 @@
     Call(#[from] CallError),
     /// {0}
     Malformed(#[from] Malformed),
-    /// the store came back from an older copy meanwhile
+    /// the store was restored from an older copy meanwhile
     Restored,
 }
 
 impl ReadError {
-    /// Whether the watch's history is gone, so that the list is to be read anew.
+    /// Whether the history that a watch needs is gone, so that the list must be read again.
     pub fn is_history_gone(&self) -> bool {
         match self {
             ReadError::Call(e) => e.status() == Some(GONE),
@@ -51,128 +51,133 @@
         }
     }
 
-    /// Whether no answer came in time, which says more of the connection than of the store.
+    /// Whether the call timed out, which indicates a silent connection rather than a failed store.
     fn is_timeout(&self) -> bool {
         matches!(self, ReadError::Call(e) if e.kind == CallKind::Timeout)
     }
 }
 
-/// What one call brought.
+/// State or changes read from the store.
 #[derive(Debug, Default)]
-pub struct Step {
-    /// Revision that the state is at now.
-    pub at: u64,
-    /// Epoch of the store that it is of; `None` if the store tells none.
+pub struct StoreUpdate {
+    /// Revision of the state after these changes.
+    pub revision: u64,
+    /// Epoch of the store that the revision belongs to; `None` if the store does not send one.
     pub epoch: Option<u64>,
-    /// The changes are the whole state.
-    pub whole: bool,
-    /// They are the begin of a list that could not be read to its end.
-    pub cut: bool,
-    /// Changes, oldest first.
+    /// The changes are the complete state.
+    pub is_snapshot: bool,
+    /// The changes are the beginning of a list that could not be read to its end.
+    pub truncated: bool,
+    /// Changes from oldest to newest.
     pub changes: Vec<Change>,
-    /// Entries that cannot be read.
-    bad: Vec<BadEntry>,
+    /// Entries that cannot be parsed.
+    malformed: Vec<BadEntry>,
 }
 
-impl Step {
-    /// What was read of a list that cannot be continued.
-    fn cut(mut self) -> Self {
-        (self.whole, self.cut) = (false, true);
-        self.bad.push(BadEntry::new(None, "list", "no name to continue after"));
+impl StoreUpdate {
+    /// Marks the update as the part that was read of a list that cannot be continued.
+    fn into_truncated(mut self) -> Self {
+        (self.is_snapshot, self.truncated) = (false, true);
+        self.malformed.push(BadEntry::new(None, "list", "no name to continue after"));
         self
     }
 }
 
-/// Names whose entries can be read after all changes, or are gone.
-fn healed(changes: &[Change]) -> BTreeSet<&Name> {
-    let mut healed = BTreeSet::new();
+/// Names whose entries, after all changes, can be parsed or are removed.
+fn readable_names(changes: &[Change]) -> BTreeSet<&Name> {
+    let mut names = BTreeSet::new();
     for change in changes {
         if let Change::Unreadable(name) = change {
-            healed.remove(name);
+            names.remove(name);
         }
-        healed.extend(change.read_name());
+        names.extend(change.read_name());
     }
-    healed
+    names
 }
 
-/// Reads one kind of object.
+/// Reads one kind of object from the store.
 pub struct Reader {
     node: Rc<Node>,
     client: Client,
     kind: Kind,
     failed: bool,
     unreadable: UnreadableEntries,
-    /// Epoch of the state that changes are asked for of.
+    /// Epoch of the state from which watches continue.
     epoch: Option<u64>,
 }
 
 impl Reader {
-    /// A reader that has read nothing yet.
+    /// Creates a reader without any state.
     pub fn new(node: Rc<Node>, kind: Kind) -> Self {
         let unreadable = UnreadableEntries::default();
-        let client = Client::new(CONNECT);
+        let client = Client::new(CONNECT_TIMEOUT);
         Reader { node, client, kind, failed: false, unreadable, epoch: None }
     }
 
-    /// Changes are asked for of a state of this epoch, which a peer told of.
-    pub fn go_on_from(&mut self, epoch: u64) {
+    /// Continues watches from a state of this epoch, which may have come from a peer.
+    pub fn set_epoch(&mut self, epoch: u64) {
         self.epoch = Some(epoch);
     }
 
-    /// Reads the whole state, or waits for changes since a revision.
-    pub async fn read(&mut self, at: Option<u64>, wait: Duration) -> Result<Step, ReadError> {
-        let read = match at {
+    /// Reads the complete state, or waits for changes since a revision.
+    pub async fn read(
+        &mut self,
+        since: Option<u64>,
+        wait: Duration,
+    ) -> Result<StoreUpdate, ReadError> {
+        let result = match since {
             None => self.list(false).await,
-            Some(at) => self.watch_surely(at, wait).await,
+            Some(since) => self.watch_with_retry(since, wait).await,
         };
-        match &read {
-            Ok(step) => {
-                self.answered();
-                self.note(step);
+        match &result {
+            Ok(update) => {
+                self.record_success();
+                self.log_malformed(update);
             }
-            Err(e) if e.is_history_gone() => self.answered(),
-            Err(e) => self.lost(&e.to_string()),
+            Err(e) if e.is_history_gone() => self.record_success(),
+            Err(e) => self.record_failure(&e.to_string()),
         }
-        read
+        result
     }
 
-    /// Reads the whole state once, beside those that follow it: what becomes of this call says
-    /// nothing of the store to others. It may be some seconds old, and is cheaper then.
-    pub async fn look(&mut self, may_be_old: bool) -> Result<Step, ReadError> {
-        let list = self.list(may_be_old).await;
-        match &list {
-            Ok(step) => self.note(step),
-            Err(_) => self.client = Client::new(CONNECT),
+    /// Reads the complete state once, independently of the tasks that follow it: the outcome does
+    /// not affect whether the store counts as reachable. With `allow_stale` the state may be some
+    /// seconds old, which is cheaper.
+    pub async fn read_once(&mut self, allow_stale: bool) -> Result<StoreUpdate, ReadError> {
+        let result = self.list(allow_stale).await;
+        match &result {
+            Ok(update) => self.log_malformed(update),
+            Err(_) => self.client = Client::new(CONNECT_TIMEOUT),
         }
-        list
+        result
     }
 
-    fn answered(&mut self) {
+    fn record_success(&mut self) {
         if std::mem::take(&mut self.failed) {
             Event::Store { kind: self.kind.as_str(), reachable: true, why: "" }.emit();
         }
         self.node.store_answered();
     }
 
-    fn lost(&mut self, why: &str) {
+    fn record_failure(&mut self, why: &str) {
         if !std::mem::replace(&mut self.failed, true) {
             Event::Store { kind: self.kind.as_str(), reachable: false, why }.emit();
         }
         self.node.store_lost();
-        // A new client drops connections that hang behind a cut.
-        self.client = Client::new(CONNECT);
+        // A new client drops connections that hang after a network partition.
+        self.client = Client::new(CONNECT_TIMEOUT);
     }
 
-    /// Tells of entries that cannot be read, or for another reason than before.
-    fn note(&mut self, step: &Step) {
-        if step.whole {
+    /// Logs entries that cannot be parsed, unless they were logged with the same reason before.
+    fn log_malformed(&mut self, update: &StoreUpdate) {
+        if update.is_snapshot {
             self.unreadable.restart();
         }
         let now = self.node.now();
-        for entry in &step.bad {
+        for entry in &update.malformed {
             let place = match &entry.name {
                 Some(name) => EntryKey::Name(name.clone()),
-                None if step.whole => EntryKey::ListIndex(entry.place.as_str().into()),
+                None if update.is_snapshot => EntryKey::ListIndex(entry.place.as_str().into()),
                 None => EntryKey::ChangeIndex(entry.place.as_str().into()),
             };
             if let Some(untold) = self.unreadable.record(place, &entry.why.as_str().into(), now) {
@@ -180,100 +185,117 @@
                 Event::Unreadable { kind, place, why, untold }.emit();
             }
         }
-        for name in healed(&step.changes) {
+        for name in readable_names(&update.changes) {
             self.unreadable.clear(name);
         }
-        if let Some(Change::Rules(_)) = step.changes.last() {
+        if let Some(Change::Rules(_)) = update.changes.last() {
             self.unreadable.clear_named();
         }
         self.node.metrics.unreadable(self.kind.as_str(), self.unreadable.count());
     }
 
-    /// An answer's body, and the epoch of the store that it tells.
+    /// Returns the epoch of the store and the body of an answer.
     async fn get(&self, path: &str, timeout: Duration) -> Result<(Option<u64>, Bytes), CallError> {
         self.node.metrics.store_call(self.kind.as_str());
         let store = self.node.settings().store.to_string();
         let answer = self.client.get(&store, path, timeout).await?;
         let epoch = self.node.dialect.epoch(answer.headers());
         if let Some(epoch) = epoch {
-            self.node.saw_epoch(epoch, STORE);
+            self.node.saw_epoch(epoch, EPOCH_SOURCE);
         }
         Ok((epoch, answer.into_body()))
     }
 
-    /// Reads a page, again while the store is busy: after a restart of all nodes their
-    /// lists come together, and a list begun anew would only add to them.
+    /// Reads a page, with retries while the store is busy: after a restart of all nodes their lists
+    /// arrive together, and starting a list again would only add load.
     async fn get_page(&self, path: &str) -> Result<(Option<u64>, Bytes), CallError> {
-        for _ in 0..PAGE_TRIES {
+        for _ in 0..MAX_PAGE_RETRIES {
             match self.get(path, LIST_TIMEOUT).await {
-                Err(e) if e.status() == Some(BUSY) => {
-                    let pause = self.node.rng(|r| r.jitter(PAGE_PAUSE));
-                    tokio::time::sleep(pause).await;
+                Err(e) if e.status() == Some(TOO_MANY_REQUESTS) => {
+                    let delay = self.node.rng(|r| r.jitter(MAX_PAGE_DELAY));
+                    tokio::time::sleep(delay).await;
                 }
-                end => return end,
+                result => return result,
             }
         }
         self.get(path, LIST_TIMEOUT).await
     }
 
-    async fn list(&mut self, may_be_old: bool) -> Result<Step, ReadError> {
-        let step = self.pages(may_be_old).await?;
-        self.epoch = step.epoch;
-        Ok(step)
+    async fn list(&mut self, allow_stale: bool) -> Result<StoreUpdate, ReadError> {
+        let update = self.read_pages(allow_stale).await?;
+        self.epoch = update.epoch;
+        Ok(update)
     }
 
-    async fn pages(&self, may_be_old: bool) -> Result<Step, ReadError> {
+    async fn read_pages(&self, allow_stale: bool) -> Result<StoreUpdate, ReadError> {
         let dialect = &self.node.dialect;
-        let mut step = Step { whole: true, ..Step::default() };
+        let mut update = StoreUpdate { is_snapshot: true, ..StoreUpdate::default() };
         let mut after = None;
-        let mut asked = BTreeSet::new();
+        let mut cursors = BTreeSet::new();
         loop {
-            let path = match may_be_old {
+            let path = match allow_stale {
                 true => dialect.old_list(self.kind, after.as_ref()),
                 false => dialect.list(self.kind, after.as_ref()),
             };
             let (epoch, body) = self.get_page(&path).await?;
             let page = dialect.page(self.kind, &body)?;
-            if !self.node.is_current(epoch) || (after.is_some() && epoch != step.epoch) {
+            if !self.node.is_current(epoch) || (after.is_some() && epoch != update.epoch) {
                 return Err(ReadError::Restored);
             }
             if after.is_none() {
-                step.epoch = epoch;
-                // Changes between two pages are seen again from the first revision on.
-                step.at = page.at;
+                update.epoch = epoch;
+                // A watch from the first page's revision repeats changes made between two pages.
+                update.revision = page.at;
             }
-            step.changes.extend(page.changes);
-            step.bad.extend(page.malformed);
+            update.changes.extend(page.changes);
+            update.malformed.extend(page.malformed);
             match page.more {
-                Some(name) if asked.insert(name.clone()) => after = Some(name),
-                None if !page.cut => return Ok(step),
-                // An entry may bear any name: what comes after one that was asked for is known.
-                Some(_) | None => return Ok(step.cut()),
+                Some(name) if cursors.insert(name.clone()) => after = Some(name),
+                None if !page.cut => return Ok(update),
+                // Entries may have arbitrary names. The page after a name that was already used
+                // as a cursor has been read.
+                Some(_) | None => return Ok(update.into_truncated()),
             }
         }
     }
 
-    /// Watches, and where no answer comes in time asks at once over a new connection what
-    /// changed meanwhile: the old one may have fallen silent.
-    async fn watch_surely(&mut self, at: u64, wait: Duration) -> Result<Step, ReadError> {
-        match self.watch(at, wait, wait + waits::WATCH_SLACK).await {
+    /// Watches for changes. After a timeout, asks at once over a new connection what has changed,
+    /// because the old one may have fallen silent.
+    async fn watch_with_retry(
+        &mut self,
+        since: u64,
+        wait: Duration,
+    ) -> Result<StoreUpdate, ReadError> {
+        match self.watch(since, wait, wait + waits::WATCH_SLACK).await {
             Err(e) if e.is_timeout() => {
-                self.client = Client::new(CONNECT);
-                self.watch(at, AT_ONCE, waits::RETRY_TIMEOUT).await
+                self.client = Client::new(CONNECT_TIMEOUT);
+                self.watch(since, NO_WAIT, waits::RETRY_TIMEOUT).await
             }
-            end => end,
+            result => result,
         }
     }
 
-    async fn watch(&self, at: u64, wait: Duration, timeout: Duration) -> Result<Step, ReadError> {
-        let path = self.node.dialect.watch(self.kind, at, wait.as_millis() as u64);
+    async fn watch(
+        &self,
+        since: u64,
+        wait: Duration,
+        timeout: Duration,
+    ) -> Result<StoreUpdate, ReadError> {
+        let path = self.node.dialect.watch(self.kind, since, wait.as_millis() as u64);
         let (epoch, body) = self.get(&path, timeout).await?;
         if epoch.is_some() && epoch != self.epoch {
-            // Its revisions are of another history than the one that this node is at.
+            // Its revisions belong to another history than this node's state.
             return Err(ReadError::Restored);
         }
         let page = self.node.dialect.changes(self.kind, &body)?;
-        let Page { changes, malformed: bad, .. } = page;
-        Ok(Step { at: page.at.max(at), epoch, whole: false, cut: false, changes, bad })
+        let Page { changes, malformed, .. } = page;
+        Ok(StoreUpdate {
+            revision: page.at.max(since),
+            epoch,
+            is_snapshot: false,
+            truncated: false,
+            changes,
+            malformed,
+        })
     }
 }
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -1,5 +1,6 @@
-//! Follows the targets: the relay of each failure domain in the store, the others through
-//! it. News of newer rules comes the same way, and they are fetched from there.
+//! Follows the targets: the relay of each failure domain reads them from the store, and the other
+//! nodes follow the relay. Answers also carry the version of the rules, and newer rules are fetched
+//! from the same peer.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -16,18 +17,18 @@
 
 use super::feed::Feed;
 use super::snapshot::{SNAPSHOT_TTL, SnapshotKey};
-use super::store::{Reader, Step};
+use super::store::{Reader, StoreUpdate};
 use super::{evacuations, millis, relays, rollouts};
 use crate::border::{Change, Kind};
 use crate::events::Event;
 use crate::node::Node;
-use crate::peers::{self, Followed};
+use crate::peers::{self, FollowResponse};
 
-/// Time after which a list that could not be read to its end is asked for again. Each change
-/// of what it did not bring is heard of meanwhile, and a try costs a call for each page.
-const LIST_AGAIN: Duration = Duration::from_secs(5);
+/// Time after which a truncated list is read again. Until then watches deliver every change to its
+/// missing part, and a retry costs one call per page.
+const RELIST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Follows until the process ends.
+/// Follows the targets until the process ends.
 pub async fn follow(node: Rc<Node>) {
     let mut follower = Follower::new(node);
     loop {
@@ -38,17 +39,18 @@
 struct Follower {
     node: Rc<Node>,
     reader: Reader,
-    /// For relays only, so that it can be replaced once a connection has fallen silent.
+    /// Client for calls to relays only, replaced when a connection has fallen silent.
     client: Client,
     sources: Sources,
-    /// The store's history does not reach back to this node's revision.
+    /// The store's history no longer covers this node's revision.
     history_gone: bool,
-    /// When a list was read that had no end.
-    cut: Option<Time>,
-    /// Its end was read at a revision that followers have too: at a later one they get it all.
-    owes: bool,
+    /// Time at which the last list was read, if it was truncated.
+    truncated_at: Option<Time>,
+    /// A complete list was read after a truncated one. Followers may have the truncated list at the
+    /// same revision, so the complete list is sent to them once the revision is later.
+    snapshot_due: bool,
     source: Option<Source>,
-    /// The peer that was told to be behind.
+    /// Peer that was last logged as behind this node.
     behind: Option<NodeId>,
 }
 
@@ -56,15 +58,15 @@
     fn new(node: Rc<Node>) -> Self {
         let reader = Reader::new(node.clone(), Kind::Targets);
         let sources = Sources::default();
-        let client = Client::new(peers::CONNECT);
+        let client = Client::new(peers::CONNECT_TIMEOUT);
         Follower {
             node,
             reader,
             client,
             sources,
             history_gone: false,
-            cut: None,
-            owes: false,
+            truncated_at: None,
+            snapshot_due: false,
             source: None,
             behind: None,
         }
@@ -73,26 +75,26 @@
     async fn step(&mut self) {
         let relays = relays(&self.node);
         let now = self.node.now();
-        let jitter = |most| self.node.rng(|r| r.jitter(most));
+        let jitter = |max| self.node.rng(|r| r.jitter(max));
         let chosen = self.sources.choose(&relays, now, jitter);
         let reads_store = relays.role == Role::Relay || chosen.source == Source::Store;
         self.node.feed.set_reads_store(reads_store);
         if self.source.as_ref() != Some(&chosen.source) {
-            self.tell(&chosen.source);
+            self.log_source(&chosen.source);
             self.source = Some(chosen.source.clone());
         }
         tokio::time::sleep(chosen.pause).await;
         match chosen.source {
-            Source::Store => self.ask_store(&relays).await,
+            Source::Store => self.read_store(&relays).await,
             Source::Peer { node, await_fresh: patient } => {
-                self.ask_peer(&node, patient, relays.role).await
+                self.read_peer(&node, patient, relays.role).await
             }
             Source::Unavailable => return,
         }
         tokio::time::sleep(waits::COALESCE_TIME).await;
     }
 
-    fn tell(&self, source: &Source) {
+    fn log_source(&self, source: &Source) {
         let from = match source {
             Source::Store => "store",
             Source::Peer { node, .. } => &node.id.name,
@@ -102,52 +104,55 @@
         Event::Source { from, age_ms }.emit();
     }
 
-    async fn ask_store(&mut self, relays: &Relays) {
+    async fn read_store(&mut self, relays: &Relays) {
         let node = self.node.clone();
-        let is_due = self.cut.is_some_and(|at| node.now().since(at) >= LIST_AGAIN);
-        let known = node.feed.at().filter(|_| !self.history_gone);
-        let at = known.filter(|_| !is_due);
-        self.reader.go_on_from(node.feed.epoch());
-        match self.reader.read(at, waits::TARGETS_WATCH_WAIT).await {
-            Ok(mut step) => {
+        let relist_due =
+            self.truncated_at.is_some_and(|at| node.now().since(at) >= RELIST_INTERVAL);
+        let known = node.feed.revision().filter(|_| !self.history_gone);
+        let since = known.filter(|_| !relist_due);
+        self.reader.set_epoch(node.feed.epoch());
+        match self.reader.read(since, waits::TARGETS_WATCH_WAIT).await {
+            Ok(mut update) => {
                 self.history_gone = false;
                 node.feed.set_out_of_touch(false);
                 self.sources.store_answered();
-                if at.is_none() {
-                    self.owes = self.cut.is_some() && step.whole;
-                    self.cut = step.cut.then(|| node.now());
+                if since.is_none() {
+                    self.snapshot_due = self.truncated_at.is_some() && update.is_snapshot;
+                    self.truncated_at = update.truncated.then(|| node.now());
                 }
-                // What a list does not bring may have changed since: watches go on from there.
-                let is_of_known = step.epoch.is_none_or(|epoch| epoch == node.feed.epoch());
-                step.at = known.filter(|_| step.cut && is_of_known).unwrap_or(step.at);
-                take_step(&node, step);
-                if self.owes && node.feed.at() > known {
-                    node.feed.restart(node.feed.epoch(), node.feed.at().unwrap_or(0));
-                    self.owes = false;
+                // Entries missing from a truncated list may have changed since the known revision,
+                // so watches continue from that revision.
+                let same_epoch = update.epoch.is_none_or(|epoch| epoch == node.feed.epoch());
+                update.revision =
+                    known.filter(|_| update.truncated && same_epoch).unwrap_or(update.revision);
+                apply_update(&node, update);
+                if self.snapshot_due && node.feed.revision() > known {
+                    node.feed.restart(node.feed.epoch(), node.feed.revision().unwrap_or(0));
+                    self.snapshot_due = false;
                 }
             }
             Err(e) if e.is_history_gone() => self.history_gone = true,
             Err(_) => {
                 let now = node.now();
-                let jitter = |most| node.rng(|r| r.jitter(most));
+                let jitter = |max| node.rng(|r| r.jitter(max));
                 self.sources.store_failed(relays.role, now, jitter);
-                // Whoever follows this node is better off elsewhere.
+                // Followers of this node should switch to another source.
                 node.feed.set_out_of_touch(true);
             }
         }
     }
 
-    async fn ask_peer(&mut self, peer: &PeerNode, patient: bool, role: Role) {
+    async fn read_peer(&mut self, peer: &PeerNode, patient: bool, role: Role) {
         let node = self.node.clone();
         let is_unsettled = node.fleet(|f| f.versions().unsettled().is_some());
         let wait = match role {
-            // The peer, which reads the orders, soon knows them up to the newest version.
+            // The peer reads the orders, and soon knows them up to the newest version.
             _ if is_unsettled => waits::COALESCE_TIME,
             Role::Standby => waits::STANDBY_WAIT,
             _ => waits::PEER_WAIT,
         };
         let ask = FollowAsk {
-            at: node.feed.at().unwrap_or(0),
+            at: node.feed.revision().unwrap_or(0),
             rules: node.table().rules.version,
             evacuations: node.fleet(|f| f.evacuated().at().filter(|_| f.evacuated().is_current())),
             rollouts: node.fleet(|f| f.versions().revision().filter(|_| f.versions().is_current())),
@@ -156,7 +161,7 @@
         };
         let answer = self.follow(peer, ask, wait).await;
         let now = node.now();
-        let Some(Followed { answer, epoch }) = answer else {
+        let Some(FollowResponse { answer, epoch }) = answer else {
             self.sources.relay_failed(&peer.id, now);
             node.feed.set_out_of_touch(true);
             return;
@@ -173,25 +178,25 @@
         } else {
             self.sources.relay_fresh(&peer.id);
         }
-        self.note_behind(peer, answer.at);
+        self.log_behind(peer, answer.at);
         let (rules, confirmed) = (answer.rules, now - age);
         if is_current {
-            take_answer(&node, &peer.id.name, answer, epoch, confirmed);
+            apply_answer(&node, &peer.id.name, answer, epoch, confirmed);
         }
-        // A relay asks peers only while the store fails it. Its standby is to go on in its
-        // place: if it followed the relay again, each would follow the other.
+        // A relay follows a peer only without contact with the store. Its standby must take its
+        // place rather than follow it, or the two would follow each other.
         node.feed.set_out_of_touch(is_stale || role == Role::Relay);
         if rules > node.table().rules.version {
-            peers::take_rules(&node, &self.client, peer.entry).await;
+            peers::fetch_rules(&node, &self.client, peer.entry).await;
         }
         if rules <= node.table().rules.version {
             node.feed.confirm(Kind::Rules, now - rules_age, now);
         }
     }
 
-    /// Tells, once for a peer, that it is behind this node.
-    fn note_behind(&mut self, peer: &PeerNode, at: u64) {
-        let known_at = self.node.feed.at().unwrap_or(0);
+    /// Logs, once per peer, that it is behind this node.
+    fn log_behind(&mut self, peer: &PeerNode, at: u64) {
+        let known_at = self.node.feed.revision().unwrap_or(0);
         if at >= known_at {
             self.behind = None;
         } else if self.behind.as_ref() != Some(&peer.id) {
@@ -200,86 +205,94 @@
         }
     }
 
-    /// Asks a peer, and where no answer comes in time once more over a new connection: the old
-    /// one may have fallen silent, and whoever takes the peer for lost leaves it for seconds.
+    /// Follows a peer, with one retry over a new connection after a timeout: the old connection may
+    /// have fallen silent, and a peer that counts as failed is skipped for seconds.
     async fn follow(
         &mut self,
         peer: &PeerNode,
         ask: FollowAsk,
         wait: Duration,
-    ) -> Option<Followed> {
+    ) -> Option<FollowResponse> {
         let (node, entry) = (&self.node, peer.entry);
         let epoch = Some(node.feed.epoch());
-        let patience = wait + waits::PEER_SLACK;
-        match peers::follow(node, &self.client, entry, &ask, epoch, patience).await {
+        let timeout = wait + waits::PEER_SLACK;
+        match peers::follow(node, &self.client, entry, &ask, epoch, timeout).await {
             Err(e) if e.kind == CallKind::Timeout => {
-                self.client = Client::new(peers::CONNECT);
+                self.client = Client::new(peers::CONNECT_TIMEOUT);
                 let ask = FollowAsk { wait_ms: 0, patient: false, ..ask };
-                let again =
+                let retry =
                     peers::follow(node, &self.client, entry, &ask, epoch, waits::RETRY_TIMEOUT);
-                again.await.ok()
+                retry.await.ok()
             }
             answer => answer.ok(),
         }
     }
 }
 
-/// Takes what the store told.
-fn take_step(node: &Node, step: Step) {
+/// Applies an update from the store.
+fn apply_update(node: &Node, update: StoreUpdate) {
     let now = node.now();
-    let Step { at, epoch, whole, cut, changes, .. } = step;
+    let StoreUpdate { revision, epoch, is_snapshot, truncated, changes, .. } = update;
     let epoch = epoch.unwrap_or(node.feed.epoch());
     let changes: Vec<TargetChange> = changes.into_iter().filter_map(target_change).collect();
-    let doubt = node.doubt(|d| d.read_from_store(now));
-    let begins = cut && (node.feed.at() != Some(at) || node.feed.epoch() != epoch);
-    if whole {
-        take_whole(node, epoch, at, list_of(changes), doubt);
+    let grace = node.doubt(|d| d.read_from_store(now));
+    let is_new_state =
+        truncated && (node.feed.revision() != Some(revision) || node.feed.epoch() != epoch);
+    if is_snapshot {
+        apply_snapshot(node, epoch, revision, list_targets(changes), grace);
     } else {
-        take_changes(node, at, changes, doubt);
+        apply_changes(node, revision, changes, grace);
     }
-    if begins {
-        // More may be there, but what is known can be used, and is all that followers can have.
-        node.feed.restart(epoch, at);
+    if is_new_state {
+        // The store may hold more, but what is known can be used, and followers can get no more.
+        node.feed.restart(epoch, revision);
         node.know_targets();
     }
-    // For a cut list too: what it brought is as the store has it, and followers that took this
-    // node for stale would find no other that knows more.
+    // This holds for a truncated list too: what was read is current, and followers that took this
+    // node for stale would find no other node that knows more.
     node.feed.confirm(Kind::Targets, now, now);
 }
 
-/// Takes what a peer told.
-fn take_answer(node: &Node, from: &str, answer: FollowAnswer, epoch: Option<u64>, confirmed: Time) {
-    let FollowAnswer { at, doubt_ms, news, evacuations, rollouts, .. } = answer;
+/// Applies an answer from a peer.
+fn apply_answer(
+    node: &Node,
+    from: &str,
+    answer: FollowAnswer,
+    epoch: Option<u64>,
+    confirmed: Time,
+) {
+    let FollowAnswer { at: revision, doubt_ms, news, evacuations, rollouts, .. } = answer;
     let epoch = epoch.unwrap_or(node.feed.epoch());
-    // Before the targets, so that no new one is used that is to get nothing.
+    // Evacuations and rollouts precede the targets, so that no new target is used that must get no
+    // requests.
     if let Some(list) = evacuations {
-        evacuations::take(node, list, from);
+        evacuations::apply(node, list, from);
     }
     if let Some(list) = rollouts {
-        rollouts::take(node, list, from);
+        rollouts::apply(node, list, from);
     }
     let now = node.now();
-    let heard = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
+    let grace = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
     match news {
         TargetNews::Unknown => return,
-        TargetNews::Whole(list) => take_whole(node, epoch, at, list, heard()),
-        // Changes of another history than the one that this node is at.
+        TargetNews::Whole(list) => apply_snapshot(node, epoch, revision, list, grace()),
+        // These changes belong to another history than this node's state.
         TargetNews::Changes(_) if epoch != node.feed.epoch() => return,
-        TargetNews::Changes(changes) => take_changes(node, at, changes, heard()),
+        TargetNews::Changes(changes) => apply_changes(node, revision, changes, grace()),
     }
     node.feed.confirm_all(confirmed, node.now());
 }
 
-fn take_whole(node: &Node, epoch: u64, at: u64, list: TargetList, doubt: Option<Time>) {
+fn apply_snapshot(node: &Node, epoch: u64, revision: u64, list: TargetList, grace: Option<Time>) {
     let now = node.now();
     let services: BTreeSet<Name> = list.targets.iter().map(|t| t.service.clone()).collect();
-    node.fleet(|f| f.replace(list, doubt, now));
+    node.fleet(|f| f.replace(list, grace, now));
     services.iter().for_each(|service| node.maker_came(service));
-    node.feed.restart(epoch, at);
+    node.feed.restart(epoch, revision);
     node.know_targets();
 }
 
-fn take_changes(node: &Node, at: u64, changes: Vec<TargetChange>, doubt: Option<Time>) {
+fn apply_changes(node: &Node, revision: u64, changes: Vec<TargetChange>, grace: Option<Time>) {
     let now = node.now();
     let changes = drop_superseded(changes);
     for change in &changes {
@@ -302,12 +315,12 @@
                 }
             }
             TargetChange::Gone(name) => {
-                node.fleet(|f| f.remove(name, doubt, now));
+                node.fleet(|f| f.remove(name, grace, now));
                 Event::Target { target: name, service: "", state: "gone" }.emit();
             }
         }
     }
-    node.feed.append(at, changes);
+    node.feed.append(revision, changes);
 }
 
 fn target_change(change: Change) -> Option<TargetChange> {
@@ -319,7 +332,7 @@
     }
 }
 
-fn list_of(changes: Vec<TargetChange>) -> TargetList {
+fn list_targets(changes: Vec<TargetChange>) -> TargetList {
     let mut list = TargetList::default();
     for change in changes {
         match change {
@@ -331,15 +344,19 @@
     list
 }
 
-/// Answers a peer that follows this node, and tells an epoch of the store or does not, as soon as
-/// there is news: with the epoch of this node and an encoded [`FollowAnswer`]; `None` if this node
-/// stops.
-pub async fn answer(node: &Node, ask: FollowAsk, epoch: Option<u64>) -> Option<(u64, Bytes)> {
-    let limit = node.now() + Duration::from_millis(ask.wait_ms);
-    let mut news = node.feed.news();
-    while has_no_news(node, &ask, epoch) {
-        let heard = node.clock.until(limit, news.changed()).await;
-        if heard.is_none() {
+/// Answers a follower as soon as there are changes for it, or its wait is over. `epoch` is the
+/// epoch of its state, if it sent one. Returns the epoch of this node's state and an encoded
+/// [`FollowAnswer`]; `None` if this node is stopping.
+pub async fn answer_follower(
+    node: &Node,
+    ask: FollowAsk,
+    epoch: Option<u64>,
+) -> Option<(u64, Bytes)> {
+    let deadline = node.now() + Duration::from_millis(ask.wait_ms);
+    let mut updates = node.feed.subscribe();
+    while is_up_to_date(node, &ask, epoch) {
+        let changed = node.clock.until(deadline, updates.changed()).await;
+        if changed.is_none() {
             break;
         }
     }
@@ -347,31 +364,32 @@
         return None;
     }
     let news = match changes_for(node, &ask, epoch) {
-        _ if node.feed.at().is_none() => TargetNews::Unknown,
+        _ if node.feed.revision().is_none() => TargetNews::Unknown,
         Some(changes) => TargetNews::Changes(changes),
         None => return Some((node.feed.epoch(), snapshot_answer(node))),
     };
     let known_rollouts = ask.rollouts.filter(|_| knows_epoch(node, epoch));
-    Some((node.feed.epoch(), encoded(&answer_of(node, news, known_rollouts, Duration::ZERO))))
+    Some((node.feed.epoch(), encode(&build_answer(node, news, known_rollouts, Duration::ZERO))))
 }
 
-/// Whether a peer's state is of the epoch of this node's; builds that tell none are taken to be.
+/// Whether a peer's state is of the same epoch as this node's; builds that send no epoch are
+/// assumed to be.
 fn knows_epoch(node: &Node, epoch: Option<u64>) -> bool {
     epoch.is_none_or(|epoch| epoch == node.feed.epoch())
 }
 
-/// What a peer lacks of the targets; `None` if it needs them all. One that knows a later epoch
-/// gets nothing of an earlier one.
+/// Changes of the targets that a peer lacks; `None` if it needs the complete list. A peer that
+/// knows a later epoch gets no state of an earlier one.
 fn changes_for(node: &Node, ask: &FollowAsk, epoch: Option<u64>) -> Option<Vec<TargetChange>> {
     match epoch.map_or(Ordering::Equal, |epoch| epoch.cmp(&node.feed.epoch())) {
         Ordering::Less => None,
-        Ordering::Equal => node.feed.since(ask.at),
+        Ordering::Equal => node.feed.changes_since(ask.at),
         Ordering::Greater => Some(Vec::new()),
     }
 }
 
-/// The answer with the whole list. Many that have just started ask for it together, so that it
-/// is encoded once for all of a moment.
+/// Answer with the complete list. Many nodes that start together request it at once, so the
+/// encoded form is shared for a short time.
 fn snapshot_answer(node: &Node) -> Bytes {
     let now = node.now();
     let key = SnapshotKey {
@@ -383,20 +401,20 @@
     };
     node.feed.snapshot.get(key, now, || {
         let news = TargetNews::Whole(node.fleet(|f| f.list(now)));
-        encoded(&answer_of(node, news, None, SNAPSHOT_TTL))
+        encode(&build_answer(node, news, None, SNAPSHOT_TTL))
     })
 }
 
-fn encoded(answer: &FollowAnswer) -> Bytes {
+fn encode(answer: &FollowAnswer) -> Bytes {
     rmp_serde::to_vec(answer).expect("messages encode").into()
 }
 
-/// An answer that may be given for some time after now.
-fn answer_of(
+/// Builds an answer that may be sent for up to `ttl` from now, with ages increased accordingly.
+fn build_answer(
     node: &Node,
     news: TargetNews,
     known_rollouts: Option<u64>,
-    kept: Duration,
+    ttl: Duration,
 ) -> FollowAnswer {
     let now = node.now();
     let rules_age = node.feed.age_of(Kind::Rules, now);
@@ -405,32 +423,34 @@
         let is_newer = versions.is_current() && versions.revision() > known_rollouts;
         is_newer.then(|| versions.list()).flatten()
     });
-    let doubt = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(kept));
+    let grace = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(ttl));
     FollowAnswer {
-        at: node.feed.at().unwrap_or(0),
-        age_ms: millis(node.feed.age(now).saturating_add(kept)),
+        at: node.feed.revision().unwrap_or(0),
+        age_ms: millis(node.feed.age(now).saturating_add(ttl)),
         out_of_touch: node.feed.is_out_of_touch(),
-        doubt_ms: doubt.map_or(0, |left| left.as_millis() as u64),
+        doubt_ms: grace.map_or(0, |remaining| remaining.as_millis() as u64),
         rules: node.table().rules.version,
-        rules_age_ms: millis(rules_age.map_or(Duration::MAX, |age| age.now.saturating_add(kept))),
+        rules_age_ms: millis(
+            rules_age.map_or(Duration::MAX, |age| age.current.saturating_add(ttl)),
+        ),
         evacuations: node.fleet(|f| f.evacuated().list().filter(|_| f.evacuated().is_current())),
         rollouts,
         news,
     }
 }
 
-fn has_no_news(node: &Node, ask: &FollowAsk, epoch: Option<u64>) -> bool {
-    let known = node.feed.at().unwrap_or(0);
+fn is_up_to_date(node: &Node, ask: &FollowAsk, epoch: Option<u64>) -> bool {
+    let known = node.feed.revision().unwrap_or(0);
     let is_same = knows_epoch(node, epoch);
-    let lacks = || node.feed.since(ask.at).is_none_or(|c| !c.is_empty());
-    let lacks_targets = !is_same || (known > ask.at && lacks());
+    let has_changes = || node.feed.changes_since(ask.at).is_none_or(|c| !c.is_empty());
+    let lacks_targets = !is_same || (known > ask.at && has_changes());
     let lacks_lists = node.fleet(|f| {
         f.evacuated().changed_since(ask.evacuations.filter(|_| is_same))
             || f.versions().has_changed_since(ask.rollouts.filter(|_| is_same))
     });
-    let lacks = lacks_targets || lacks_lists;
+    let is_behind = lacks_targets || lacks_lists;
     let is_fresh = !node.feed.is_out_of_touch() && !Feed::is_stale(node.feed.age(node.now()));
-    !lacks
+    !is_behind
         && (is_fresh || ask.patient)
         && node.table().rules.version <= ask.rules
         && !node.is_stopping()
