--- a/crates/forward/src/border.rs
+++ b/crates/forward/src/border.rs
@@ -14,24 +14,24 @@
 
 /// A message that could not be understood.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-#[displaydoc("{place}: {why}")]
+#[displaydoc("{place}: {reason}")]
 pub struct Malformed {
     /// Header, field or message.
     pub place: String,
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
 impl Malformed {
     /// Names a place and what is wrong there.
     pub fn new(place: impl Into<String>, why: impl Into<String>) -> Self {
-        Malformed { place: place.into(), why: why.into() }
+        Malformed { place: place.into(), reason: why.into() }
     }
 }
 
 /// What a request is sent on with.
 #[derive(Debug, Clone)]
-pub struct Onward<'a> {
+pub struct ForwardContext<'a> {
     /// Milliseconds that the target has.
     pub left_ms: u64,
     /// The only start of a target that may run it.
@@ -58,9 +58,9 @@
     /// An input of the request is gone.
     pub input_gone: bool,
     /// It carries the target's signature.
-    pub signed: bool,
+    pub is_signed: bool,
     /// The body is a stream of events.
-    pub events: bool,
+    pub is_event_stream: bool,
     /// Requests that the target takes.
     pub limit: NamedLimit,
     /// Load of the target.
@@ -75,7 +75,7 @@
     /// Path.
     pub path: String,
     /// Media type of the body.
-    pub media: &'static str,
+    pub content_type: &'static str,
     /// Body.
     pub body: Vec<u8>,
 }
@@ -86,14 +86,14 @@
     /// Path.
     pub path: String,
     /// Media type of the body.
-    pub media: &'static str,
+    pub content_type: &'static str,
     /// Body.
     pub body: Vec<u8>,
 }
 
 /// Kind of object that the node follows in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum ObjectKind {
     /// The rules.
     Rules,
     /// The targets.
@@ -106,21 +106,27 @@
     Quarantine,
 }
 
-impl Kind {
+impl ObjectKind {
     /// Every kind.
-    pub const ALL: [Kind; 5] =
-        [Kind::Rules, Kind::Targets, Kind::Evacuations, Kind::Rollouts, Kind::Quarantine];
+    pub const ALL: [ObjectKind; 5] = [
+        ObjectKind::Rules,
+        ObjectKind::Targets,
+        ObjectKind::Evacuations,
+        ObjectKind::Rollouts,
+        ObjectKind::Quarantine,
+    ];
     /// Kinds on which choices rest, so that it is told how old what is known of them is.
-    pub const AGED: [Kind; 4] = [Kind::Rules, Kind::Targets, Kind::Evacuations, Kind::Rollouts];
+    pub const AGE_TRACKED: [ObjectKind; 4] =
+        [ObjectKind::Rules, ObjectKind::Targets, ObjectKind::Evacuations, ObjectKind::Rollouts];
 
     /// Name in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Rules => "rules",
-            Kind::Targets => "targets",
-            Kind::Evacuations => "evacuations",
-            Kind::Rollouts => "rollouts",
-            Kind::Quarantine => "quarantine",
+            ObjectKind::Rules => "rules",
+            ObjectKind::Targets => "targets",
+            ObjectKind::Evacuations => "evacuations",
+            ObjectKind::Rollouts => "rollouts",
+            ObjectKind::Quarantine => "quarantine",
         }
     }
 }
@@ -141,15 +147,15 @@
     /// The entry of this name is there but cannot be read.
     Unreadable(Name),
     /// The entry of this name is gone.
-    Gone(Name),
+    Removed(Name),
 }
 
 impl Change {
     /// Name of the entry, unless that cannot be read.
-    pub fn read_name(&self) -> Option<&Name> {
+    pub fn entry_name(&self) -> Option<&Name> {
         match self {
             Change::Target(target) => Some(&target.id.name),
-            Change::Evacuated(name) | Change::Gone(name) => Some(name),
+            Change::Evacuated(name) | Change::Removed(name) => Some(name),
             Change::Rollout(rollout) => Some(&rollout.service),
             Change::Rules(_) | Change::Held(_) | Change::Unreadable(_) => None,
         }
@@ -164,18 +170,18 @@
     /// Its name, else its position in the answer, and what of it cannot be read.
     pub place: String,
     /// What is wrong there.
-    pub why: String,
+    pub reason: String,
 }
 
 /// Most characters that are told of a place or of what is wrong there: other writers put
 /// what they like into their entries.
-const TOLD_MOST: usize = 160;
+const MAX_ERROR_CHARS: usize = 160;
 
 impl BadEntry {
     /// An entry that cannot be read at a place.
     pub fn new(name: Option<Name>, place: impl Into<String>, why: impl Into<String>) -> Self {
-        let told = |text: String| text.chars().take(TOLD_MOST).collect();
-        BadEntry { name, place: told(place.into()), why: told(why.into()) }
+        let told = |text: String| text.chars().take(MAX_ERROR_CHARS).collect();
+        BadEntry { name, place: told(place.into()), reason: told(why.into()) }
     }
 }
 
@@ -187,11 +193,11 @@
     /// Objects that could not be understood; those with a name are among the changes too.
     pub malformed: Vec<BadEntry>,
     /// Name to continue a list after, if it is not whole.
-    pub more: Option<Name>,
+    pub continue_after: Option<Name>,
     /// More follows, but nothing tells after which name to continue.
-    pub cut: bool,
+    pub truncated: bool,
     /// Revision to watch from.
-    pub at: u64,
+    pub revision: u64,
 }
 
 impl Page {
@@ -205,21 +211,21 @@
 /// Translates between this product and the system that it runs in.
 pub trait Dialect {
     /// Reads a caller's request head.
-    fn caller(&self, head: &request::Parts) -> Result<CallerHead, Malformed>;
+    fn read_caller(&self, head: &request::Parts) -> Result<CallerHead, Malformed>;
     /// Headers with which a request goes on to a target.
-    fn onward(&self, head: &HeaderMap, onward: &Onward<'_>) -> HeaderMap;
+    fn forward_headers(&self, head: &HeaderMap, onward: &ForwardContext<'_>) -> HeaderMap;
     /// Reads a target's answer head.
-    fn answer(&self, head: &response::Parts) -> AnswerHead;
+    fn read_answer(&self, head: &response::Parts) -> AnswerHead;
     /// Headers with which a target's answer goes on to the caller.
-    fn back(&self, head: &HeaderMap) -> HeaderMap;
+    fn return_headers(&self, head: &HeaderMap) -> HeaderMap;
     /// Headers of an answer of this node's own; `come_back_ms` tells when to try again.
-    fn own(&self, id: Option<&str>, come_back_ms: Option<u64>) -> HeaderMap;
+    fn local_headers(&self, id: Option<&str>, come_back_ms: Option<u64>) -> HeaderMap;
     /// Number of a stream's event, if it has one.
     fn event_number(&self, event: &[u8]) -> Option<u64>;
     /// A call that makes pieces.
     fn stage_call(&self, pieces: &[PieceOrder]) -> Post;
     /// Headers of a call that only one start of a target may take.
-    fn meant_for(&self, target: &TargetId) -> HeaderMap;
+    fn instance_headers(&self, target: &TargetId) -> HeaderMap;
     /// Reads the answer to a call that makes pieces.
     fn stage_answer(&self, maker: &TargetId, body: &[u8]) -> Result<Vec<PieceResult>, Malformed>;
     /// A call that frees results at their maker.
@@ -228,19 +234,19 @@
     /// tells; `None` if this one does not, or it cannot be read.
     fn epoch(&self, head: &HeaderMap) -> Option<u64>;
     /// Path of a list of objects.
-    fn list(&self, kind: Kind, after: Option<&Name>) -> String;
+    fn list_path(&self, kind: ObjectKind, after: Option<&Name>) -> String;
     /// The same, cheaper, and possibly some seconds old.
-    fn old_list(&self, kind: Kind, after: Option<&Name>) -> String;
+    fn stale_list_path(&self, kind: ObjectKind, after: Option<&Name>) -> String;
     /// Creates the object of a request that is held.
-    fn hold(&self, record: &HeldRecord) -> Post;
+    fn create_hold(&self, record: &HeldRecord) -> Post;
     /// Path of that object.
-    fn held(&self, request: Fingerprint) -> String;
+    fn hold_path(&self, request: Fingerprint) -> String;
     /// Path of a watch from a revision on.
-    fn watch(&self, kind: Kind, at: u64, wait_ms: u64) -> String;
+    fn watch_path(&self, kind: ObjectKind, at: u64, wait_ms: u64) -> String;
     /// Reads a list.
-    fn page(&self, kind: Kind, body: &[u8]) -> Result<Page, Malformed>;
+    fn read_page(&self, kind: ObjectKind, body: &[u8]) -> Result<Page, Malformed>;
     /// Reads the answer to a watch.
-    fn changes(&self, kind: Kind, body: &[u8]) -> Result<Page, Malformed>;
+    fn read_changes(&self, kind: ObjectKind, body: &[u8]) -> Result<Page, Malformed>;
     /// Sets the state of a roll-out in the store, unless the order has changed since `order`.
     fn set_rollout(&self, order: &Rollout, state: RolloutState) -> Put;
     /// Path that a balancer asks for readiness at.
--- a/crates/forward/src/crossed.rs
+++ b/crates/forward/src/crossed.rs
@@ -18,11 +18,11 @@
 
 /// Bytes of the head of a request between nodes, or of its answer: method and path or status,
 /// host, media type, length and date.
-const HEAD: u64 = 112;
+const HEAD_BYTES: u64 = 112;
 
 /// What crosses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// A request to a target, and its answer.
     Request,
     /// A stage call to a maker, and its answer.
@@ -36,9 +36,9 @@
     /// A question to a scheduler of prompts, or the end of a prompt.
     Prompt,
     /// News of targets, evacuations and orders of roll-outs, and rules.
-    News,
+    Updates,
     /// A datagram of membership.
-    Member,
+    Membership,
     /// A sign of life that is asked of a peer.
     Ping,
     /// A report on a version on trial, or a state that a peer writes.
@@ -47,85 +47,86 @@
     Limit,
 }
 
-impl Kind {
+impl MessageKind {
     /// Name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Request => "request",
-            Kind::Call => "call",
-            Kind::Free => "free",
-            Kind::Order => "order",
-            Kind::Input => "input",
-            Kind::Prompt => "prompt",
-            Kind::News => "news",
-            Kind::Member => "member",
-            Kind::Ping => "ping",
-            Kind::Rollout => "rollout",
-            Kind::Limit => "limit",
+            MessageKind::Request => "request",
+            MessageKind::Call => "call",
+            MessageKind::Free => "free",
+            MessageKind::Order => "order",
+            MessageKind::Input => "input",
+            MessageKind::Prompt => "prompt",
+            MessageKind::Updates => "news",
+            MessageKind::Membership => "member",
+            MessageKind::Ping => "ping",
+            MessageKind::Rollout => "rollout",
+            MessageKind::Limit => "limit",
         }
     }
 }
 
 /// Counters of one way to another region and back.
 #[derive(Debug, Clone)]
-pub struct Crossing {
-    there: Counter,
-    back: Counter,
+pub struct RegionTraffic {
+    outbound: Counter,
+    inbound: Counter,
 }
 
-impl Crossing {
+impl RegionTraffic {
     /// To a failure domain; `None` if it is in this node's region, or of none that is known.
-    fn to_domain(node: &Node, kind: Kind, domain: &Name) -> Option<Crossing> {
+    fn to_domain(node: &Node, kind: MessageKind, domain: &Name) -> Option<RegionTraffic> {
         let (own, there) = node.fleet(|f| {
             let regions = f.regions();
             Some((regions.of(&node.settings().domain)?.clone(), regions.of(domain)?.clone()))
         })?;
-        let count = |from, to| node.metrics.crossed(kind.as_str(), from, to);
-        (own != there).then(|| Crossing { there: count(&own, &there), back: count(&there, &own) })
+        let count = |from, to| node.metrics.crossed_bytes(kind.as_str(), from, to);
+        (own != there)
+            .then(|| RegionTraffic { outbound: count(&own, &there), inbound: count(&there, &own) })
     }
 
     /// To a target.
-    pub fn to_target(node: &Node, kind: Kind, id: &TargetId) -> Option<Crossing> {
-        if !anything_crosses(node) {
+    pub fn to_target(node: &Node, kind: MessageKind, id: &TargetId) -> Option<RegionTraffic> {
+        if !is_multi_region(node) {
             return None;
         }
         let domain = node.fleet(|f| f.domain_of(id).cloned())?;
-        Crossing::to_domain(node, kind, &domain)
+        RegionTraffic::to_domain(node, kind, &domain)
     }
 
     /// To a peer that is up.
-    pub fn to_peer(node: &Node, kind: Kind, address: SocketAddr) -> Option<Crossing> {
-        if !anything_crosses(node) {
+    pub fn to_peer(node: &Node, kind: MessageKind, address: SocketAddr) -> Option<RegionTraffic> {
+        if !is_multi_region(node) {
             return None;
         }
         let domain = node.peers.roster(|r| r.domain_at(address).cloned())?;
-        Crossing::to_domain(node, kind, &domain)
+        RegionTraffic::to_domain(node, kind, &domain)
     }
 
     /// A message of this many bytes went there.
     pub fn sent(&self, bytes: usize) {
-        self.there.inc_by(bytes as u64 + HEAD);
+        self.outbound.inc_by(bytes as u64 + HEAD_BYTES);
     }
 
     /// A message of this many bytes came back.
-    pub fn got(&self, bytes: usize) {
-        self.back.inc_by(bytes as u64 + HEAD);
+    pub fn received(&self, bytes: usize) {
+        self.inbound.inc_by(bytes as u64 + HEAD_BYTES);
     }
 
     /// A datagram went there.
     pub fn sent_datagram(&self, bytes: usize) {
-        self.there.inc_by(bytes as u64);
+        self.outbound.inc_by(bytes as u64);
     }
 }
 
 /// Whether there is another region: where there is none, messages are not looked at.
-fn anything_crosses(node: &Node) -> bool {
+fn is_multi_region(node: &Node) -> bool {
     node.fleet(|f| f.regions().is_multi_region())
 }
 
 /// Targets fetch results that rest at others.
-pub fn fetched(node: &Node, by: &TargetId, inputs: impl Iterator<Item = (TargetId, u64)>) {
-    if !anything_crosses(node) {
+pub fn count_inputs(node: &Node, by: &TargetId, inputs: impl Iterator<Item = (TargetId, u64)>) {
+    if !is_multi_region(node) {
         return;
     }
     let region =
@@ -135,7 +136,7 @@
     };
     for (maker, bytes) in inputs {
         if let Some(from) = region(&maker).filter(|from| *from != to) {
-            node.metrics.crossed(Kind::Input.as_str(), &from, &to).inc_by(bytes);
+            node.metrics.crossed_bytes(MessageKind::Input.as_str(), &from, &to).inc_by(bytes);
         }
     }
 }
@@ -144,18 +145,18 @@
 #[derive(Debug)]
 pub struct Metered<T> {
     io: T,
-    crossing: Option<Crossing>,
+    crossing: Option<RegionTraffic>,
 }
 
 impl<T> Metered<T> {
     /// Counts from now on.
-    pub fn new(io: T, crossing: Option<Crossing>) -> Self {
+    pub fn new(io: T, crossing: Option<RegionTraffic>) -> Self {
         Metered { io, crossing }
     }
 
-    fn wrote(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn count_written(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let (Some(crossing), Poll::Ready(Ok(bytes))) = (&self.crossing, &done) {
-            crossing.there.inc_by(*bytes as u64);
+            crossing.outbound.inc_by(*bytes as u64);
         }
         done
     }
@@ -170,7 +171,7 @@
         let before = buffer.filled().len();
         let done = Pin::new(&mut self.io).poll_read(cx, buffer);
         if let Some(crossing) = &self.crossing {
-            crossing.back.inc_by((buffer.filled().len() - before) as u64);
+            crossing.inbound.inc_by((buffer.filled().len() - before) as u64);
         }
         done
     }
@@ -183,7 +184,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.io).poll_write(cx, bytes);
-        self.wrote(done)
+        self.count_written(done)
     }
 
     fn poll_write_vectored(
@@ -192,7 +193,7 @@
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.io).poll_write_vectored(cx, parts);
-        self.wrote(done)
+        self.count_written(done)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/forward/src/heard.rs
+++ b/crates/forward/src/heard.rs
@@ -13,24 +13,24 @@
 use crate::node::Node;
 
 /// Takes what the head of a target's answer says, whose request was sent at `sent`.
-pub fn take(node: &Rc<Node>, target: &Target, said: &AnswerHead, sent: Time) {
+pub fn record_answer(node: &Rc<Node>, target: &Target, said: &AnswerHead, sent: Time) {
     limits::hear(node, target, said.limit, sent);
-    node.note_load(target, said.load);
-    take_notice(node, target, said.notice);
+    node.record_load(target, said.load);
+    record_notice(node, target, said.notice);
     if !said.not_run {
         node.fleet(|f| f.note_accepted(&target.id, sent));
     }
 }
 
 /// Takes what a target's answer says of further requests.
-pub fn take_notice(node: &Node, target: &Target, said: Notice) {
+pub fn record_notice(node: &Node, target: &Target, said: Notice) {
     let now = node.now();
     for change in node.fleet(|f| f.record_notice(&target.id, said, now)) {
-        tell(target, change);
+        log_notice(target, change);
     }
 }
 
-fn tell(target: &Target, change: NoticeChange) {
+fn log_notice(target: &Target, change: NoticeChange) {
     let (what, for_ms) = match change {
         NoticeChange::Draining => ("leaving", None),
         NoticeChange::BackedOff(time) => ("retry_after", Some(time.as_millis() as u64)),
@@ -40,7 +40,7 @@
 }
 
 /// A request, or a call, goes to a target.
-pub fn sent(node: &Node, target: &Target) {
+pub fn record_send(node: &Node, target: &Target) {
     let (now, id) = (node.now(), &target.id);
     let (limited, leaves, rests) = node.fleet(|f| {
         let notices = f.notices();
--- a/crates/forward/src/ingress/callers.rs
+++ b/crates/forward/src/ingress/callers.rs
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::phase::LifePhase;
 use crate::serve;
-use crate::upstream::guard_socket;
+use crate::upstream::configure_socket;
 
 /// Part of the descriptors that callers' connections may take.
 const CALLERS_SHARE: f64 = 0.5;
@@ -28,14 +28,14 @@
         let permit = room.clone().acquire_owned().await;
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = node.reached(LifePhase::Closing) => return,
+            () = node.wait_for_phase(LifePhase::Closing) => return,
         };
         let Ok((socket, _)) = accepted else {
             // Out of descriptors, most likely; let some close.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        guard_socket(&socket);
+        configure_socket(&socket);
         let node = node.clone();
         tokio::task::spawn_local(async move {
             connection(node, socket).await;
@@ -62,7 +62,7 @@
     let mut connection = std::pin::pin!(connection);
     let stopped = tokio::select! {
         _ = connection.as_mut() => false,
-        () = node.reached(LifePhase::Closing) => true,
+        () = node.wait_for_phase(LifePhase::Closing) => true,
     };
     if stopped {
         connection.as_mut().graceful_shutdown();
--- a/crates/forward/src/ingress/readiness.rs
+++ b/crates/forward/src/ingress/readiness.rs
@@ -24,7 +24,7 @@
 fn answer(node: &Node, request: &Request<Incoming>) -> Response<Body> {
     let path = request.uri().path();
     if path == METRICS {
-        return full(StatusCode::OK, OPEN_METRICS, node.figures());
+        return full(StatusCode::OK, OPEN_METRICS, node.metrics_text());
     }
     if path != node.dialect.ready_path() {
         return text(StatusCode::NOT_FOUND, "no such path");
--- a/crates/forward/src/ingress/small.rs
+++ b/crates/forward/src/ingress/small.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use util::http::Body;
 
-use crate::upstream::guard_socket;
+use crate::upstream::configure_socket;
 
 /// Wait after a failed accept; most likely descriptors have run out.
 const PAUSE: Duration = Duration::from_millis(10);
@@ -29,7 +29,7 @@
             tokio::time::sleep(PAUSE).await;
             continue;
         };
-        guard_socket(&socket);
+        configure_socket(&socket);
         let handler = handler.clone();
         let service = service_fn(move |request| {
             let answer = handler(request);
--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -13,43 +13,43 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use crate::border::Kind;
+use crate::border::ObjectKind;
 use crate::watch::Age;
 
 /// Most names of routes, versions and regions that labels tell apart, further ones are counted
 /// as one; and most series of times, further ones are not told.
-const SERIES_MOST: usize = 64;
+const MAX_SERIES: usize = 64;
 /// Name of what is beyond that.
-const OTHERS: &str = "others";
+const OVERFLOW_LABEL: &str = "others";
 /// Longest time told apart, in milliseconds.
-const LONGEST_MS: u64 = 120_000;
+const MAX_TIME_MS: u64 = 120_000;
 /// Significant digits of times.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 /// Quantiles that are told.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Outcome {
+struct RequestLabels {
     route: String,
     outcome: String,
     status: u16,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Quantile {
+struct QuantileLabels {
     kind: &'static str,
     name: String,
     quantile: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Version {
+struct VersionLabels {
     service: String,
     version: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Named {
+struct NameLabel {
     name: String,
 }
 
@@ -66,13 +66,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct WayLabels {
+struct RegionLabels {
     from: String,
     to: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Crossed {
+struct TrafficLabels {
     kind: &'static str,
     from: String,
     to: String,
@@ -83,49 +83,49 @@
 /// Counters and times of one node.
 pub struct Metrics {
     registry: Registry,
-    requests: Family<Outcome, Counter>,
-    quantiles: Family<Quantile, Gauge<f64, std::sync::atomic::AtomicU64>>,
-    batch_calls: Family<Named, Counter>,
-    batch_pieces: Family<Named, Counter>,
-    store_calls: Family<Named, Counter>,
-    unreadable: Family<Named, Gauge>,
-    repeats: Family<Named, Counter>,
+    requests: Family<RequestLabels, Counter>,
+    time_quantiles: Family<QuantileLabels, Gauge<f64, std::sync::atomic::AtomicU64>>,
+    batch_calls: Family<NameLabel, Counter>,
+    batch_pieces: Family<NameLabel, Counter>,
+    store_calls: Family<NameLabel, Counter>,
+    unreadable_entries: Family<NameLabel, Gauge>,
+    repeats: Family<NameLabel, Counter>,
     loads_told: Counter,
     loads_unreadable: Counter,
-    barred: Family<Named, Counter>,
-    stage_refused: Family<RefusalLabels, Counter>,
-    ended: Family<Named, Counter>,
-    held: Gauge,
-    held_back: Family<Named, Counter>,
-    limited: Gauge,
-    sent_at_limit: Family<Named, Counter>,
+    refused_for_region: Family<NameLabel, Counter>,
+    stage_refusals: Family<RefusalLabels, Counter>,
+    targets_ended: Family<NameLabel, Counter>,
+    quarantined: Gauge,
+    quarantine_refusals: Family<NameLabel, Counter>,
+    targets_limited: Gauge,
+    sent_at_limit: Family<NameLabel, Counter>,
     sent_against_notice: Family<NoticeLabels, Counter>,
-    refused_at_limit: Family<Named, Counter>,
-    rollout_requests: Family<Version, Counter>,
-    rollout_bad: Family<Version, Counter>,
-    rollout_answers: Family<Version, Counter>,
-    rollout_seconds: Family<Version, Counter<f64, std::sync::atomic::AtomicU64>>,
-    rollout_share: Family<Version, Gauge<f64, std::sync::atomic::AtomicU64>>,
-    spilled: Family<WayLabels, Counter>,
-    crossed: Family<Crossed, Counter>,
-    open: Gauge,
-    orders: Gauge,
-    rules: Gauge,
-    unserved: Gauge,
-    peers: Gauge,
+    refused_at_limit: Family<NameLabel, Counter>,
+    rollout_requests: Family<VersionLabels, Counter>,
+    rollout_bad: Family<VersionLabels, Counter>,
+    rollout_answers: Family<VersionLabels, Counter>,
+    rollout_seconds: Family<VersionLabels, Counter<f64, std::sync::atomic::AtomicU64>>,
+    rollout_share: Family<VersionLabels, Gauge<f64, std::sync::atomic::AtomicU64>>,
+    spilled_orders: Family<RegionLabels, Counter>,
+    crossed_bytes: Family<TrafficLabels, Counter>,
+    open_requests: Gauge,
+    open_orders: Gauge,
+    rules_version: Gauge,
+    rules_unserved: Gauge,
+    nodes_up: Gauge,
     targets: Gauge,
-    unread: Gauge,
-    evacuated: Gauge,
-    cold: Gauge,
-    ages: Family<Named, Gauge>,
-    longest_ages: Family<Named, Gauge>,
+    targets_unreadable: Gauge,
+    domains_evacuated: Gauge,
+    targets_cold: Gauge,
+    known_ages: Family<NameLabel, Gauge>,
+    longest_known_ages: Family<NameLabel, Gauge>,
     times: Times,
-    names: RefCell<std::collections::BTreeSet<String>>,
+    label_values: RefCell<std::collections::BTreeSet<String>>,
 }
 
 /// Gauges that are read when the figures are asked for.
 #[derive(Debug, Clone, Copy)]
-pub struct Now<'a> {
+pub struct Gauges<'a> {
     /// Requests that are open.
     pub open: usize,
     /// Stage orders that are open at the coordinators of this node.
@@ -139,19 +139,19 @@
     /// Targets known.
     pub targets: usize,
     /// Targets whose entries cannot be read.
-    pub unread: usize,
+    pub targets_unreadable: usize,
     /// Failure domains that are evacuated.
     pub evacuated: usize,
     /// Targets whose entries say that they are cold.
     pub cold: usize,
     /// Requests that are held back.
-    pub held: usize,
+    pub quarantined: usize,
     /// Targets that name a limit.
     pub limited: usize,
     /// Services that move to another version, that version, and its share of the requests.
     pub rollouts: &'a [(Name, Name, f64)],
     /// Ages of what is known, by kind; `None` if nothing is.
-    pub ages: [(Kind, Option<Age>); Kind::AGED.len()],
+    pub ages: [(ObjectKind, Option<Age>); ObjectKind::AGE_TRACKED.len()],
 }
 
 impl Default for Metrics {
@@ -160,20 +160,20 @@
         let m = Metrics {
             registry: Registry::default(),
             requests: Family::default(),
-            quantiles: Family::default(),
+            time_quantiles: Family::default(),
             batch_calls: Family::default(),
             batch_pieces: Family::default(),
             store_calls: Family::default(),
-            unreadable: Family::default(),
+            unreadable_entries: Family::default(),
             repeats: Family::default(),
             loads_told: Counter::default(),
             loads_unreadable: Counter::default(),
-            barred: Family::default(),
-            stage_refused: Family::default(),
-            ended: Family::default(),
-            held: Gauge::default(),
-            held_back: Family::default(),
-            limited: Gauge::default(),
+            refused_for_region: Family::default(),
+            stage_refusals: Family::default(),
+            targets_ended: Family::default(),
+            quarantined: Gauge::default(),
+            quarantine_refusals: Family::default(),
+            targets_limited: Gauge::default(),
             sent_at_limit: Family::default(),
             sent_against_notice: Family::default(),
             refused_at_limit: Family::default(),
@@ -182,21 +182,21 @@
             rollout_answers: Family::default(),
             rollout_seconds: Family::default(),
             rollout_share: Family::default(),
-            spilled: Family::default(),
-            crossed: Family::default(),
-            open: Gauge::default(),
-            orders: Gauge::default(),
-            rules: Gauge::default(),
-            unserved: Gauge::default(),
-            peers: Gauge::default(),
+            spilled_orders: Family::default(),
+            crossed_bytes: Family::default(),
+            open_requests: Gauge::default(),
+            open_orders: Gauge::default(),
+            rules_version: Gauge::default(),
+            rules_unserved: Gauge::default(),
+            nodes_up: Gauge::default(),
             targets: Gauge::default(),
-            unread: Gauge::default(),
-            evacuated: Gauge::default(),
-            cold: Gauge::default(),
-            ages: Family::default(),
-            longest_ages: Family::default(),
+            targets_unreadable: Gauge::default(),
+            domains_evacuated: Gauge::default(),
+            targets_cold: Gauge::default(),
+            known_ages: Family::default(),
+            longest_known_ages: Family::default(),
             times: Times::default(),
-            names: RefCell::default(),
+            label_values: RefCell::default(),
         };
         m.register(&mut registry);
         Metrics { registry, ..m }
@@ -206,7 +206,7 @@
 impl Metrics {
     fn register(&self, registry: &mut Registry) {
         registry.register("requests", "Final answers", self.requests.clone());
-        registry.register("milliseconds", "Times by quantile", self.quantiles.clone());
+        registry.register("milliseconds", "Times by quantile", self.time_quantiles.clone());
         registry.register("batch_calls", "Calls of makers that ended", self.batch_calls.clone());
         registry.register(
             "batch_pieces",
@@ -215,7 +215,7 @@
         );
         registry.register("store_calls", "Calls of the store", self.store_calls.clone());
         let help = "Entries that could not be read when this node last read the store";
-        registry.register("unreadable_entries", help, self.unreadable.clone());
+        registry.register("unreadable_entries", help, self.unreadable_entries.clone());
         registry.register("repeats", "Sends to a further target", self.repeats.clone());
         registry.register(
             "loads_told",
@@ -238,25 +238,33 @@
         let help = "Share of requests that the version on trial gets";
         registry.register("rollout_share", help, self.rollout_share.clone());
         let help = "Stage orders passed on to another region";
-        registry.register("spilled_orders", help, self.spilled.clone());
+        registry.register("spilled_orders", help, self.spilled_orders.clone());
         let help = "Bytes between regions, counted by the node that asks";
-        registry.register("crossed_bytes", help, self.crossed.clone());
-        registry.register("open_requests", "Requests without a final answer", self.open.clone());
+        registry.register("crossed_bytes", help, self.crossed_bytes.clone());
+        registry.register(
+            "open_requests",
+            "Requests without a final answer",
+            self.open_requests.clone(),
+        );
         let help = "Stage orders without an answer at the coordinators of this node";
-        registry.register("open_orders", help, self.orders.clone());
-        registry.register("rules_version", "Version of the rules in force", self.rules.clone());
+        registry.register("open_orders", help, self.open_orders.clone());
+        registry.register(
+            "rules_version",
+            "Version of the rules in force",
+            self.rules_version.clone(),
+        );
         let help = "Refusals for want of a target in an allowed region";
-        registry.register("refused_for_region", help, self.barred.clone());
+        registry.register("refused_for_region", help, self.refused_for_region.clone());
         let help = "Refusals for want of a stage's time or room, by its service and cause";
-        registry.register("stage_refusals", help, self.stage_refused.clone());
+        registry.register("stage_refusals", help, self.stage_refusals.clone());
         let help = "Targets that ended under requests of this node, by their service";
-        registry.register("targets_ended", help, self.ended.clone());
+        registry.register("targets_ended", help, self.targets_ended.clone());
         let help = "Requests that are held back, since the targets that ran them ended";
-        registry.register("quarantined", help, self.held.clone());
+        registry.register("quarantined", help, self.quarantined.clone());
         let help = "Refusals and sends not made of such requests, by route";
-        registry.register("quarantine_refusals", help, self.held_back.clone());
+        registry.register("quarantine_refusals", help, self.quarantine_refusals.clone());
         let help = "Targets that name a limit";
-        registry.register("targets_limited", help, self.limited.clone());
+        registry.register("targets_limited", help, self.targets_limited.clone());
         let help = "Requests and calls to targets while they named a limit, by their service";
         registry.register("sent_at_limit", help, self.sent_at_limit.clone());
         let help = "Requests and calls to targets that had said that they leave, or want none";
@@ -264,55 +272,66 @@
         let help = "Refusals of requests all of whose targets were at their limits, by route";
         registry.register("refused_at_limit", help, self.refused_at_limit.clone());
         let help = "Routes and workspaces that no region with a failure domain is allowed to";
-        registry.register("rules_unserved", help, self.unserved.clone());
-        registry.register("nodes_up", "Nodes that are up", self.peers.clone());
+        registry.register("rules_unserved", help, self.rules_unserved.clone());
+        registry.register("nodes_up", "Nodes that are up", self.nodes_up.clone());
         registry.register("targets", "Targets known", self.targets.clone());
         let help = "Names of targets whose entries cannot be read";
-        registry.register("targets_unreadable", help, self.unread.clone());
-        registry.register("domains_evacuated", "Failure domains evacuated", self.evacuated.clone());
-        registry.register("targets_cold", "Targets known as cold", self.cold.clone());
+        registry.register("targets_unreadable", help, self.targets_unreadable.clone());
+        registry.register(
+            "domains_evacuated",
+            "Failure domains evacuated",
+            self.domains_evacuated.clone(),
+        );
+        registry.register("targets_cold", "Targets known as cold", self.targets_cold.clone());
         let help = "Time since the store last confirmed what is known, in milliseconds";
-        registry.register("known_age", help, self.ages.clone());
+        registry.register("known_age", help, self.known_ages.clone());
         let help = "Greatest such time since the start, in milliseconds";
-        registry.register("known_age_longest", help, self.longest_ages.clone());
+        registry.register("known_age_longest", help, self.longest_known_ages.clone());
     }
 
     /// A request got its final answer.
-    pub fn request(&self, route: &str, outcome: &str, status: u16) {
-        let labels = Outcome { route: self.bounded(route), outcome: outcome.to_string(), status };
+    pub fn count_answer(&self, route: &str, outcome: &str, status: u16) {
+        let labels = RequestLabels {
+            route: self.bounded_label(route),
+            outcome: outcome.to_string(),
+            status,
+        };
         self.requests.get_or_create(&labels).inc();
     }
 
     /// Something took this long: a request, its first event (its end if it had none), a stage.
-    pub fn time(&self, kind: &'static str, name: &Name, ms: u64) {
+    pub fn record_time(&self, kind: &'static str, name: &Name, ms: u64) {
         let mut times = self.times.borrow_mut();
-        if times.len() >= SERIES_MOST && !times.contains_key(&(kind, name.clone())) {
+        if times.len() >= MAX_SERIES && !times.contains_key(&(kind, name.clone())) {
             return;
         }
-        let fresh = || Histogram::new_with_max(LONGEST_MS, DIGITS).expect("valid bounds");
+        let fresh =
+            || Histogram::new_with_max(MAX_TIME_MS, SIGNIFICANT_DIGITS).expect("valid bounds");
         let times = times.entry((kind, name.clone())).or_insert_with(fresh);
-        times.saturating_record(ms.min(LONGEST_MS));
+        times.saturating_record(ms.min(MAX_TIME_MS));
     }
 
     /// A batch call of a service ended, whatever it brought.
-    pub fn batch(&self, service: &Name, pieces: usize) {
-        let labels = Named { name: service.to_string() };
+    pub fn count_batch(&self, service: &Name, pieces: usize) {
+        let labels = NameLabel { name: service.to_string() };
         self.batch_calls.get_or_create(&labels).inc();
         self.batch_pieces.get_or_create(&labels).inc_by(pieces as u64);
     }
 
     /// The store was called.
-    pub fn store_call(&self, what: &str) {
-        self.store_calls.get_or_create(&Named { name: what.to_string() }).inc();
+    pub fn count_store_call(&self, what: &str) {
+        self.store_calls.get_or_create(&NameLabel { name: what.to_string() }).inc();
     }
 
     /// So many entries of a kind could not be read when this node last asked the store for it.
-    pub fn unreadable(&self, kind: &str, count: usize) {
-        self.unreadable.get_or_create(&Named { name: kind.to_string() }).set(count as i64);
+    pub fn set_unreadable(&self, kind: &str, count: usize) {
+        self.unreadable_entries
+            .get_or_create(&NameLabel { name: kind.to_string() })
+            .set(count as i64);
     }
 
     /// An answer came that says this of its target's load.
-    pub fn load(&self, said: ReportedLoad) {
+    pub fn count_load(&self, said: ReportedLoad) {
         match said {
             ReportedLoad::None => {}
             ReportedLoad::Load(_) => _ = self.loads_told.inc(),
@@ -321,127 +340,130 @@
     }
 
     /// A request was sent to a further target.
-    pub fn repeat(&self, service: &Name) {
-        self.repeats.get_or_create(&Named { name: service.to_string() }).inc();
+    pub fn count_repeat(&self, service: &Name) {
+        self.repeats.get_or_create(&NameLabel { name: service.to_string() }).inc();
     }
 
     /// A request was refused since no target is in a region that is allowed.
-    pub fn barred(&self, route: &str) {
-        self.barred.get_or_create(&Named { name: self.bounded(route) }).inc();
+    pub fn count_region_refusal(&self, route: &str) {
+        self.refused_for_region.get_or_create(&NameLabel { name: self.bounded_label(route) }).inc();
     }
 
     /// A request was refused for a stage: at the door, or since it could not be made.
-    pub fn stage_refused(&self, service: &str, cause: &'static str) {
-        let labels = RefusalLabels { service: self.bounded(service), cause };
-        self.stage_refused.get_or_create(&labels).inc();
+    pub fn count_stage_refusal(&self, service: &str, cause: &'static str) {
+        let labels = RefusalLabels { service: self.bounded_label(service), cause };
+        self.stage_refusals.get_or_create(&labels).inc();
     }
 
     /// A target of a service ended under requests of this node.
-    pub fn target_ended(&self, service: &str) {
-        self.ended.get_or_create(&Named { name: self.bounded(service) }).inc();
+    pub fn count_crash(&self, service: &str) {
+        self.targets_ended.get_or_create(&NameLabel { name: self.bounded_label(service) }).inc();
     }
 
     /// A request, or a call, went to a target of a service that names a limit.
     pub fn sent_at_limit(&self, service: &str) {
-        self.sent_at_limit.get_or_create(&Named { name: self.bounded(service) }).inc();
+        self.sent_at_limit.get_or_create(&NameLabel { name: self.bounded_label(service) }).inc();
     }
 
     /// A request, or a call, went to a target of a service although it had said not to.
     pub fn sent_against_notice(&self, service: &str, notice: &'static str) {
-        let labels = NoticeLabels { service: self.bounded(service), notice };
+        let labels = NoticeLabels { service: self.bounded_label(service), notice };
         self.sent_against_notice.get_or_create(&labels).inc();
     }
 
     /// A request was refused since all its targets were at the limits that they name.
     pub fn refused_at_limit(&self, route: &str) {
-        self.refused_at_limit.get_or_create(&Named { name: self.bounded(route) }).inc();
+        self.refused_at_limit.get_or_create(&NameLabel { name: self.bounded_label(route) }).inc();
     }
 
     /// A request was held back.
-    pub fn held_back(&self, route: &str) {
-        self.held_back.get_or_create(&Named { name: self.bounded(route) }).inc();
+    pub fn count_quarantine_refusal(&self, route: &str) {
+        self.quarantine_refusals
+            .get_or_create(&NameLabel { name: self.bounded_label(route) })
+            .inc();
     }
 
     /// Requests, or pieces of a call, went to a version of a service that moves to another one.
     pub fn rollout_sent(&self, service: &Name, version: &Name, count: usize) {
-        let labels = self.version(service, version);
+        let labels = self.version_labels(service, version);
         self.rollout_requests.get_or_create(&labels).inc_by(count as u64);
     }
 
     /// They were failures of the version.
     pub fn rollout_bad(&self, service: &Name, version: &Name, count: usize) {
-        let labels = self.version(service, version);
+        let labels = self.version_labels(service, version);
         self.rollout_bad.get_or_create(&labels).inc_by(count as u64);
     }
 
     /// A request, or a call, was answered well by the version after this time.
     pub fn rollout_good(&self, service: &Name, version: &Name, took: Duration) {
-        let labels = self.version(service, version);
+        let labels = self.version_labels(service, version);
         self.rollout_answers.get_or_create(&labels).inc();
         self.rollout_seconds.get_or_create(&labels).inc_by(took.as_secs_f64());
     }
 
-    fn version(&self, service: &Name, version: &Name) -> Version {
-        Version { service: self.bounded(service), version: self.bounded(version) }
+    fn version_labels(&self, service: &Name, version: &Name) -> VersionLabels {
+        VersionLabels { service: self.bounded_label(service), version: self.bounded_label(version) }
     }
 
     /// A stage order was passed on to another region.
     pub fn spilled(&self, from: &str, to: &str) {
-        let labels = WayLabels { from: self.bounded(from), to: self.bounded(to) };
-        self.spilled.get_or_create(&labels).inc();
+        let labels = RegionLabels { from: self.bounded_label(from), to: self.bounded_label(to) };
+        self.spilled_orders.get_or_create(&labels).inc();
     }
 
     /// Bytes of a kind of message from one region to another.
-    pub fn crossed(&self, kind: &'static str, from: &str, to: &str) -> Counter {
-        let labels = Crossed { kind, from: self.bounded(from), to: self.bounded(to) };
-        self.crossed.get_or_create_owned(&labels)
+    pub fn crossed_bytes(&self, kind: &'static str, from: &str, to: &str) -> Counter {
+        let labels =
+            TrafficLabels { kind, from: self.bounded_label(from), to: self.bounded_label(to) };
+        self.crossed_bytes.get_or_create_owned(&labels)
     }
 
-    fn age(&self, kind: Kind, age: Option<Age>) {
+    fn set_age(&self, kind: ObjectKind, age: Option<Age>) {
         let Some(age) = age else {
             return;
         };
-        let labels = Named { name: kind.as_str().to_string() };
-        self.ages.get_or_create(&labels).set(age.now.as_millis() as i64);
-        self.longest_ages.get_or_create(&labels).set(age.longest.as_millis() as i64);
+        let labels = NameLabel { name: kind.as_str().to_string() };
+        self.known_ages.get_or_create(&labels).set(age.now.as_millis() as i64);
+        self.longest_known_ages.get_or_create(&labels).set(age.longest.as_millis() as i64);
     }
 
-    fn bounded(&self, name: &str) -> String {
-        let mut names = self.names.borrow_mut();
-        if names.len() >= SERIES_MOST && !names.contains(name) {
-            return OTHERS.to_string();
+    fn bounded_label(&self, name: &str) -> String {
+        let mut names = self.label_values.borrow_mut();
+        if names.len() >= MAX_SERIES && !names.contains(name) {
+            return OVERFLOW_LABEL.to_string();
         }
         names.insert(name.to_string());
         name.to_string()
     }
 
     /// The figures as text.
-    pub fn text(&self, now: Now<'_>) -> String {
-        self.open.set(now.open as i64);
-        self.orders.set(now.orders as i64);
-        self.rules.set(now.rules as i64);
-        self.unserved.set(now.unserved as i64);
-        self.peers.set(now.peers as i64);
+    pub fn render(&self, now: Gauges<'_>) -> String {
+        self.open_requests.set(now.open as i64);
+        self.open_orders.set(now.orders as i64);
+        self.rules_version.set(now.rules as i64);
+        self.rules_unserved.set(now.unserved as i64);
+        self.nodes_up.set(now.peers as i64);
         self.targets.set(now.targets as i64);
-        self.unread.set(now.unread as i64);
-        self.evacuated.set(now.evacuated as i64);
-        self.cold.set(now.cold as i64);
-        self.held.set(now.held as i64);
-        self.limited.set(now.limited as i64);
+        self.targets_unreadable.set(now.targets_unreadable as i64);
+        self.domains_evacuated.set(now.evacuated as i64);
+        self.targets_cold.set(now.cold as i64);
+        self.quarantined.set(now.quarantined as i64);
+        self.targets_limited.set(now.limited as i64);
         self.rollout_share.clear();
         for (service, version, share) in now.rollouts {
-            let labels = self.version(service, version);
+            let labels = self.version_labels(service, version);
             self.rollout_share.get_or_create(&labels).set(*share);
         }
         for (kind, age) in now.ages {
-            self.age(kind, age);
+            self.set_age(kind, age);
         }
         for ((kind, name), times) in &*self.times.borrow() {
             for quantile in QUANTILES {
                 let labels =
-                    Quantile { kind, name: name.to_string(), quantile: quantile.to_string() };
+                    QuantileLabels { kind, name: name.to_string(), quantile: quantile.to_string() };
                 let ms = times.value_at_quantile(quantile) as f64;
-                self.quantiles.get_or_create(&labels).set(ms);
+                self.time_quantiles.get_or_create(&labels).set(ms);
             }
         }
         let mut text = String::new();
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -16,28 +16,28 @@
 use util::clock::Clock;
 use util::http::Client;
 
-use crate::border::{Dialect, Kind};
+use crate::border::{Dialect, ObjectKind};
 use crate::events::Event;
 use crate::limits::LocalLimits;
-use crate::metrics::{Metrics, Now};
+use crate::metrics::{Gauges, Metrics};
 use crate::peers::{self, Peers};
 use crate::phase::LifePhase;
 use crate::prefill::Schedulers;
 use crate::quarantine::LocalQuarantine;
 use crate::rollout::{self, LocalRollouts};
-use crate::rules::Table;
+use crate::rules::RuleTable;
 use crate::settings::Settings;
 use crate::stages::Pools;
 use crate::watch::Feed;
 
 /// Names of routes, workspaces or regions in one log line, at most.
-const TOLD_MOST: usize = 16;
+const MAX_LOGGED_NAMES: usize = 16;
 /// Time after which a node that heard of no peer takes it that it is alone.
-const ALONE: Duration = Duration::from_millis(700);
+const PEER_WAIT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time between looks at whether rules and targets are known.
-const STATE_LOOK: Duration = Duration::from_millis(10);
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time between looks at whether the store answers again.
-const STORE_LOOK: Duration = Duration::from_millis(50);
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// State that the tasks of a node share.
 pub struct Node {
@@ -64,12 +64,12 @@
     /// The targets' state, for peers that follow it.
     pub feed: Feed,
     settings: RefCell<Rc<Settings>>,
-    table: RefCell<Rc<Table>>,
+    table: RefCell<Rc<RuleTable>>,
     fleet: RefCell<Fleet>,
     budgets: RefCell<HashMap<Name, RepeatBudget>>,
     forecast: RefCell<Forecast>,
     rng: RefCell<Rng>,
-    doubt: RefCell<OutageGrace>,
+    outage_grace: RefCell<OutageGrace>,
     targets_known: Cell<bool>,
     /// Latest epoch of the store that was heard of.
     epoch: Cell<Option<u64>>,
@@ -107,7 +107,7 @@
             budgets: RefCell::default(),
             forecast: RefCell::default(),
             rng: RefCell::new(Rng::new(rand::random())),
-            doubt: RefCell::default(),
+            outage_grace: RefCell::default(),
             targets_known: Cell::new(false),
             epoch: Cell::new(None),
             version: watch::Sender::new(0),
@@ -135,19 +135,19 @@
     }
 
     /// The rules in force.
-    pub fn table(&self) -> Rc<Table> {
+    pub fn table(&self) -> Rc<RuleTable> {
         self.table.borrow().clone()
     }
 
     /// Puts rules in force if they are newer; returns whether they were.
-    pub fn adopt(&self, rules: Rules, from: &str) -> bool {
+    pub fn adopt_rules(&self, rules: Rules, from: &str) -> bool {
         if rules.version <= self.table.borrow().rules.version {
             return false;
         }
         let (version, routes) = (rules.version, rules.routes.len());
-        *self.table.borrow_mut() = Rc::new(Table::new(rules));
+        *self.table.borrow_mut() = Rc::new(RuleTable::new(rules));
         Event::Rules { version, from, routes }.emit();
-        self.tell_unserved();
+        self.log_unserved();
         self.version.send_replace(version);
         self.feed.wake();
         true
@@ -155,32 +155,34 @@
 
     /// Routes and workspaces that are served nowhere: no failure domain lies in a region that
     /// they allow.
-    fn unserved(&self) -> Vec<Name> {
+    fn unserved_names(&self) -> Vec<Name> {
         let fleet = self.fleet.borrow();
         let table = self.table.borrow();
-        let lost = table.regional().filter(|(_, allowed)| !fleet.regions().any_allowed(allowed));
+        let lost =
+            table.region_restricted().filter(|(_, allowed)| !fleet.regions().any_allowed(allowed));
         lost.map(|(name, _)| name.clone()).collect()
     }
 
     /// Tells, once for a set of rules, which regions that they name are not known.
-    fn tell_unserved(&self) {
-        let names = self.unserved();
+    fn log_unserved(&self) {
+        let names = self.unserved_names();
         let unknown: BTreeSet<Name> = {
             let (fleet, table) = (self.fleet.borrow(), self.table.borrow());
-            let named = table.regional().flat_map(|(_, allowed)| fleet.regions().unknown(allowed));
+            let named =
+                table.region_restricted().flat_map(|(_, allowed)| fleet.regions().unknown(allowed));
             named.cloned().collect()
         };
         if names.is_empty() && unknown.is_empty() {
             return;
         }
         let version = self.table.borrow().rules.version;
-        let unknown: Vec<Name> = unknown.into_iter().take(TOLD_MOST).collect();
-        let first = &names[..names.len().min(TOLD_MOST)];
+        let unknown: Vec<Name> = unknown.into_iter().take(MAX_LOGGED_NAMES).collect();
+        let first = &names[..names.len().min(MAX_LOGGED_NAMES)];
         Event::Unserved { version, count: names.len(), names: first, unknown: &unknown }.emit();
     }
 
     /// Tells the version of the rules whenever it rises.
-    pub fn versions(&self) -> watch::Receiver<u64> {
+    pub fn subscribe_version(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
@@ -196,13 +198,13 @@
     }
 
     /// A coordinator told what the next orders in a queue would wait.
-    pub fn heard_waits(&self, queue: QueueId, waits: Waits) {
+    pub fn record_waits(&self, queue: QueueId, waits: Waits) {
         let now = self.now();
         self.forecast.borrow_mut().record(queue, waits, now);
     }
 
     /// A target of a service came, or tells something new of itself.
-    pub fn maker_came(&self, service: &Name) {
+    pub fn worker_added(&self, service: &Name) {
         self.forecast.borrow_mut().worker_added(service);
     }
 
@@ -229,8 +231,8 @@
     }
 
     /// Takes what an answer says of its target's load.
-    pub fn note_load(&self, target: &Target, said: ReportedLoad) {
-        self.metrics.load(said);
+    pub fn record_load(&self, target: &Target, said: ReportedLoad) {
+        self.metrics.count_load(said);
         let now = self.now();
         if self.fleet(|f| f.record_load(&target.id, said, now)) {
             Event::BadLoad { target: &target.id.name, service: &target.service }.emit();
@@ -244,7 +246,7 @@
     }
 
     /// Whether a repeat for a service would be granted now.
-    pub fn has_repeat(&self, service: &Name) -> bool {
+    pub fn permits_repeat(&self, service: &Name) -> bool {
         let (now, nodes) = (self.now(), self.peers.roster(|r| r.max_seen()));
         self.budget(service, |b| b.permits(now, nodes))
     }
@@ -254,7 +256,7 @@
         let (now, nodes) = (self.now(), self.peers.roster(|r| r.max_seen()));
         let granted = self.budget(service, |b| b.take(now, nodes));
         if granted {
-            self.metrics.repeat(service);
+            self.metrics.count_repeat(service);
         } else {
             Event::NoRepeat { service, nodes }.emit();
         }
@@ -272,7 +274,7 @@
 
     /// The store, or a peer, told an epoch of the store. A later one than was known means that the
     /// store came back from an older copy meanwhile.
-    pub fn saw_epoch(&self, epoch: u64, from: &str) {
+    pub fn observe_epoch(&self, epoch: u64, from: &str) {
         let before = self.epoch.get();
         if before.is_some_and(|before| epoch <= before) {
             return;
@@ -281,63 +283,63 @@
         Event::Epoch { epoch, before, from, at: self.feed.at().unwrap_or(0) }.emit();
         if before.is_some() {
             let now = self.now();
-            self.doubt(|d| d.store_restored(now));
+            self.outage_grace(|d| d.store_restored(now));
             self.fleet(|f| f.begin_epoch(now));
             self.quarantine.restored();
         }
     }
 
     /// Whether what is of an epoch, if it tells one, is of the latest that was heard of.
-    pub fn is_current(&self, epoch: Option<u64>) -> bool {
+    pub fn is_current_epoch(&self, epoch: Option<u64>) -> bool {
         epoch.is_none() || epoch >= self.epoch.get()
     }
 
     /// The store answered.
     pub fn store_answered(&self) {
         let now = self.now();
-        self.doubt(|d| d.store_answered(now));
+        self.outage_grace(|d| d.store_answered(now));
     }
 
     /// Returns once the store answers this node, as far as the last call of any kind tells.
-    pub async fn store_reached(&self) {
-        while self.doubt(|d| d.is_store_down()) {
-            tokio::time::sleep(STORE_LOOK).await;
+    pub async fn wait_for_store(&self) {
+        while self.outage_grace(|d| d.is_store_down()) {
+            tokio::time::sleep(STORE_POLL_INTERVAL).await;
         }
     }
 
     /// The store did not answer.
-    pub fn store_lost(&self) {
-        self.doubt(OutageGrace::store_failed);
+    pub fn store_failed(&self) {
+        self.outage_grace(OutageGrace::store_failed);
     }
 
     /// Uses what is known of outages of the store for a moment.
-    pub fn doubt<T>(&self, f: impl FnOnce(&mut OutageGrace) -> T) -> T {
-        f(&mut self.doubt.borrow_mut())
+    pub fn outage_grace<T>(&self, f: impl FnOnce(&mut OutageGrace) -> T) -> T {
+        f(&mut self.outage_grace.borrow_mut())
     }
 
     /// Milliseconds since the store last confirmed the targets; since the start if it never did.
     pub fn targets_age_ms(&self) -> u64 {
         let now = self.now();
-        let age = self.feed.age_of(Kind::Targets, now).map(|age| age.now);
+        let age = self.feed.age_of(ObjectKind::Targets, now).map(|age| age.now);
         age.unwrap_or(now.since(Time::ZERO)).as_millis() as u64
     }
 
     /// The node's figures as text.
-    pub fn figures(&self) -> String {
-        self.metrics.text(Now {
-            open: self.open(),
+    pub fn metrics_text(&self) -> String {
+        self.metrics.render(Gauges {
+            open: self.open_requests(),
             orders: self.pools.open(),
             rules: self.table.borrow().rules.version,
-            unserved: self.unserved().len(),
+            unserved: self.unserved_names().len(),
             peers: self.peers.roster(|r| r.count()),
             targets: self.fleet.borrow().len(),
-            unread: self.fleet.borrow().count_unreadable(),
+            targets_unreadable: self.fleet.borrow().count_unreadable(),
             evacuated: self.fleet.borrow().evacuated().domains().count(),
             cold: self.fleet.borrow().count_cold(self.now()),
-            held: self.quarantine.count_held(self),
+            quarantined: self.quarantine.count_held(self),
             limited: self.fleet.borrow().limits().named().count(),
             rollouts: &self.running_rollouts(),
-            ages: Kind::AGED.map(|kind| (kind, self.feed.age_of(kind, self.now()))),
+            ages: ObjectKind::AGE_TRACKED.map(|kind| (kind, self.feed.age_of(kind, self.now()))),
         })
     }
 
@@ -352,12 +354,12 @@
     }
 
     /// Whether the rules may be older than the store's: it did not confirm them for long.
-    pub fn rules_may_be_old(&self, within: Duration) -> bool {
-        self.feed.age_of(Kind::Rules, self.now()).is_none_or(|age| age.now > within)
+    pub fn rules_may_be_stale(&self, within: Duration) -> bool {
+        self.feed.age_of(ObjectKind::Rules, self.now()).is_none_or(|age| age.now > within)
     }
 
     /// The targets have been read once.
-    pub fn know_targets(&self) {
+    pub fn mark_targets_known(&self) {
         self.targets_known.set(true);
     }
 
@@ -365,21 +367,21 @@
     fn knows_state(&self) -> bool {
         let fleet = self.fleet.borrow();
         let knows_lists = fleet.evacuated().is_known() && fleet.versions().is_known();
-        self.table.borrow().known() && self.targets_known.get() && knows_lists
+        self.table.borrow().is_known() && self.targets_known.get() && knows_lists
     }
 
     /// Returns once rules and targets are known, or are not to be waited for.
-    pub async fn state_known(&self) {
+    pub async fn wait_for_state(&self) {
         let limit = self.now() + relay::startup_wait(self.now().since(Time::ZERO));
         while !self.knows_state() && self.now() < limit {
-            tokio::time::sleep(STATE_LOOK).await;
+            tokio::time::sleep(STATE_POLL_INTERVAL).await;
         }
     }
 
     /// Whether this node wants callers.
     pub fn is_ready(&self) -> bool {
-        let knows_peers =
-            self.peers.roster(|r| r.count()) > 1 || self.now().since(Time::ZERO) >= ALONE;
+        let knows_peers = self.peers.roster(|r| r.count()) > 1
+            || self.now().since(Time::ZERO) >= PEER_WAIT_TIMEOUT;
         self.knows_state() && knows_peers && !self.is_stopping()
     }
 
@@ -389,13 +391,13 @@
     }
 
     /// Returns once the node's life has come this far.
-    pub async fn reached(&self, phase: LifePhase) {
+    pub async fn wait_for_phase(&self, phase: LifePhase) {
         let mut phases = self.phase.subscribe();
         let _ = phases.wait_for(|p| *p >= phase).await;
     }
 
     /// Goes on to a phase, if it was not reached before.
-    pub fn enter(&self, phase: LifePhase) {
+    pub fn enter_phase(&self, phase: LifePhase) {
         self.phase.send_if_modified(|p| {
             let later = phase > *p;
             *p = phase.max(*p);
@@ -404,12 +406,12 @@
     }
 
     /// Requests that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.get()
     }
 
     /// Counts a request as open until the guard goes.
-    pub fn opened(self: &Rc<Self>) -> OpenGuard {
+    pub fn track_request(self: &Rc<Self>) -> OpenGuard {
         self.open.set(self.open.get() + 1);
         OpenGuard(self.clone())
     }
--- a/crates/forward/src/paths.rs
+++ b/crates/forward/src/paths.rs
@@ -13,7 +13,7 @@
 impl Node {
     /// The time that each stage of a request takes without any wait, with the way to its makers
     /// and back, and the queue that it will wait in, by all that is known before the first begins.
-    pub fn paths(
+    pub fn stage_estimates(
         &self,
         route: &Route,
         pieces: &[u32],
@@ -21,7 +21,7 @@
         least: &[Duration],
     ) -> (Vec<Duration>, Vec<QueueId>) {
         let map = self.peers.roster(|r| r.map());
-        let places = self.places(&map, route, pieces, allowed);
+        let places = self.stage_regions(&map, route, pieces, allowed);
         let own = map.local_region();
         let crossing = |region: &Option<Name>| {
             let elsewhere = region.as_ref().filter(|r| **r != own);
@@ -40,7 +40,7 @@
     }
 
     /// Region in which each stage of a request will be made; none where all are one pool.
-    fn places(
+    fn stage_regions(
         &self,
         map: &Map,
         route: &Route,
@@ -52,14 +52,14 @@
         }
         let able = |(i, stage): (usize, &Stage)| {
             let is_made = pieces.get(i).is_some_and(|n| *n > 0);
-            is_made.then(|| self.able_regions(map, &stage.service, allowed))
+            is_made.then(|| self.eligible_regions(map, &stage.service, allowed))
         };
         let able: Vec<_> = route.stages.iter().enumerate().map(able).collect();
         map.choose_regions(&route.order(), &able)
     }
 
     /// Regions with makers of a service that may be used.
-    pub fn able_regions(&self, map: &Map, service: &str, allowed: &Allowed) -> BTreeSet<Name> {
+    pub fn eligible_regions(&self, map: &Map, service: &str, allowed: &Allowed) -> BTreeSet<Name> {
         let region = |b: &TargetState| map.region_of(&b.target.domain);
         self.fleet(|f| f.eligible_in(service, allowed, self.now()).map(region).collect())
     }
@@ -75,6 +75,6 @@
         if !map.is_split() {
             return None;
         }
-        map.choose_region(wanted, &self.able_regions(&map, service, allowed))
+        map.choose_region(wanted, &self.eligible_regions(&map, service, allowed))
     }
 }
--- a/crates/forward/src/peers/membership.rs
+++ b/crates/forward/src/peers/membership.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use crate::crossed::{Crossing, Kind};
+use crate::crossed::{MessageKind, RegionTraffic};
 use crate::events::Event;
 use crate::node::Node;
 
@@ -97,7 +97,7 @@
     match action {
         Action::Send(to, packet) => {
             let bytes = rmp_serde::to_vec(&packet).expect("packets encode");
-            if let Some(crossing) = Crossing::to_peer(node, Kind::Member, to) {
+            if let Some(crossing) = RegionTraffic::to_peer(node, MessageKind::Membership, to) {
                 crossing.sent_datagram(bytes.len());
             }
             // A lost datagram is no news; probes are made for it.
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -30,7 +30,7 @@
 use tokio::sync::mpsc;
 use util::http::{CallError, CallKind, Client, RMP, Timeouts, read_rmp_answer};
 
-use crate::crossed::{Crossing, Kind};
+use crate::crossed::{MessageKind, RegionTraffic};
 use crate::events::Event;
 use crate::limits;
 use crate::node::Node;
@@ -207,27 +207,27 @@
     sent: usize,
     call: impl Future<Output = Result<Bytes, CallError>>,
 ) -> Result<Bytes, CallError> {
-    let crossing = Crossing::to_peer(node, kind_of(path), peer);
+    let crossing = RegionTraffic::to_peer(node, kind_of(path), peer);
     if let Some(crossing) = &crossing {
         crossing.sent(sent);
     }
     let answer = call.await?;
     if let Some(crossing) = &crossing {
-        crossing.got(answer.len());
+        crossing.received(answer.len());
     }
     Ok(answer)
 }
 
 /// What a question to a peer counts as.
-fn kind_of(path: &str) -> Kind {
+fn kind_of(path: &str) -> MessageKind {
     match path {
-        BATCH | WAITS => Kind::Order,
-        FREE => Kind::Free,
-        PREFILL | PREFILL_END => Kind::Prompt,
-        ROLLOUT | ROLLOUT_STATE => Kind::Rollout,
-        PERMIT | LIMITS => Kind::Limit,
-        server::PING => Kind::Ping,
-        _ => Kind::News,
+        BATCH | WAITS => MessageKind::Order,
+        FREE => MessageKind::Free,
+        PREFILL | PREFILL_END => MessageKind::Prompt,
+        ROLLOUT | ROLLOUT_STATE => MessageKind::Rollout,
+        PERMIT | LIMITS => MessageKind::Limit,
+        server::PING => MessageKind::Ping,
+        _ => MessageKind::Updates,
     }
 }
 
@@ -236,7 +236,7 @@
     let from = peer.to_string();
     let rules = ask_over::<_, Rules>(node, client, peer, server::RULES, &(), RULES_TIMEOUT);
     match rules.await {
-        Ok(rules) => _ = node.adopt(rules, &from),
+        Ok(rules) => _ = node.adopt_rules(rules, &from),
         Err(e) => log::debug!("rules: {e}"),
     }
 }
@@ -363,7 +363,7 @@
 }
 
 async fn tell_versions(node: Rc<Node>) {
-    let mut versions = node.versions();
+    let mut versions = node.subscribe_version();
     while versions.changed().await.is_ok() {
         let version = *versions.borrow_and_update();
         node.peers.command(MemberEvent::Applied(version));
--- a/crates/forward/src/quarantine/ends.rs
+++ b/crates/forward/src/quarantine/ends.rs
@@ -124,7 +124,7 @@
         Work::Pieces(attempt) => format!("pieces of {attempt}"),
     });
     let same: Vec<String> = same.collect();
-    node.metrics.target_ended(&target.service);
+    node.metrics.count_crash(&target.service);
     Event::Ended {
         target: &target.id.name,
         service: &target.service,
--- a/crates/forward/src/quarantine/record.rs
+++ b/crates/forward/src/quarantine/record.rs
@@ -10,7 +10,7 @@
 use util::http::Client;
 
 use super::STORE;
-use crate::border::{Change, Kind, Post};
+use crate::border::{Change, ObjectKind, Post};
 use crate::events::Event;
 use crate::node::Node;
 use crate::watch::{Reader, STORE_CONNECT, Step};
@@ -48,7 +48,7 @@
 }
 
 async fn create(node: &Node, record: &HeldRecord) {
-    let Post { path, media, body } = node.dialect.hold(record);
+    let Post { path, content_type: media, body } = node.dialect.create_hold(record);
     let (store, client) = call(node);
     let posting = async { client.post(&store, &path, media, body).await.map(drop) };
     let end = match tokio::time::timeout(TIMEOUT, posting).await {
@@ -65,7 +65,7 @@
 
 async fn delete(node: &Node, request: Fingerprint) {
     let (store, client) = call(node);
-    let end = match client.delete(&store, &node.dialect.held(request), TIMEOUT).await {
+    let end = match client.delete(&store, &node.dialect.hold_path(request), TIMEOUT).await {
         Err(e) if e.status() == Some(NOT_FOUND) => Ok(()),
         end => end.map_err(|e| e.to_string()),
     };
@@ -75,7 +75,7 @@
 /// The store's address, and a connection of its own: one whose answer was lost says nothing
 /// further.
 fn call(node: &Node) -> (String, Client) {
-    node.metrics.store_call(Kind::Quarantine.as_str());
+    node.metrics.count_store_call(ObjectKind::Quarantine.as_str());
     (node.settings().store.to_string(), Client::new(STORE_CONNECT))
 }
 
@@ -86,7 +86,7 @@
 
 /// Reads until the process ends, for as long as this node reads the store.
 pub async fn read(node: Rc<Node>) {
-    let mut reader = Reader::new(node.clone(), Kind::Quarantine);
+    let mut reader = Reader::new(node.clone(), ObjectKind::Quarantine);
     let mut seen = BTreeMap::new();
     let mut is_known = false;
     let mut epoch = None;
--- a/crates/forward/src/reload.rs
+++ b/crates/forward/src/reload.rs
@@ -16,7 +16,7 @@
 use crate::settings::Settings;
 
 /// Time between looks at whether the file has changed.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Starts to follow the settings file. SIGHUP ends a process that does not.
 pub fn start(node: &Rc<Node>, path: PathBuf) -> anyhow::Result<()> {
@@ -27,7 +27,7 @@
         loop {
             let asked = tokio::select! {
                 _ = hangups.recv() => true,
-                () = tokio::time::sleep(LOOK) => false,
+                () = tokio::time::sleep(POLL_INTERVAL) => false,
             };
             let text = std::fs::read(&path).ok();
             if asked || (text.is_some() && text != known) {
@@ -42,7 +42,7 @@
 fn reload(node: &Rc<Node>, path: &std::path::Path) {
     let loaded: Result<Settings, _> = util::settings::load(path);
     let why = match loaded {
-        Ok(settings) => match settings.differs_for_good(&node.settings()) {
+        Ok(settings) => match settings.changed_fixed_field(&node.settings()) {
             None => {
                 node.set_settings(settings);
                 String::new()
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -12,7 +12,7 @@
 };
 
 use super::{report, running, take_phase, write};
-use crate::border::Kind;
+use crate::border::ObjectKind;
 use crate::events::Event;
 use crate::node::Node;
 use crate::watch::Backoff;
@@ -217,5 +217,5 @@
 /// Whether the store has confirmed the orders known here since a time.
 fn is_confirmed_since(node: &Node, since: Time) -> bool {
     let now = node.now();
-    node.feed.age_of(Kind::Rollouts, now).is_some_and(|age| now - age.now > since)
+    node.feed.age_of(ObjectKind::Rollouts, now).is_some_and(|age| now - age.now > since)
 }
--- a/crates/forward/src/rollout/write.rs
+++ b/crates/forward/src/rollout/write.rs
@@ -72,8 +72,8 @@
 /// Writes by a call of this node's own.
 pub async fn at_store(node: &Node, order: &Rollout, state: RolloutState) -> Written {
     let begun = node.now();
-    let Put { path, media, body } = node.dialect.set_rollout(order, state);
-    node.metrics.store_call(WHAT);
+    let Put { path, content_type: media, body } = node.dialect.set_rollout(order, state);
+    node.metrics.count_store_call(WHAT);
     let store = node.settings().store.to_string();
     // A connection of its own: one whose answer was lost says nothing further.
     let client = Client::new(STORE_CONNECT);
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -20,9 +20,9 @@
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 /// Part of the stop's time before that in which requests that are still open are answered
 /// by this node, so that none of them ends without an answer.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+const ENDING_PERIOD: Duration = Duration::from_millis(200);
 /// Time between looks at whether all is answered.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a node on this thread until SIGTERM; `path` is where its settings were read.
 pub fn run(settings: Settings, path: PathBuf, dialect: Box<dyn Dialect>) -> anyhow::Result<()> {
@@ -57,8 +57,8 @@
 /// Unready at once; goes on serving what still comes; ends when all is answered.
 async fn stop(node: &Rc<Node>) {
     let begun = node.now();
-    Event::Stop { open: node.open() }.emit();
-    node.enter(LifePhase::Stopping);
+    Event::Stop { open: node.open_requests() }.emit();
+    node.enter_phase(LifePhase::Stopping);
     node.peers.roster(|r| r.stop());
     // Peers turn to others at once; what they have placed here is still made.
     node.peers.leave();
@@ -68,15 +68,15 @@
     loop {
         let passed = node.now().since(begun);
         if passed >= BALANCER_LAG {
-            node.enter(LifePhase::Closing);
+            node.enter_phase(LifePhase::Closing);
         }
-        if passed + LAST_ANSWERS >= most {
-            node.enter(LifePhase::Ending);
+        if passed + ENDING_PERIOD >= most {
+            node.enter_phase(LifePhase::Ending);
         }
-        let answered = node.open() == 0 && node.pools.open() == 0;
+        let answered = node.open_requests() == 0 && node.pools.open() == 0;
         if passed >= most || (passed >= BALANCER_LAG && answered) {
             break;
         }
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -18,7 +18,7 @@
 use crate::events::Event;
 use crate::node::Node;
 use crate::quarantine::HELD;
-use crate::rules::{Table, choose_service};
+use crate::rules::{RuleTable, choose_service};
 
 /// Silence of the store after which an unknown route or key may simply be new.
 const RULES_FRESH: Duration = Duration::from_secs(8);
@@ -49,7 +49,7 @@
 
     /// An unknown route or key: refused for good only if the rules are surely fresh.
     fn unknown(node: &Node, status: StatusCode, why: &'static str) -> Self {
-        if node.rules_may_be_old(RULES_FRESH) {
+        if node.rules_may_be_stale(RULES_FRESH) {
             let why = "rules may be out of date";
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why)
                 .come_back(DEFAULT_RETRY_AFTER);
@@ -73,7 +73,7 @@
             took_ms: 0,
         }
         .emit();
-        node.metrics.request("", "refused", self.status.as_u16());
+        node.metrics.count_answer("", "refused", self.status.as_u16());
         let id = Some(head.id.as_str()).filter(|id| !id.is_empty());
         let mut response = reply::own(node, self.status, id, self.come_back, self.why);
         if self.close {
@@ -90,13 +90,13 @@
 ) -> Result<Rc<Exchange>, Response<Body>> {
     let arrived = node.now();
     let (parts, body) = request.into_parts();
-    let head = node.dialect.caller(&parts).map_err(|e| {
+    let head = node.dialect.read_caller(&parts).map_err(|e| {
         let refusal = Refusal::new(StatusCode::BAD_REQUEST, "malformed request").close();
         // By its header alone: what stands in it is the caller's, and may not rest here.
         log::info!("malformed request: {}", e.place);
         refusal.into_response(node, &CallerHead::default())
     })?;
-    node.state_known().await;
+    node.wait_for_state().await;
     let table = node.table();
     let found = find(node, &table, &head).map_err(|r| r.into_response(node, &head))?;
     refuse_at_door(node, &table, &found, &head).map_err(|r| r.into_response(node, &head))?;
@@ -111,7 +111,7 @@
     let Found { route, service, workspace, rank, allowed } = found;
     let fingerprint = fingerprint(&parts, &head, workspace.as_ref(), &body);
     if let Some(hold) = node.quarantine.comes(node, fingerprint) {
-        node.metrics.held_back(&route.name);
+        node.metrics.count_quarantine_refusal(&route.name);
         let refusal = Refusal {
             come_back: hold.remaining,
             same: Some(fingerprint),
@@ -163,8 +163,8 @@
     allowed: Allowed,
 }
 
-fn find(node: &Node, table: &Table, head: &CallerHead) -> Result<Found, Refusal> {
-    if !table.known() {
+fn find(node: &Node, table: &RuleTable, head: &CallerHead) -> Result<Found, Refusal> {
+    if !table.is_known() {
         let why = "no rules are known yet";
         return Err(
             Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why).come_back(DEFAULT_RETRY_AFTER)
@@ -188,14 +188,14 @@
         service: service.clone(),
         workspace: workspace.map(|w| w.name.clone()),
         rank,
-        allowed: table.allowed_on(Some(route), head),
+        allowed: table.allowed_on_route(Some(route), head),
     })
 }
 
 /// Refuses a request that would miss its objective by far.
 fn refuse_at_door(
     node: &Node,
-    table: &Table,
+    table: &RuleTable,
     found: &Found,
     head: &CallerHead,
 ) -> Result<(), Refusal> {
@@ -204,7 +204,7 @@
         return Ok(());
     }
     let least = forecast::min_stage_times(route, &head.pieces, |name| table.service(name));
-    let (least, queues) = node.paths(route, &head.pieces, &found.allowed, &least);
+    let (least, queues) = node.stage_estimates(route, &head.pieces, &found.allowed, &least);
     let now = node.now();
     let expected = node.forecast(|f| f.expected(route, &least, &queues, found.rank, now));
     let objective = Duration::from_millis(route.objective_ms);
@@ -215,7 +215,7 @@
             let longest = node.forecast(|f| f.longest_wait(&least, &queues, found.rank, now));
             let (longest_service, longest, longest_age) = longest
                 .map_or(("", Duration::ZERO, Duration::ZERO), |l| (&**l.service, l.wait, l.age));
-            node.metrics.stage_refused(longest_service, "door");
+            node.metrics.count_stage_refusal(longest_service, "door");
             Event::Door {
                 id: &head.id,
                 route: &route.name,
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -86,12 +86,12 @@
         if table.rules.version == self.version {
             return self.allowed.clone();
         }
-        self.allowed.and(&table.allowed(&self.head))
+        self.allowed.and(&table.allowed_regions(&self.head))
     }
 
     /// Returns once other regions than these are allowed.
     pub(super) async fn allowed_changes(&self, from: &Allowed) {
-        let mut versions = self.node.versions();
+        let mut versions = self.node.subscribe_version();
         while self.allowed_now() == *from {
             if versions.changed().await.is_err() {
                 return std::future::pending().await;
@@ -243,7 +243,7 @@
     /// The next target; `None` if the request is not to be sent again.
     pub(super) async fn next_target(&self, chosen: Option<Target>) -> Option<Choice> {
         if self.held().is_some() {
-            self.node.metrics.held_back(&self.route.name);
+            self.node.metrics.count_quarantine_refusal(&self.route.name);
             self.progress(|p| p.why = HELD.into());
             return None;
         }
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -145,7 +145,7 @@
             left_trial: false,
             ended: false,
         };
-        let _open = node.opened();
+        let _open = node.track_request();
         node.quarantine.begins(&admitted.head.id, admitted.fingerprint);
         let deadline = admitted.deadline - ANSWER_MARGIN;
         let admitted = Admitted { deadline, ..admitted };
@@ -180,7 +180,7 @@
             if let Some(done) = self.node.clock.until(until, work.as_mut()).await {
                 return Some(done);
             }
-            if self.node.has_repeat(&self.service) {
+            if self.node.permits_repeat(&self.service) {
                 return None;
             }
         }
@@ -192,7 +192,7 @@
         let end = tokio::select! {
             served = self.clone().serve() => return served.unwrap_or_else(|own| own),
             () = self.node.clock.sleep_until(self.deadline) => "time was over",
-            () = self.node.reached(LifePhase::Ending) => "this node stops",
+            () = self.node.wait_for_phase(LifePhase::Ending) => "this node stops",
         };
         self.progress(|p| p.why = format!("{end}; before: {}", p.why));
         self.own_ending()
@@ -346,7 +346,7 @@
         let (status, come_back, outcome) = match ending {
             Ending::NotRun => {
                 if self.unserved().is_some() {
-                    self.node.metrics.barred(&self.route.name);
+                    self.node.metrics.count_region_refusal(&self.route.name);
                 }
                 let come_back = match self.held() {
                     Some(hold) => hold.remaining,
@@ -389,9 +389,9 @@
         }
         let took_ms = self.node.now().since(self.arrived).as_millis() as u64;
         let first_ms = p.first.map_or(took_ms, |at| at.since(self.arrived).as_millis() as u64);
-        self.node.metrics.request(&self.route.name, outcome, status);
-        self.node.metrics.time("request", &self.route.name, took_ms);
-        self.node.metrics.time("first", &self.route.name, first_ms);
+        self.node.metrics.count_answer(&self.route.name, outcome, status);
+        self.node.metrics.record_time("request", &self.route.name, took_ms);
+        self.node.metrics.record_time("first", &self.route.name, first_ms);
         Event::Request {
             id: &self.head.id,
             same: &self.fingerprint.to_string(),
--- a/crates/forward/src/serve/reply.rs
+++ b/crates/forward/src/serve/reply.rs
@@ -36,7 +36,7 @@
     why: &str,
 ) -> Response<Body> {
     let come_back_ms = come_back.map(|d| d.as_millis() as u64);
-    let headers = node.dialect.own(id, come_back_ms);
+    let headers = node.dialect.local_headers(id, come_back_ms);
     whole(status, headers, Bytes::from(format!("{why}\n")))
 }
 
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -14,8 +14,8 @@
 use super::choice::Choice;
 use super::exchange::{Exchange, Failure};
 use super::stream::{Begun, EventReader, StreamError};
-use crate::border::Onward;
-use crate::crossed::{self, Crossing, Kind};
+use crate::border::ForwardContext;
+use crate::crossed::{self, MessageKind, RegionTraffic};
 use crate::events::Event;
 use crate::heard;
 use crate::node::Node;
@@ -134,13 +134,13 @@
         return Outcome::Nothing;
     }
     exchange.progress(|p| p.tries.connected());
-    heard::sent(&exchange.node, target);
+    heard::record_send(&exchange.node, target);
     let sent = rollout::sent(&exchange.node, target, &exchange.route.name, 1, exchange.deadline);
     at_target.sent.clone_from(&sent);
     let request = request_for(exchange, target, made, resume_after);
-    let crossing = Crossing::to_target(&exchange.node, Kind::Request, &target.id);
+    let crossing = RegionTraffic::to_target(&exchange.node, MessageKind::Request, &target.id);
     if let Some(made) = made {
-        crossed::fetched(&exchange.node, &target.id, made.fetched());
+        crossed::count_inputs(&exchange.node, &target.id, made.fetched());
     }
     let work = async {
         match upstream::send_over(socket, target.address, request, crossing).await {
@@ -163,7 +163,7 @@
     made: Option<&Made>,
     resume_after: Option<u64>,
 ) -> hyper::Request<Full<Bytes>> {
-    let onward = Onward {
+    let onward = ForwardContext {
         left_ms: exchange.left().as_millis() as u64,
         target: &target.id,
         workspace: exchange.workspace.as_ref(),
@@ -175,7 +175,7 @@
     let mut request = hyper::Request::new(Full::new(taken.body.clone()));
     *request.method_mut() = taken.method.clone();
     *request.uri_mut() = taken.uri.clone();
-    *request.headers_mut() = exchange.node.dialect.onward(&taken.headers, &onward);
+    *request.headers_mut() = exchange.node.dialect.forward_headers(&taken.headers, &onward);
     request
 }
 
@@ -191,7 +191,7 @@
     async fn take(&self, answer: Answer, at_target: AtTarget) -> Outcome {
         let Answer { response, connection } = answer;
         let (head, body) = response.into_parts();
-        let said = self.exchange.node.dialect.answer(&head);
+        let said = self.exchange.node.dialect.read_answer(&head);
         let is_own = said.id.as_deref() == Some(self.exchange.head.id.as_str());
         if !is_own && !said.not_run && !said.misdirected {
             return self.may_have_run("answer to another request".into());
@@ -200,7 +200,7 @@
             self.exchange.node.quarantine.seen_ended(self.target, "replaced");
             return self.not_run(Observation::Replaced, "another target has the address".into());
         }
-        heard::take(&self.exchange.node, self.target, &said, self.begun);
+        heard::record_answer(&self.exchange.node, self.target, &said, self.begun);
         if said.not_run && said.input_gone {
             self.exchange.progress(|p| p.tries.record(Execution::Excluded));
             return Outcome::InputGone;
@@ -209,12 +209,12 @@
             let why = format!("turned away with {}", head.status);
             return self.not_run(Observation::Rejected, why);
         }
-        if head.status.is_success() && !said.signed {
+        if head.status.is_success() && !said.is_signed {
             at_target.bad();
             return self.may_have_run("answer without signature".into());
         }
         let answer = Answer { response: Response::from_parts(head, body), connection };
-        if answer.response.status().is_success() && said.events {
+        if answer.response.status().is_success() && said.is_event_stream {
             return self.take_stream(answer, at_target).await;
         }
         self.take_whole(answer, at_target).await
@@ -240,7 +240,7 @@
         };
         self.answered(&at_target);
         at_target.read();
-        let headers = self.exchange.node.dialect.back(&head.headers);
+        let headers = self.exchange.node.dialect.return_headers(&head.headers);
         Outcome::Stream(Box::new(Begun { status: head.status, headers, reader, first, at_target }))
     }
 
@@ -253,7 +253,7 @@
             Err(e) => return self.broke_off(format!("answer broke off: {e}")),
         };
         drop(connection);
-        let headers = self.exchange.node.dialect.back(&head.headers);
+        let headers = self.exchange.node.dialect.return_headers(&head.headers);
         let status = head.status;
         if status.is_server_error() {
             at_target.bad();
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -12,9 +12,9 @@
 use util::settings::{BadValue, Check, Logs};
 
 /// Share of a core of a host that bears no work for others first.
-const LEAST_SHARE: f64 = 0.125;
+const MIN_CPU_SHARE: f64 = 0.125;
 /// Bandwidth of such a host, in Mbit/s.
-const LEAST_LINK: f64 = 10.0;
+const MIN_LINK_MBPS: f64 = 10.0;
 
 /// Settings file of `pumicevale-node`.
 #[derive(Debug, Clone, Deserialize)]
@@ -70,7 +70,7 @@
     #[serde(default)]
     pub first_start: bool,
     /// Connections held by one process, callers' and targets' together.
-    #[serde(default = "descriptors")]
+    #[serde(default = "default_descriptors")]
     pub descriptors: usize,
     /// Mechanisms that are on.
     #[serde(default)]
@@ -92,15 +92,15 @@
 
 impl Default for Host {
     fn default() -> Self {
-        Host { cpu_share: LEAST_SHARE, link_mbps: LEAST_LINK }
+        Host { cpu_share: MIN_CPU_SHARE, link_mbps: MIN_LINK_MBPS }
     }
 }
 
 impl Host {
     /// How much work for other nodes it can bear, as powers of two of the smallest hosts.
     pub fn capacity(&self) -> u8 {
-        let processor = self.cpu_share / LEAST_SHARE;
-        let link = self.link_mbps / LEAST_LINK;
+        let processor = self.cpu_share / MIN_CPU_SHARE;
+        let link = self.link_mbps / MIN_LINK_MBPS;
         processor.min(link).max(1.0).log2() as u8
     }
 }
@@ -154,7 +154,7 @@
     pub back_ms: u64,
 }
 
-fn descriptors() -> usize {
+fn default_descriptors() -> usize {
     4096
 }
 
@@ -181,7 +181,7 @@
     }
 
     /// The first field that cannot change while a node runs, and does.
-    pub fn differs_for_good(&self, running: &Settings) -> Option<&'static str> {
+    pub fn changed_fixed_field(&self, running: &Settings) -> Option<&'static str> {
         let fields = [
             ("name", self.name == running.name),
             ("domain", self.domain == running.domain),
--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -15,7 +15,7 @@
 
 use super::runner::Runner;
 use crate::border::Post;
-use crate::crossed::{Crossing, Kind};
+use crate::crossed::{MessageKind, RegionTraffic};
 use crate::events::Event;
 use crate::heard;
 use crate::limits;
@@ -39,10 +39,10 @@
 ) -> Request<Full<Bytes>> {
     let mut request = Request::post(post.path)
         .header(header::HOST, address.to_string())
-        .header(header::CONTENT_TYPE, post.media)
+        .header(header::CONTENT_TYPE, post.content_type)
         .body(Full::new(Bytes::from(post.body)))
         .expect("path and media type are valid");
-    request.headers_mut().extend(node.dialect.meant_for(maker));
+    request.headers_mut().extend(node.dialect.instance_headers(maker));
     request
 }
 
@@ -65,7 +65,7 @@
     let targets_age_ms = node.targets_age_ms();
     let (pieces, timeout) = (call.pieces.len(), runner.patience(node, call.pieces.len()));
     let sent = rollout::sent(node, &target, &runner.pool.service, pieces, begun + timeout);
-    let crossing = Crossing::to_target(node, Kind::Call, &call.worker);
+    let crossing = RegionTraffic::to_target(node, MessageKind::Call, &call.worker);
     let work = async {
         let socket = match upstream::connect(address).await {
             Ok(_) if permit.is_over(node.now()) => {
@@ -74,7 +74,7 @@
             Ok(socket) => socket,
             Err(e) => return (CallEnd::Failed, Observation::Unreachable, e.to_string()),
         };
-        heard::sent(node, &target);
+        heard::record_send(node, &target);
         match upstream::send_over(socket, address, request, crossing).await {
             Ok(answer) => {
                 let from = Asked { target: &target, begun, took: node.now().since(begun) };
@@ -96,7 +96,7 @@
         CallEnd::Answered(results) => results.as_slice(),
         CallEnd::Full | CallEnd::Failed => &[],
     };
-    node.metrics.batch(&runner.pool.service, pieces);
+    node.metrics.count_batch(&runner.pool.service, pieces);
     let took_ms = node.now().since(begun).as_millis() as u64;
     log_call(runner, &call, results, took_ms, targets_age_ms, &why);
     if let (Some(sent), Observation::Answered(took)) = (&sent, observed) {
@@ -183,11 +183,11 @@
 ) -> (CallEnd, Observation, String) {
     let Asked { target, begun, took } = asked;
     let (head, body) = answer.response.into_parts();
-    let said = node.dialect.answer(&head);
+    let said = node.dialect.read_answer(&head);
     if said.misdirected {
         return (CallEnd::Failed, Observation::Replaced, "another target answered".into());
     }
-    heard::take(node, target, &said, begun);
+    heard::record_answer(node, target, &said, begun);
     if said.not_run {
         return (CallEnd::Full, Observation::Rejected, "full".into());
     }
--- a/crates/forward/src/stages/free.rs
+++ b/crates/forward/src/stages/free.rs
@@ -11,7 +11,7 @@
 use model::forward::{Handle, PoolId, TargetId};
 
 use super::call;
-use crate::crossed::{Crossing, Kind};
+use crate::crossed::{MessageKind, RegionTraffic};
 use crate::heard;
 use crate::node::Node;
 use crate::peers::{self, FREE, RemoteFree};
@@ -98,7 +98,7 @@
     *request.uri_mut() = uri;
     // On a kept connection, unlike all else that goes to a target: nobody looks at the
     // answer, so a late one can do no harm, and a new connection would take a maker's time.
-    let crossing = Crossing::to_target(node, Kind::Free, maker);
+    let crossing = RegionTraffic::to_target(node, MessageKind::Free, maker);
     if let Some(crossing) = &crossing {
         crossing.sent(sent);
     }
@@ -107,14 +107,14 @@
             return;
         };
         let (head, body) = answer.into_parts();
-        let said = node.dialect.answer(&head);
+        let said = node.dialect.read_answer(&head);
         if !said.misdirected {
-            heard::take_notice(node, &target, said.notice);
+            heard::record_notice(node, &target, said.notice);
         }
         // Read to its end, so that the connection can be used again.
         let read = Limited::new(body, ANSWER_MAX).collect().await;
         if let (Some(crossing), Ok(body)) = (&crossing, read) {
-            crossing.got(body.to_bytes().len());
+            crossing.received(body.to_bytes().len());
         }
     };
     // What is not freed runs out at its maker by itself.
--- a/crates/forward/src/stages/job.rs
+++ b/crates/forward/src/stages/job.rs
@@ -65,7 +65,8 @@
         if !node.settings().policy.late_starts {
             return VecDeque::new();
         }
-        let (least, queues) = node.paths(self.route, &self.head.pieces, self.allowed, least);
+        let (least, queues) =
+            node.stage_estimates(self.route, &self.head.pieces, self.allowed, least);
         let times = node.forecast(|f| f.stage_times(&least, &queues, self.rank, now));
         let latest = stages::latest_starts(&self.route.order(), &times);
         let large = self.route.stages.iter().enumerate().filter(|(i, s)| {
--- a/crates/forward/src/stages/made.rs
+++ b/crates/forward/src/stages/made.rs
@@ -79,7 +79,7 @@
                 let handles = self.kept[*j].handles.iter();
                 handles.map(|h| (h.maker.clone(), stages[*j].bytes))
             });
-            crossed::fetched(&self.node, &piece.maker, inputs);
+            crossed::count_inputs(&self.node, &piece.maker, inputs);
         }
     }
 
--- a/crates/forward/src/stages/order.rs
+++ b/crates/forward/src/stages/order.rs
@@ -89,7 +89,7 @@
         match ask(node, &peer, order).await {
             Ok(BatchAnswer { results, waits, coordinator, region }) => {
                 node.peers.roster(|r| r.mark_answered(&peer.id, node.now()));
-                node.heard_waits(order.queue(), waits);
+                node.record_waits(order.queue(), waits);
                 let entry = coordinator.unwrap_or(peer.entry);
                 let pool = PoolId { region, ..pool };
                 return Some(Placed {
@@ -194,7 +194,7 @@
             return Placed { results, peer: None, coordinator: None, pool: order.pool() };
         }
     };
-    node.heard_waits(order.queue(), waits);
+    node.record_waits(order.queue(), waits);
     let pool = PoolId { region, ..order.pool() };
     Placed { results, peer: coordinator, coordinator: None, pool }
 }
--- a/crates/forward/src/stages/plan.rs
+++ b/crates/forward/src/stages/plan.rs
@@ -105,7 +105,7 @@
                 made.release_all(&again);
             }
             Err(e) => {
-                node.metrics.stage_refused(&stages[i].service, e.cause());
+                node.metrics.count_stage_refusal(&stages[i].service, e.cause());
                 return Err(e);
             }
         }
@@ -158,7 +158,7 @@
         took_ms,
     }
     .emit();
-    node.metrics.time("stage", &service, took_ms);
+    node.metrics.record_time("stage", &service, took_ms);
     (stage, placed)
 }
 
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -91,7 +91,7 @@
     if !map.is_split() {
         return Vec::new();
     }
-    let able = node.able_regions(&map, service, allowed).into_iter();
+    let able = node.eligible_regions(&map, service, allowed).into_iter();
     able.filter(|r| r != but).map(|r| (r.clone(), map.region_round_trip(&r))).collect()
 }
 
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -18,12 +18,12 @@
 use tokio::task::AbortHandle;
 use util::http::{PROBE, PROBES, SILENCE};
 
-use crate::crossed::{Crossing, Metered};
+use crate::crossed::{Metered, RegionTraffic};
 
 /// Time to connect; a target that is up answers within a round trip.
-const CONNECT: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Largest head of a target's answer.
-const HEAD_MAX: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// Why no answer head came.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
@@ -33,7 +33,7 @@
     /// {0} took no connection in time
     ConnectTimeout(SocketAddr),
     /// connection to {0} broke: {1}
-    Broke(SocketAddr, hyper::Error),
+    ConnectionLost(SocketAddr, hyper::Error),
 }
 
 impl SendError {
@@ -65,7 +65,7 @@
 }
 
 /// Sets what makes a dead or cut-off peer show within seconds.
-pub fn guard_socket(socket: &TcpStream) {
+pub fn configure_socket(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
     let socket = SockRef::from(socket);
     let keepalive = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(PROBES);
@@ -75,7 +75,7 @@
 
 /// Connects to a target.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, SendError> {
-    match tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(socket)) => Ok(socket),
         Ok(Err(e)) => Err(SendError::Connect(address, e)),
         Err(_) => Err(SendError::ConnectTimeout(address)),
@@ -88,12 +88,12 @@
     socket: TcpStream,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    crossing: Option<Crossing>,
+    crossing: Option<RegionTraffic>,
 ) -> Result<Answer, SendError> {
-    guard_socket(&socket);
-    let broke = |e| SendError::Broke(address, e);
+    configure_socket(&socket);
+    let broke = |e| SendError::ConnectionLost(address, e);
     let handshake = http1::Builder::new()
-        .max_buf_size(HEAD_MAX)
+        .max_buf_size(MAX_HEAD_BYTES)
         .handshake::<_, Full<Bytes>>(TokioIo::new(Metered::new(socket, crossing)));
     let (mut sender, connection) = handshake.await.map_err(broke)?;
     let task = tokio::task::spawn_local(async move {
--- a/crates/forward/src/watch/ages.rs
+++ b/crates/forward/src/watch/ages.rs
@@ -7,7 +7,7 @@
 use decide::relay::waits;
 use model::Time;
 
-use crate::border::Kind;
+use crate::border::ObjectKind;
 
 /// Age of one kind: now, and the greatest since the kind was first known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,15 +27,15 @@
 
 /// Ages of all kinds.
 #[derive(Debug, Default)]
-pub struct Ages([Known; Kind::AGED.len()]);
+pub struct Ages([Known; ObjectKind::AGE_TRACKED.len()]);
 
 impl Ages {
-    fn of(&self, kind: Kind) -> &Known {
+    fn of(&self, kind: ObjectKind) -> &Known {
         &self.0[kind as usize]
     }
 
     /// The store confirmed a kind at this time; earlier news change nothing.
-    pub fn confirm(&self, kind: Kind, at: Time, now: Time) {
+    pub fn confirm(&self, kind: ObjectKind, at: Time, now: Time) {
         let known = self.of(kind);
         let Some(before) = known.confirmed.get() else {
             known.confirmed.set(Some(at));
@@ -46,7 +46,7 @@
     }
 
     /// Age of a kind if it has become old, or has been confirmed after that, since the last look.
-    pub fn turn(&self, kind: Kind, now: Time) -> Option<(bool, Age)> {
+    pub fn turn(&self, kind: ObjectKind, now: Time) -> Option<(bool, Age)> {
         let age = self.age(kind, now)?;
         let is_old = age.now >= waits::STALE_AFTER;
         let was_old = self.of(kind).is_old.replace(is_old);
@@ -54,17 +54,17 @@
     }
 
     /// Nothing is known of a kind yet.
-    pub fn forget(&self, kind: Kind) {
+    pub fn forget(&self, kind: ObjectKind) {
         self.of(kind).confirmed.set(None);
     }
 
     /// When a kind was last confirmed, if it ever was.
-    pub fn confirmed(&self, kind: Kind) -> Option<Time> {
+    pub fn confirmed(&self, kind: ObjectKind) -> Option<Time> {
         self.of(kind).confirmed.get()
     }
 
     /// Age of a kind; `None` if it is not known.
-    pub fn age(&self, kind: Kind, now: Time) -> Option<Age> {
+    pub fn age(&self, kind: ObjectKind, now: Time) -> Option<Age> {
         let known = self.of(kind);
         let age = now.since(known.confirmed.get()?);
         Some(Age { now: age, longest: known.longest.get().max(age) })
--- a/crates/forward/src/watch/evacuations.rs
+++ b/crates/forward/src/watch/evacuations.rs
@@ -8,19 +8,19 @@
 use model::forward::Evacuations;
 
 use super::lists::Listed;
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::events::Event;
 use crate::node::Node;
 
 impl Listed for Evacuations {
-    const KIND: Kind = Kind::Evacuations;
+    const KIND: ObjectKind = ObjectKind::Evacuations;
     type Object = ();
 
     fn entry(change: Change) -> Option<(Name, Entry<()>)> {
         match change {
             Change::Evacuated(domain) => Some((domain, Entry::Present(()))),
             Change::Unreadable(domain) => Some((domain, Entry::Unreadable)),
-            Change::Gone(domain) => Some((domain, Entry::Removed)),
+            Change::Removed(domain) => Some((domain, Entry::Removed)),
             Change::Rules(_) | Change::Target(_) | Change::Rollout(_) | Change::Held(_) => None,
         }
     }
--- a/crates/forward/src/watch/feed.rs
+++ b/crates/forward/src/watch/feed.rs
@@ -14,7 +14,7 @@
 use super::ages::{Age, Ages};
 use super::millis;
 use super::snapshot::SnapshotCache;
-use crate::border::Kind;
+use crate::border::ObjectKind;
 use crate::events::Event;
 
 /// Age from which on the state is no use to a peer, which then asks another one.
@@ -22,7 +22,7 @@
 /// Time by which lists may be older than targets: a watch of theirs lasts so much longer.
 const LISTS_OLDER: Duration = Duration::from_millis(500);
 /// Kinds that operators keep as lists.
-const LISTS: [Kind; 2] = [Kind::Evacuations, Kind::Rollouts];
+const LISTS: [ObjectKind; 2] = [ObjectKind::Evacuations, ObjectKind::Rollouts];
 
 /// Revision, history and age of the targets' state.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
 
 impl Feed {
     /// A list is part of the state from now on.
-    pub fn follow(&self, kind: Kind) {
+    pub fn follow(&self, kind: ObjectKind) {
         self.ages.forget(kind);
     }
 
@@ -77,19 +77,20 @@
     /// be older.
     pub fn age(&self, now: Time) -> Duration {
         let lists_at = LISTS.map(|kind| self.ages.confirmed(kind).map(|at| at + LISTS_OLDER));
-        let oldest = lists_at.into_iter().fold(self.ages.confirmed(Kind::Targets), Option::min);
+        let oldest =
+            lists_at.into_iter().fold(self.ages.confirmed(ObjectKind::Targets), Option::min);
         oldest.map_or(Duration::MAX, |at| now.since(at))
     }
 
     /// Age of one kind; `None` if it is not known, or not followed.
-    pub fn age_of(&self, kind: Kind, now: Time) -> Option<Age> {
+    pub fn age_of(&self, kind: ObjectKind, now: Time) -> Option<Age> {
         let is_followed = self.ages.confirmed(kind) != Some(Time::NEVER);
         self.ages.age(kind, now).filter(|_| is_followed)
     }
 
     /// Tells of kinds that have become old, or are no longer.
     pub fn tell_old(&self, now: Time) {
-        for kind in Kind::AGED {
+        for kind in ObjectKind::AGE_TRACKED {
             if let Some((old, age)) = self.ages.turn(kind, now) {
                 let (age_ms, longest_ms) = (millis(age.now), millis(age.longest));
                 Event::Known { kind: kind.as_str(), old, age_ms, longest_ms }.emit();
@@ -117,14 +118,14 @@
 
     /// A peer told of a state of this age, from which what lists may be older is off.
     pub fn confirm_all(&self, at: Time, now: Time) {
-        self.confirm(Kind::Targets, at, now);
+        self.confirm(ObjectKind::Targets, at, now);
         for kind in LISTS {
             self.confirm(kind, at - LISTS_OLDER, now);
         }
     }
 
     /// The store confirmed a kind at this time.
-    pub fn confirm(&self, kind: Kind, at: Time, now: Time) {
+    pub fn confirm(&self, kind: ObjectKind, at: Time, now: Time) {
         let was_stale = Feed::is_stale(self.age(now));
         self.ages.confirm(kind, at, now);
         if was_stale && !Feed::is_stale(self.age(now)) {
--- a/crates/forward/src/watch/lists.rs
+++ b/crates/forward/src/watch/lists.rs
@@ -10,7 +10,7 @@
 
 use super::backoff::Backoff;
 use super::store::{AT_ONCE, ReadError, Reader, Step};
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::node::Node;
 
 /// Longest wait after a failed call.
@@ -21,7 +21,7 @@
 /// A kind of object that is followed as a list.
 pub(super) trait Listed {
     /// The kind.
-    const KIND: Kind;
+    const KIND: ObjectKind;
     /// What is kept of an object.
     type Object;
 
@@ -59,7 +59,7 @@
             Err(e) if e.is_history_gone() => list.restart(),
             Err(_) => {
                 backoff.failed(&node, RETRY_LONGEST).await;
-                let _ = tokio::time::timeout(AWAY, node.store_reached()).await;
+                let _ = tokio::time::timeout(AWAY, node.wait_for_store()).await;
             }
         }
     }
--- a/crates/forward/src/watch/mod.rs
+++ b/crates/forward/src/watch/mod.rs
@@ -17,7 +17,7 @@
 use decide::relay::{Relays, Role};
 use model::forward::{Evacuations, Rollouts};
 
-use crate::border::Kind;
+use crate::border::ObjectKind;
 use crate::events::Event;
 use crate::node::Node;
 use crate::rollout;
@@ -34,12 +34,12 @@
 /// Starts following all kinds.
 pub fn start(node: &Rc<Node>) {
     if node.settings().evacuations {
-        node.feed.follow(Kind::Evacuations);
+        node.feed.follow(ObjectKind::Evacuations);
         node.fleet(|f| f.follow_evacuations());
         tokio::task::spawn_local(lists::follow::<Evacuations>(node.clone()));
     }
     if node.settings().rollouts.is_some() {
-        node.feed.follow(Kind::Rollouts);
+        node.feed.follow(ObjectKind::Rollouts);
         node.fleet(|f| f.versions_mut().follow());
         node.fleet(|f| f.versions_mut().set_awaiting_peers(true));
         tokio::task::spawn_local(lists::follow::<Rollouts>(node.clone()));
--- a/crates/forward/src/watch/rollouts.rs
+++ b/crates/forward/src/watch/rollouts.rs
@@ -12,7 +12,7 @@
 
 use super::lists::Listed;
 use super::relays;
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::events::Event;
 use crate::node::Node;
 use crate::peers;
@@ -28,14 +28,14 @@
 const ASKED: usize = 3;
 
 impl Listed for Rollouts {
-    const KIND: Kind = Kind::Rollouts;
+    const KIND: ObjectKind = ObjectKind::Rollouts;
     type Object = Rollout;
 
     fn entry(change: Change) -> Option<(Name, Entry<Rollout>)> {
         match change {
             Change::Rollout(order) => Some((order.service.clone(), Entry::Present(order))),
             Change::Unreadable(service) => Some((service, Entry::Unreadable)),
-            Change::Gone(service) => Some((service, Entry::Removed)),
+            Change::Removed(service) => Some((service, Entry::Removed)),
             Change::Rules(_) | Change::Target(_) | Change::Evacuated(_) | Change::Held(_) => None,
         }
     }
@@ -86,7 +86,7 @@
     for peer in relays(node).peers.iter().take(ASKED) {
         let asked = peers::follow(node, &client, peer.entry, &ask, None, ASK_TIMEOUT);
         let answer = match asked.await {
-            Ok(followed) if !node.is_current(followed.epoch) => continue,
+            Ok(followed) if !node.is_current_epoch(followed.epoch) => continue,
             Ok(followed) => followed.answer,
             Err(e) => {
                 log::debug!("orders: {e}");
--- a/crates/forward/src/watch/rules.rs
+++ b/crates/forward/src/watch/rules.rs
@@ -10,7 +10,7 @@
 use super::backoff::Backoff;
 use super::relays;
 use super::store::{Reader, Step};
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::node::Node;
 
 /// Longest wait of a relay after a failed call.
@@ -20,7 +20,7 @@
 
 /// Follows until the process ends.
 pub async fn follow(node: Rc<Node>) {
-    let mut reader = Reader::new(node.clone(), Kind::Rules);
+    let mut reader = Reader::new(node.clone(), ObjectKind::Rules);
     let mut at = None;
     let mut backoff = Backoff::default();
     loop {
@@ -53,11 +53,11 @@
     for change in step.changes {
         // Rules are never taken back, only replaced.
         if let Change::Rules(rules) = change {
-            node.adopt(*rules, "store");
+            node.adopt_rules(*rules, "store");
         }
     }
     if !is_cut {
         let now = node.now();
-        node.feed.confirm(Kind::Rules, now, now);
+        node.feed.confirm(ObjectKind::Rules, now, now);
     }
 }
--- a/crates/forward/src/watch/store.rs
+++ b/crates/forward/src/watch/store.rs
@@ -9,7 +9,7 @@
 use model::Name;
 use util::http::{CallError, CallKind, Client};
 
-use crate::border::{BadEntry, Change, Kind, Malformed, Page};
+use crate::border::{BadEntry, Change, Malformed, ObjectKind, Page};
 use crate::events::Event;
 use crate::node::Node;
 
@@ -90,7 +90,7 @@
         if let Change::Unreadable(name) = change {
             healed.remove(name);
         }
-        healed.extend(change.read_name());
+        healed.extend(change.entry_name());
     }
     healed
 }
@@ -99,7 +99,7 @@
 pub struct Reader {
     node: Rc<Node>,
     client: Client,
-    kind: Kind,
+    kind: ObjectKind,
     failed: bool,
     unreadable: UnreadableEntries,
     /// Epoch of the state that changes are asked for of.
@@ -108,7 +108,7 @@
 
 impl Reader {
     /// A reader that has read nothing yet.
-    pub fn new(node: Rc<Node>, kind: Kind) -> Self {
+    pub fn new(node: Rc<Node>, kind: ObjectKind) -> Self {
         let unreadable = UnreadableEntries::default();
         let client = Client::new(CONNECT);
         Reader { node, client, kind, failed: false, unreadable, epoch: None }
@@ -158,7 +158,7 @@
         if !std::mem::replace(&mut self.failed, true) {
             Event::Store { kind: self.kind.as_str(), reachable: false, why }.emit();
         }
-        self.node.store_lost();
+        self.node.store_failed();
         // A new client drops connections that hang behind a cut.
         self.client = Client::new(CONNECT);
     }
@@ -175,8 +175,9 @@
                 None if step.whole => EntryKey::ListIndex(entry.place.as_str().into()),
                 None => EntryKey::ChangeIndex(entry.place.as_str().into()),
             };
-            if let Some(untold) = self.unreadable.record(place, &entry.why.as_str().into(), now) {
-                let (kind, place, why) = (self.kind.as_str(), &entry.place, &entry.why);
+            if let Some(untold) = self.unreadable.record(place, &entry.reason.as_str().into(), now)
+            {
+                let (kind, place, why) = (self.kind.as_str(), &entry.place, &entry.reason);
                 Event::Unreadable { kind, place, why, untold }.emit();
             }
         }
@@ -186,17 +187,17 @@
         if let Some(Change::Rules(_)) = step.changes.last() {
             self.unreadable.clear_named();
         }
-        self.node.metrics.unreadable(self.kind.as_str(), self.unreadable.count());
+        self.node.metrics.set_unreadable(self.kind.as_str(), self.unreadable.count());
     }
 
     /// An answer's body, and the epoch of the store that it tells.
     async fn get(&self, path: &str, timeout: Duration) -> Result<(Option<u64>, Bytes), CallError> {
-        self.node.metrics.store_call(self.kind.as_str());
+        self.node.metrics.count_store_call(self.kind.as_str());
         let store = self.node.settings().store.to_string();
         let answer = self.client.get(&store, path, timeout).await?;
         let epoch = self.node.dialect.epoch(answer.headers());
         if let Some(epoch) = epoch {
-            self.node.saw_epoch(epoch, STORE);
+            self.node.observe_epoch(epoch, STORE);
         }
         Ok((epoch, answer.into_body()))
     }
@@ -229,24 +230,24 @@
         let mut asked = BTreeSet::new();
         loop {
             let path = match may_be_old {
-                true => dialect.old_list(self.kind, after.as_ref()),
-                false => dialect.list(self.kind, after.as_ref()),
+                true => dialect.stale_list_path(self.kind, after.as_ref()),
+                false => dialect.list_path(self.kind, after.as_ref()),
             };
             let (epoch, body) = self.get_page(&path).await?;
-            let page = dialect.page(self.kind, &body)?;
-            if !self.node.is_current(epoch) || (after.is_some() && epoch != step.epoch) {
+            let page = dialect.read_page(self.kind, &body)?;
+            if !self.node.is_current_epoch(epoch) || (after.is_some() && epoch != step.epoch) {
                 return Err(ReadError::Restored);
             }
             if after.is_none() {
                 step.epoch = epoch;
                 // Changes between two pages are seen again from the first revision on.
-                step.at = page.at;
+                step.at = page.revision;
             }
             step.changes.extend(page.changes);
             step.bad.extend(page.malformed);
-            match page.more {
+            match page.continue_after {
                 Some(name) if asked.insert(name.clone()) => after = Some(name),
-                None if !page.cut => return Ok(step),
+                None if !page.truncated => return Ok(step),
                 // An entry may bear any name: what comes after one that was asked for is known.
                 Some(_) | None => return Ok(step.cut()),
             }
@@ -266,14 +267,14 @@
     }
 
     async fn watch(&self, at: u64, wait: Duration, timeout: Duration) -> Result<Step, ReadError> {
-        let path = self.node.dialect.watch(self.kind, at, wait.as_millis() as u64);
+        let path = self.node.dialect.watch_path(self.kind, at, wait.as_millis() as u64);
         let (epoch, body) = self.get(&path, timeout).await?;
         if epoch.is_some() && epoch != self.epoch {
             // Its revisions are of another history than the one that this node is at.
             return Err(ReadError::Restored);
         }
-        let page = self.node.dialect.changes(self.kind, &body)?;
+        let page = self.node.dialect.read_changes(self.kind, &body)?;
         let Page { changes, malformed: bad, .. } = page;
-        Ok(Step { at: page.at.max(at), epoch, whole: false, cut: false, changes, bad })
+        Ok(Step { at: page.revision.max(at), epoch, whole: false, cut: false, changes, bad })
     }
 }
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -18,7 +18,7 @@
 use super::snapshot::{SNAPSHOT_TTL, SnapshotKey};
 use super::store::{Reader, Step};
 use super::{evacuations, millis, relays, rollouts};
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::events::Event;
 use crate::node::Node;
 use crate::peers::{self, Followed};
@@ -54,7 +54,7 @@
 
 impl Follower {
     fn new(node: Rc<Node>) -> Self {
-        let reader = Reader::new(node.clone(), Kind::Targets);
+        let reader = Reader::new(node.clone(), ObjectKind::Targets);
         let sources = Sources::default();
         let client = Client::new(peers::CONNECT);
         Follower {
@@ -164,9 +164,9 @@
         let age = Duration::from_millis(answer.age_ms);
         let rules_age = Duration::from_millis(answer.rules_age_ms);
         if let Some(epoch) = epoch {
-            node.saw_epoch(epoch, &peer.id.name);
+            node.observe_epoch(epoch, &peer.id.name);
         }
-        let is_current = node.is_current(epoch);
+        let is_current = node.is_current_epoch(epoch);
         let is_stale = answer.out_of_touch || Feed::is_stale(age) || !is_current;
         if is_stale {
             self.sources.relay_stale(&peer.id, now);
@@ -185,7 +185,7 @@
             peers::take_rules(&node, &self.client, peer.entry).await;
         }
         if rules <= node.table().rules.version {
-            node.feed.confirm(Kind::Rules, now - rules_age, now);
+            node.feed.confirm(ObjectKind::Rules, now - rules_age, now);
         }
     }
 
@@ -230,7 +230,7 @@
     let Step { at, epoch, whole, cut, changes, .. } = step;
     let epoch = epoch.unwrap_or(node.feed.epoch());
     let changes: Vec<TargetChange> = changes.into_iter().filter_map(target_change).collect();
-    let doubt = node.doubt(|d| d.read_from_store(now));
+    let doubt = node.outage_grace(|d| d.read_from_store(now));
     let begins = cut && (node.feed.at() != Some(at) || node.feed.epoch() != epoch);
     if whole {
         take_whole(node, epoch, at, list_of(changes), doubt);
@@ -240,11 +240,11 @@
     if begins {
         // More may be there, but what is known can be used, and is all that followers can have.
         node.feed.restart(epoch, at);
-        node.know_targets();
+        node.mark_targets_known();
     }
     // For a cut list too: what it brought is as the store has it, and followers that took this
     // node for stale would find no other that knows more.
-    node.feed.confirm(Kind::Targets, now, now);
+    node.feed.confirm(ObjectKind::Targets, now, now);
 }
 
 /// Takes what a peer told.
@@ -259,7 +259,7 @@
         rollouts::take(node, list, from);
     }
     let now = node.now();
-    let heard = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
+    let heard = || node.outage_grace(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
     match news {
         TargetNews::Unknown => return,
         TargetNews::Whole(list) => take_whole(node, epoch, at, list, heard()),
@@ -274,9 +274,9 @@
     let now = node.now();
     let services: BTreeSet<Name> = list.targets.iter().map(|t| t.service.clone()).collect();
     node.fleet(|f| f.replace(list, doubt, now));
-    services.iter().for_each(|service| node.maker_came(service));
+    services.iter().for_each(|service| node.worker_added(service));
     node.feed.restart(epoch, at);
-    node.know_targets();
+    node.mark_targets_known();
 }
 
 fn take_changes(node: &Node, at: u64, changes: Vec<TargetChange>, doubt: Option<Time>) {
@@ -291,7 +291,7 @@
                     _ => "ready",
                 };
                 if node.fleet(|f| f.upsert(target.clone(), now)) {
-                    node.maker_came(&target.service);
+                    node.worker_added(&target.service);
                     Event::Target { target: &target.id.name, service: &target.service, state }
                         .emit();
                 }
@@ -313,7 +313,7 @@
 fn target_change(change: Change) -> Option<TargetChange> {
     match change {
         Change::Target(target) => Some(TargetChange::Now(target)),
-        Change::Gone(id) => Some(TargetChange::Gone(id)),
+        Change::Removed(id) => Some(TargetChange::Gone(id)),
         Change::Unreadable(name) => Some(TargetChange::Unreadable(name)),
         Change::Rules(_) | Change::Evacuated(_) | Change::Rollout(_) | Change::Held(_) => None,
     }
@@ -399,13 +399,14 @@
     kept: Duration,
 ) -> FollowAnswer {
     let now = node.now();
-    let rules_age = node.feed.age_of(Kind::Rules, now);
+    let rules_age = node.feed.age_of(ObjectKind::Rules, now);
     let rollouts = node.fleet(|f| {
         let versions = f.versions();
         let is_newer = versions.is_current() && versions.revision() > known_rollouts;
         is_newer.then(|| versions.list()).flatten()
     });
-    let doubt = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(kept));
+    let doubt =
+        node.outage_grace(|d| d.until(now)).map(|until| until.since(now).saturating_sub(kept));
     FollowAnswer {
         at: node.feed.at().unwrap_or(0),
         age_ms: millis(node.feed.age(now).saturating_add(kept)),
