--- a/crates/forward/src/quarantine/record.rs
+++ b/crates/forward/src/quarantine/record.rs
@@ -48,9 +48,9 @@
 }
 
 async fn create(node: &Node, record: &HeldRecord) {
-    let Post { path, content_type: media, body } = node.dialect.create_hold(record);
+    let Post { path, content_type, body } = node.dialect.create_hold(record);
     let (store, client) = call(node);
-    let posting = async { client.post(&store, &path, media, body).await.map(drop) };
+    let posting = async { client.post(&store, &path, content_type, body).await.map(drop) };
     let end = match tokio::time::timeout(TIMEOUT, posting).await {
         // It was there already, or the answer to an earlier try was lost.
         Ok(Err(e)) if e.status() == Some(CONFLICT) => Ok(()),
--- a/crates/forward/src/rollout/write.rs
+++ b/crates/forward/src/rollout/write.rs
@@ -72,12 +72,12 @@
 /// Writes by a call of this node's own.
 pub async fn at_store(node: &Node, order: &Rollout, state: RolloutState) -> Written {
     let begun = node.now();
-    let Put { path, content_type: media, body } = node.dialect.set_rollout(order, state);
+    let Put { path, content_type, body } = node.dialect.set_rollout(order, state);
     node.metrics.count_store_call(WHAT);
     let store = node.settings().store.to_string();
     // A connection of its own: one whose answer was lost says nothing further.
     let client = Client::new(STORE_CONNECT);
-    let end = client.put(&store, &path, media, body, TIMEOUT).await;
+    let end = client.put(&store, &path, content_type, body, TIMEOUT).await;
     let written = Written::of(&end);
     let why = end.err().map(|e| e.to_string()).unwrap_or_default();
     Event::RolloutWrite {
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -70,7 +70,7 @@
     #[serde(default)]
     pub first_start: bool,
     /// Connections held by one process, callers' and targets' together.
-    #[serde(default = "default_descriptors")]
+    #[serde(default = "descriptors")]
     pub descriptors: usize,
     /// Mechanisms that are on.
     #[serde(default)]
@@ -154,7 +154,7 @@
     pub back_ms: u64,
 }
 
-fn default_descriptors() -> usize {
+fn descriptors() -> usize {
     4096
 }
 
