--- a/crates/forward/src/ingress/callers.rs
+++ b/crates/forward/src/ingress/callers.rs
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::phase::LifePhase;
 use crate::serve;
-use crate::upstream::guard_socket;
+use crate::upstream::configure_socket;
 
 /// Maximum fraction of the file descriptors for callers' connections.
 const CONNECTIONS_SHARE: f64 = 0.5;
@@ -29,14 +29,14 @@
         let permit = slots.clone().acquire_owned().await;
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = node.reached(LifePhase::Closing) => return,
+            () = node.wait_for_phase(LifePhase::Closing) => return,
         };
         let Ok((socket, _)) = accepted else {
             // Most likely out of descriptors; wait until some are closed.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        guard_socket(&socket);
+        configure_socket(&socket);
         let node = node.clone();
         tokio::task::spawn_local(async move {
             serve_connection(node, socket).await;
@@ -63,7 +63,7 @@
     let mut connection = std::pin::pin!(connection);
     let is_closing = tokio::select! {
         _ = connection.as_mut() => false,
-        () = node.reached(LifePhase::Closing) => true,
+        () = node.wait_for_phase(LifePhase::Closing) => true,
     };
     if is_closing {
         connection.as_mut().graceful_shutdown();
--- a/crates/forward/src/ingress/readiness.rs
+++ b/crates/forward/src/ingress/readiness.rs
@@ -23,7 +23,7 @@
 fn respond(node: &Node, request: &Request<Incoming>) -> Response<Body> {
     let path = request.uri().path();
     if path == METRICS_PATH {
-        return full(StatusCode::OK, METRICS_MEDIA_TYPE, node.figures());
+        return full(StatusCode::OK, METRICS_MEDIA_TYPE, node.metrics_text());
     }
     if path != node.dialect.ready_path() {
         return text(StatusCode::NOT_FOUND, "no such path");
--- a/crates/forward/src/ingress/small.rs
+++ b/crates/forward/src/ingress/small.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use util::http::Body;
 
-use crate::upstream::guard_socket;
+use crate::upstream::configure_socket;
 
 /// Delay after a failed accept; most likely the process is out of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
@@ -30,7 +30,7 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        guard_socket(&socket);
+        configure_socket(&socket);
         let handler = handler.clone();
         let service = service_fn(move |request| {
             let answer = handler(request);
--- a/crates/forward/src/peers/membership.rs
+++ b/crates/forward/src/peers/membership.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use crate::crossed::{Crossing, Kind};
+use crate::crossed::{MessageKind, RegionTraffic};
 use crate::events::Event;
 use crate::node::Node;
 
@@ -102,7 +102,7 @@
     match action {
         Action::Send(to, packet) => {
             let bytes = rmp_serde::to_vec(&packet).expect("packets encode");
-            if let Some(crossing) = Crossing::to_peer(node, Kind::Member, to) {
+            if let Some(crossing) = RegionTraffic::to_peer(node, MessageKind::Membership, to) {
                 crossing.sent_datagram(bytes.len());
             }
             // Send errors are ignored: the probes of membership tolerate lost datagrams.
--- a/crates/forward/src/quarantine/record.rs
+++ b/crates/forward/src/quarantine/record.rs
@@ -10,7 +10,7 @@
 use util::http::Client;
 
 use super::FROM_STORE;
-use crate::border::{Change, Kind, Post};
+use crate::border::{Change, ObjectKind, Post};
 use crate::events::Event;
 use crate::node::Node;
 use crate::watch::{Reader, STORE_CONNECT_TIMEOUT, StoreUpdate};
@@ -49,9 +49,9 @@
 }
 
 async fn create(node: &Node, record: &HeldRecord) {
-    let Post { path, media, body } = node.dialect.hold(record);
+    let Post { path, content_type, body } = node.dialect.create_hold(record);
     let (store, client) = store_client(node);
-    let post = async { client.post(&store, &path, media, body).await.map(drop) };
+    let post = async { client.post(&store, &path, content_type, body).await.map(drop) };
     let result = match tokio::time::timeout(TIMEOUT, post).await {
         // It already existed, or an earlier attempt created it but its answer was lost.
         Ok(Err(e)) if e.status() == Some(CONFLICT) => Ok(()),
@@ -66,7 +66,7 @@
 
 async fn delete(node: &Node, request: Fingerprint) {
     let (store, client) = store_client(node);
-    let result = match client.delete(&store, &node.dialect.held(request), TIMEOUT).await {
+    let result = match client.delete(&store, &node.dialect.hold_path(request), TIMEOUT).await {
         Err(e) if e.status() == Some(NOT_FOUND) => Ok(()),
         result => result.map_err(|e| e.to_string()),
     };
@@ -76,7 +76,7 @@
 /// Address of the store, and a client with a new connection: an existing one whose answer was
 /// lost may have fallen silent. Counts the call.
 fn store_client(node: &Node) -> (String, Client) {
-    node.metrics.store_call(Kind::Quarantine.as_str());
+    node.metrics.count_store_call(ObjectKind::Quarantine.as_str());
     (node.settings().store.to_string(), Client::new(STORE_CONNECT_TIMEOUT))
 }
 
@@ -87,7 +87,7 @@
 
 /// Reads the records in the store until the process ends, while this node reads the store.
 pub async fn read(node: Rc<Node>) {
-    let mut reader = Reader::new(node.clone(), Kind::Quarantine);
+    let mut reader = Reader::new(node.clone(), ObjectKind::Quarantine);
     let mut known = BTreeMap::new();
     let mut has_list = false;
     let mut epoch = None;
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -18,7 +18,7 @@
 use crate::events::Event;
 use crate::node::Node;
 use crate::quarantine::HELD_REASON;
-use crate::rules::{Table, choose_service};
+use crate::rules::{RuleTable, choose_service};
 
 /// Time without confirmation of the rules by the store after which an unknown route or key may be
 /// one that this node has not received yet.
@@ -51,7 +51,7 @@
     /// Refuses an unknown route or key. Unless the rules are certainly current, the caller is asked
     /// to retry.
     fn unknown(node: &Node, status: StatusCode, reason: &'static str) -> Self {
-        if node.rules_may_be_old(RULES_STALE_AFTER) {
+        if node.rules_may_be_stale(RULES_STALE_AFTER) {
             let reason = "rules may be out of date";
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason)
                 .retry_after(DEFAULT_RETRY_AFTER);
@@ -75,7 +75,7 @@
             took_ms: 0,
         }
         .emit();
-        node.metrics.request("", "refused", self.status.as_u16());
+        node.metrics.count_answer("", "refused", self.status.as_u16());
         let id = Some(head.id.as_str()).filter(|id| !id.is_empty());
         let mut response = reply::local(node, self.status, id, self.retry_after, self.reason);
         if self.close {
@@ -92,13 +92,13 @@
 ) -> Result<Rc<Exchange>, Response<Body>> {
     let arrived = node.now();
     let (parts, body) = request.into_parts();
-    let head = node.dialect.caller(&parts).map_err(|e| {
+    let head = node.dialect.read_caller(&parts).map_err(|e| {
         let refusal = Refusal::new(StatusCode::BAD_REQUEST, "malformed request").close();
         // Only the header is named: its value is the caller's data, which must not be stored here.
         log::info!("malformed request: {}", e.place);
         refusal.into_response(node, &CallerHead::default())
     })?;
-    node.state_known().await;
+    node.wait_for_state().await;
     let table = node.table();
     let resolved = resolve(node, &table, &head).map_err(|r| r.into_response(node, &head))?;
     check_admission(node, &table, &resolved, &head).map_err(|r| r.into_response(node, &head))?;
@@ -113,7 +113,7 @@
     let Resolved { route, service, workspace, rank, allowed } = resolved;
     let fingerprint = fingerprint(&parts, &head, workspace.as_ref(), &body);
     if let Some(hold) = node.quarantine.record_arrival(node, fingerprint) {
-        node.metrics.held_back(&route.name);
+        node.metrics.count_quarantine_refusal(&route.name);
         let refusal = Refusal {
             retry_after: hold.remaining,
             fingerprint: Some(fingerprint),
@@ -166,8 +166,8 @@
     allowed: Allowed,
 }
 
-fn resolve(node: &Node, table: &Table, head: &CallerHead) -> Result<Resolved, Refusal> {
-    if !table.known() {
+fn resolve(node: &Node, table: &RuleTable, head: &CallerHead) -> Result<Resolved, Refusal> {
+    if !table.is_known() {
         let reason = "no rules are known yet";
         return Err(
             Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason).retry_after(DEFAULT_RETRY_AFTER)
@@ -191,14 +191,14 @@
         service: service.clone(),
         workspace: workspace.map(|w| w.name.clone()),
         rank,
-        allowed: table.allowed_on(Some(route), head),
+        allowed: table.allowed_on_route(Some(route), head),
     })
 }
 
 /// Refuses a request that is expected to miss its objective by far.
 fn check_admission(
     node: &Node,
-    table: &Table,
+    table: &RuleTable,
     resolved: &Resolved,
     head: &CallerHead,
 ) -> Result<(), Refusal> {
@@ -207,7 +207,7 @@
         return Ok(());
     }
     let min_times = forecast::min_stage_times(route, &head.pieces, |name| table.service(name));
-    let (min_times, queues) = node.paths(route, &head.pieces, &resolved.allowed, &min_times);
+    let (min_times, queues) = node.stage_estimates(route, &head.pieces, &resolved.allowed, &min_times);
     let now = node.now();
     let expected = node.forecast(|f| f.expected(route, &min_times, &queues, resolved.rank, now));
     let objective = Duration::from_millis(route.objective_ms);
@@ -219,7 +219,7 @@
                 node.forecast(|f| f.longest_wait(&min_times, &queues, resolved.rank, now));
             let (longest_service, longest, longest_age) = longest
                 .map_or(("", Duration::ZERO, Duration::ZERO), |l| (&**l.service, l.wait, l.age));
-            node.metrics.stage_refused(longest_service, "door");
+            node.metrics.count_stage_refusal(longest_service, "door");
             Event::Door {
                 id: &head.id,
                 route: &route.name,
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -85,12 +85,12 @@
         if table.rules.version == self.rules_version {
             return self.allowed.clone();
         }
-        self.allowed.and(&table.allowed(&self.head))
+        self.allowed.and(&table.allowed_regions(&self.head))
     }
 
     /// Returns once the allowed regions differ from `from`.
     pub(super) async fn wait_allowed_changed(&self, from: &Allowed) {
-        let mut versions = self.node.versions();
+        let mut versions = self.node.subscribe_version();
         while self.allowed_regions() == *from {
             if versions.changed().await.is_err() {
                 return std::future::pending().await;
@@ -241,7 +241,7 @@
     /// The next target; `None` if the request may not be sent again or no target may get it.
     pub(super) async fn next_target(&self, chosen: Option<Target>) -> Option<Choice> {
         if self.quarantine_hold().is_some() {
-            self.node.metrics.held_back(&self.route.name);
+            self.node.metrics.count_quarantine_refusal(&self.route.name);
             self.progress(|p| p.reason = HELD_REASON.into());
             return None;
         }
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -132,7 +132,7 @@
             left_trial: false,
             is_logged: false,
         };
-        let _open = node.opened();
+        let _open = node.track_request();
         node.quarantine.attempt_started(&admitted.head.id, admitted.fingerprint);
         let deadline = admitted.deadline - RESPONSE_MARGIN;
         let admitted = Admitted { deadline, ..admitted };
@@ -167,7 +167,7 @@
             if let Some(done) = self.node.clock.until(until, work.as_mut()).await {
                 return Some(done);
             }
-            if self.node.has_repeat(&self.service) {
+            if self.node.permits_repeat(&self.service) {
                 return None;
             }
         }
@@ -179,7 +179,7 @@
         let cause = tokio::select! {
             served = self.clone().serve() => return served.unwrap_or_else(|error| error),
             () = self.node.clock.sleep_until(self.deadline) => "deadline exceeded",
-            () = self.node.reached(LifePhase::Ending) => "this node is stopping",
+            () = self.node.wait_for_phase(LifePhase::Ending) => "this node is stopping",
         };
         self.progress(|p| p.reason = format!("{cause}; previously: {}", p.reason));
         self.end_unanswered()
@@ -339,7 +339,7 @@
         let (status, retry_after, outcome) = match ending {
             Ending::NotRun => {
                 if self.unserved_service().is_some() {
-                    self.node.metrics.barred(&self.route.name);
+                    self.node.metrics.count_region_refusal(&self.route.name);
                 }
                 let retry_after = match self.quarantine_hold() {
                     Some(hold) => hold.remaining,
@@ -385,9 +385,9 @@
         let took_ms = self.node.now().since(self.arrived).as_millis() as u64;
         let first_ms =
             p.first_event_at.map_or(took_ms, |at| at.since(self.arrived).as_millis() as u64);
-        self.node.metrics.request(&self.route.name, outcome, status);
-        self.node.metrics.time("request", &self.route.name, took_ms);
-        self.node.metrics.time("first", &self.route.name, first_ms);
+        self.node.metrics.count_answer(&self.route.name, outcome, status);
+        self.node.metrics.record_time("request", &self.route.name, took_ms);
+        self.node.metrics.record_time("first", &self.route.name, first_ms);
         Event::Request {
             id: &self.head.id,
             same: &self.fingerprint.to_string(),
--- a/crates/forward/src/serve/reply.rs
+++ b/crates/forward/src/serve/reply.rs
@@ -35,7 +35,7 @@
     why: &str,
 ) -> Response<Body> {
     let retry_after_ms = retry_after.map(|d| d.as_millis() as u64);
-    let headers = node.dialect.own(id, retry_after_ms);
+    let headers = node.dialect.local_headers(id, retry_after_ms);
     build(status, headers, Bytes::from(format!("{why}\n")))
 }
 
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -14,8 +14,8 @@
 use super::choice::Choice;
 use super::exchange::{ErrorResponse, Exchange};
 use super::stream::{EventReader, StartedStream, StreamError};
-use crate::border::Onward;
-use crate::crossed::{self, Crossing, Kind};
+use crate::border::ForwardContext;
+use crate::crossed::{self, MessageKind, RegionTraffic};
 use crate::events::Event;
 use crate::heard;
 use crate::node::Node;
@@ -132,13 +132,13 @@
         return Outcome::NoResponse;
     }
     exchange.progress(|p| p.attempts.connected());
-    heard::sent(&exchange.node, target);
+    heard::record_send(&exchange.node, target);
     let sent = rollout::sent(&exchange.node, target, &exchange.route.name, 1, exchange.deadline);
     in_flight.sent.clone_from(&sent);
     let request = build_request(exchange, target, results, resume_after);
-    let crossing = Crossing::to_target(&exchange.node, Kind::Request, &target.id);
+    let crossing = RegionTraffic::to_target(&exchange.node, MessageKind::Request, &target.id);
     if let Some(results) = results {
-        crossed::fetched(&exchange.node, &target.id, results.fetched());
+        crossed::count_inputs(&exchange.node, &target.id, results.fetched());
     }
     let work = async {
         match upstream::send_over(socket, target.address, request, crossing).await {
@@ -161,7 +161,7 @@
     results: Option<&Made>,
     resume_after: Option<u64>,
 ) -> hyper::Request<Full<Bytes>> {
-    let onward = Onward {
+    let onward = ForwardContext {
         left_ms: exchange.time_left().as_millis() as u64,
         target: &target.id,
         workspace: exchange.workspace.as_ref(),
@@ -173,7 +173,7 @@
     let mut request = hyper::Request::new(Full::new(received.body.clone()));
     *request.method_mut() = received.method.clone();
     *request.uri_mut() = received.uri.clone();
-    *request.headers_mut() = exchange.node.dialect.onward(&received.headers, &onward);
+    *request.headers_mut() = exchange.node.dialect.forward_headers(&received.headers, &onward);
     request
 }
 
@@ -189,7 +189,7 @@
     async fn handle_response(&self, answer: Answer, in_flight: InFlightGuard) -> Outcome {
         let Answer { response, connection } = answer;
         let (head, body) = response.into_parts();
-        let answer_head = self.exchange.node.dialect.answer(&head);
+        let answer_head = self.exchange.node.dialect.read_answer(&head);
         let is_matching = answer_head.id.as_deref() == Some(self.exchange.head.id.as_str());
         if !is_matching && !answer_head.not_run && !answer_head.misdirected {
             return self.may_have_run("answer has the id of another request".into());
@@ -199,7 +199,7 @@
             return self
                 .not_run(Observation::Replaced, "address now belongs to another target".into());
         }
-        heard::take(&self.exchange.node, self.target, &answer_head, self.started_at);
+        heard::record_answer(&self.exchange.node, self.target, &answer_head, self.started_at);
         if answer_head.not_run && answer_head.input_gone {
             self.exchange.progress(|p| p.attempts.record(Execution::Excluded));
             return Outcome::InputLost;
@@ -208,12 +208,12 @@
             let reason = format!("rejected with {}", head.status);
             return self.not_run(Observation::Rejected, reason);
         }
-        if head.status.is_success() && !answer_head.signed {
+        if head.status.is_success() && !answer_head.is_signed {
             in_flight.report_failure();
             return self.may_have_run("answer without signature".into());
         }
         let answer = Answer { response: Response::from_parts(head, body), connection };
-        if answer.response.status().is_success() && answer_head.events {
+        if answer.response.status().is_success() && answer_head.is_event_stream {
             return self.handle_stream(answer, in_flight).await;
         }
         self.handle_complete(answer, in_flight).await
@@ -239,7 +239,7 @@
         };
         self.record_success(&in_flight);
         in_flight.record_prompt_read();
-        let headers = self.exchange.node.dialect.back(&head.headers);
+        let headers = self.exchange.node.dialect.return_headers(&head.headers);
         Outcome::Stream(Box::new(StartedStream {
             status: head.status,
             headers,
@@ -258,7 +258,7 @@
             Err(e) => return self.interrupted(format!("answer was interrupted: {e}")),
         };
         drop(connection);
-        let headers = self.exchange.node.dialect.back(&head.headers);
+        let headers = self.exchange.node.dialect.return_headers(&head.headers);
         let status = head.status;
         if status.is_server_error() {
             in_flight.report_failure();
--- a/crates/forward/src/watch/feed.rs
+++ b/crates/forward/src/watch/feed.rs
@@ -14,7 +14,7 @@
 use super::ages::{Age, Ages};
 use super::millis;
 use super::snapshot::SnapshotCache;
-use crate::border::Kind;
+use crate::border::ObjectKind;
 use crate::events::Event;
 
 /// Age beyond which the state is stale for a follower, which then switches to another peer.
@@ -22,7 +22,7 @@
 /// Additional age allowed for lists, whose watches last this much longer than those of targets.
 const LIST_AGE_ALLOWANCE: Duration = Duration::from_millis(500);
 /// Kinds that operators maintain as lists.
-const LIST_KINDS: [Kind; 2] = [Kind::Evacuations, Kind::Rollouts];
+const LIST_KINDS: [ObjectKind; 2] = [ObjectKind::Evacuations, ObjectKind::Rollouts];
 
 /// State of the targets: revision, recent changes and age.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
 
 impl Feed {
     /// Makes a list part of the state.
-    pub fn follow(&self, kind: Kind) {
+    pub fn follow(&self, kind: ObjectKind) {
         self.ages.clear(kind);
     }
 
@@ -78,19 +78,20 @@
     pub fn age(&self, now: Time) -> Duration {
         let lists_at =
             LIST_KINDS.map(|kind| self.ages.confirmed(kind).map(|at| at + LIST_AGE_ALLOWANCE));
-        let oldest = lists_at.into_iter().fold(self.ages.confirmed(Kind::Targets), Option::min);
+        let oldest =
+            lists_at.into_iter().fold(self.ages.confirmed(ObjectKind::Targets), Option::min);
         oldest.map_or(Duration::MAX, |at| now.since(at))
     }
 
     /// Age of one kind; `None` if it was never confirmed or is not followed.
-    pub fn age_of(&self, kind: Kind, now: Time) -> Option<Age> {
+    pub fn age_of(&self, kind: ObjectKind, now: Time) -> Option<Age> {
         let is_followed = self.ages.confirmed(kind) != Some(Time::NEVER);
         self.ages.age(kind, now).filter(|_| is_followed)
     }
 
     /// Logs the kinds that have become stale or fresh again since the last call.
     pub fn log_stale_kinds(&self, now: Time) {
-        for kind in Kind::AGED {
+        for kind in ObjectKind::AGE_TRACKED {
             if let Some((old, age)) = self.ages.take_transition(kind, now) {
                 let (age_ms, longest_ms) = (millis(age.current), millis(age.max));
                 Event::Known { kind: kind.as_str(), old, age_ms, longest_ms }.emit();
@@ -119,7 +120,7 @@
     /// Records that a peer's state was confirmed at `at`. The peer reduced its age by the allowance
     /// for lists, so they count as confirmed that much earlier.
     pub fn confirm_all(&self, at: Time, now: Time) {
-        self.confirm(Kind::Targets, at, now);
+        self.confirm(ObjectKind::Targets, at, now);
         for kind in LIST_KINDS {
             self.confirm(kind, at - LIST_AGE_ALLOWANCE, now);
         }
@@ -127,7 +128,7 @@
 
     /// Records that the store confirmed a kind at `at`, and notifies followers if the state is no
     /// longer stale.
-    pub fn confirm(&self, kind: Kind, at: Time, now: Time) {
+    pub fn confirm(&self, kind: ObjectKind, at: Time, now: Time) {
         let was_stale = Feed::is_stale(self.age(now));
         self.ages.confirm(kind, at, now);
         if was_stale && !Feed::is_stale(self.age(now)) {
--- a/crates/forward/src/watch/lists.rs
+++ b/crates/forward/src/watch/lists.rs
@@ -10,7 +10,7 @@
 
 use super::backoff::Backoff;
 use super::store::{NO_WAIT, ReadError, Reader, StoreUpdate};
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::node::Node;
 
 /// Maximum jitter of the delay after a failed call.
@@ -22,7 +22,7 @@
 /// Kind of object that is followed as a list.
 pub(super) trait ListKind {
     /// Kind in the store.
-    const KIND: Kind;
+    const KIND: ObjectKind;
     /// Stored form of an object.
     type Object;
 
@@ -61,7 +61,7 @@
             Err(e) if e.is_history_gone() => list.restart(),
             Err(_) => {
                 backoff.wait(&node, MAX_RETRY_DELAY).await;
-                let _ = tokio::time::timeout(OUTAGE_WAIT, node.store_reached()).await;
+                let _ = tokio::time::timeout(OUTAGE_WAIT, node.wait_for_store()).await;
             }
         }
     }
--- a/crates/forward/src/watch/rollouts.rs
+++ b/crates/forward/src/watch/rollouts.rs
@@ -12,7 +12,7 @@
 
 use super::lists::ListKind;
 use super::relays;
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::events::Event;
 use crate::node::Node;
 use crate::peers;
@@ -28,14 +28,14 @@
 const MAX_ASKED_PEERS: usize = 3;
 
 impl ListKind for Rollouts {
-    const KIND: Kind = Kind::Rollouts;
+    const KIND: ObjectKind = ObjectKind::Rollouts;
     type Object = Rollout;
 
     fn entry(change: Change) -> Option<(Name, Entry<Rollout>)> {
         match change {
             Change::Rollout(order) => Some((order.service.clone(), Entry::Present(order))),
             Change::Unreadable(service) => Some((service, Entry::Unreadable)),
-            Change::Gone(service) => Some((service, Entry::Removed)),
+            Change::Removed(service) => Some((service, Entry::Removed)),
             Change::Rules(_) | Change::Target(_) | Change::Evacuated(_) | Change::Held(_) => None,
         }
     }
@@ -87,7 +87,7 @@
     for peer in relays(node).peers.iter().take(MAX_ASKED_PEERS) {
         let response = peers::follow(node, &client, peer.entry, &ask, None, ASK_TIMEOUT);
         let answer = match response.await {
-            Ok(response) if !node.is_current(response.epoch) => continue,
+            Ok(response) if !node.is_current_epoch(response.epoch) => continue,
             Ok(response) => response.answer,
             Err(e) => {
                 log::debug!("orders: query of a peer failed: {e}");
--- a/crates/forward/src/watch/rules.rs
+++ b/crates/forward/src/watch/rules.rs
@@ -10,7 +10,7 @@
 use super::backoff::Backoff;
 use super::relays;
 use super::store::{Reader, StoreUpdate};
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::node::Node;
 
 /// Maximum jitter of a relay's delay after a failed call.
@@ -20,7 +20,7 @@
 
 /// Follows the rules until the process ends.
 pub async fn follow(node: Rc<Node>) {
-    let mut reader = Reader::new(node.clone(), Kind::Rules);
+    let mut reader = Reader::new(node.clone(), ObjectKind::Rules);
     let mut since = None;
     let mut backoff = Backoff::default();
     loop {
@@ -53,11 +53,11 @@
     for change in update.changes {
         // Rules are only ever replaced, never deleted.
         if let Change::Rules(rules) = change {
-            node.adopt(*rules, "store");
+            node.adopt_rules(*rules, "store");
         }
     }
     if !is_truncated {
         let now = node.now();
-        node.feed.confirm(Kind::Rules, now, now);
+        node.feed.confirm(ObjectKind::Rules, now, now);
     }
 }
--- a/crates/forward/src/watch/store.rs
+++ b/crates/forward/src/watch/store.rs
@@ -9,7 +9,7 @@
 use model::Name;
 use util::http::{CallError, CallKind, Client};
 
-use crate::border::{BadEntry, Change, Kind, Malformed, Page};
+use crate::border::{BadEntry, Change, Malformed, ObjectKind, Page};
 use crate::events::Event;
 use crate::node::Node;
 
@@ -90,7 +90,7 @@
         if let Change::Unreadable(name) = change {
             names.remove(name);
         }
-        names.extend(change.read_name());
+        names.extend(change.entry_name());
     }
     names
 }
@@ -99,7 +99,7 @@
 pub struct Reader {
     node: Rc<Node>,
     client: Client,
-    kind: Kind,
+    kind: ObjectKind,
     failed: bool,
     unreadable: UnreadableEntries,
     /// Epoch of the state from which watches continue.
@@ -108,7 +108,7 @@
 
 impl Reader {
     /// Creates a reader without any state.
-    pub fn new(node: Rc<Node>, kind: Kind) -> Self {
+    pub fn new(node: Rc<Node>, kind: ObjectKind) -> Self {
         let unreadable = UnreadableEntries::default();
         let client = Client::new(CONNECT_TIMEOUT);
         Reader { node, client, kind, failed: false, unreadable, epoch: None }
@@ -163,7 +163,7 @@
         if !std::mem::replace(&mut self.failed, true) {
             Event::Store { kind: self.kind.as_str(), reachable: false, why }.emit();
         }
-        self.node.store_lost();
+        self.node.store_failed();
         // A new client drops connections that hang after a network partition.
         self.client = Client::new(CONNECT_TIMEOUT);
     }
@@ -180,8 +180,9 @@
                 None if update.is_snapshot => EntryKey::ListIndex(entry.place.as_str().into()),
                 None => EntryKey::ChangeIndex(entry.place.as_str().into()),
             };
-            if let Some(untold) = self.unreadable.record(place, &entry.why.as_str().into(), now) {
-                let (kind, place, why) = (self.kind.as_str(), &entry.place, &entry.why);
+            if let Some(untold) = self.unreadable.record(place, &entry.reason.as_str().into(), now)
+            {
+                let (kind, place, why) = (self.kind.as_str(), &entry.place, &entry.reason);
                 Event::Unreadable { kind, place, why, untold }.emit();
             }
         }
@@ -191,17 +192,17 @@
         if let Some(Change::Rules(_)) = update.changes.last() {
             self.unreadable.clear_named();
         }
-        self.node.metrics.unreadable(self.kind.as_str(), self.unreadable.count());
+        self.node.metrics.set_unreadable(self.kind.as_str(), self.unreadable.count());
     }
 
     /// Returns the epoch of the store and the body of an answer.
     async fn get(&self, path: &str, timeout: Duration) -> Result<(Option<u64>, Bytes), CallError> {
-        self.node.metrics.store_call(self.kind.as_str());
+        self.node.metrics.count_store_call(self.kind.as_str());
         let store = self.node.settings().store.to_string();
         let answer = self.client.get(&store, path, timeout).await?;
         let epoch = self.node.dialect.epoch(answer.headers());
         if let Some(epoch) = epoch {
-            self.node.saw_epoch(epoch, EPOCH_SOURCE);
+            self.node.observe_epoch(epoch, EPOCH_SOURCE);
         }
         Ok((epoch, answer.into_body()))
     }
@@ -234,24 +235,24 @@
         let mut cursors = BTreeSet::new();
         loop {
             let path = match allow_stale {
-                true => dialect.old_list(self.kind, after.as_ref()),
-                false => dialect.list(self.kind, after.as_ref()),
+                true => dialect.stale_list_path(self.kind, after.as_ref()),
+                false => dialect.list_path(self.kind, after.as_ref()),
             };
             let (epoch, body) = self.get_page(&path).await?;
-            let page = dialect.page(self.kind, &body)?;
-            if !self.node.is_current(epoch) || (after.is_some() && epoch != update.epoch) {
+            let page = dialect.read_page(self.kind, &body)?;
+            if !self.node.is_current_epoch(epoch) || (after.is_some() && epoch != update.epoch) {
                 return Err(ReadError::Restored);
             }
             if after.is_none() {
                 update.epoch = epoch;
                 // A watch from the first page's revision repeats changes made between two pages.
-                update.revision = page.at;
+                update.revision = page.revision;
             }
             update.changes.extend(page.changes);
             update.malformed.extend(page.malformed);
-            match page.more {
+            match page.continue_after {
                 Some(name) if cursors.insert(name.clone()) => after = Some(name),
-                None if !page.cut => return Ok(update),
+                None if !page.truncated => return Ok(update),
                 // Entries may have arbitrary names. The page after a name that was already used
                 // as a cursor has been read.
                 Some(_) | None => return Ok(update.into_truncated()),
@@ -281,16 +282,16 @@
         wait: Duration,
         timeout: Duration,
     ) -> Result<StoreUpdate, ReadError> {
-        let path = self.node.dialect.watch(self.kind, since, wait.as_millis() as u64);
+        let path = self.node.dialect.watch_path(self.kind, since, wait.as_millis() as u64);
         let (epoch, body) = self.get(&path, timeout).await?;
         if epoch.is_some() && epoch != self.epoch {
             // Its revisions belong to another history than this node's state.
             return Err(ReadError::Restored);
         }
-        let page = self.node.dialect.changes(self.kind, &body)?;
+        let page = self.node.dialect.read_changes(self.kind, &body)?;
         let Page { changes, malformed, .. } = page;
         Ok(StoreUpdate {
-            revision: page.at.max(since),
+            revision: page.revision.max(since),
             epoch,
             is_snapshot: false,
             truncated: false,
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -19,7 +19,7 @@
 use super::snapshot::{SNAPSHOT_TTL, SnapshotKey};
 use super::store::{Reader, StoreUpdate};
 use super::{evacuations, millis, relays, rollouts};
-use crate::border::{Change, Kind};
+use crate::border::{Change, ObjectKind};
 use crate::events::Event;
 use crate::node::Node;
 use crate::peers::{self, FollowResponse};
@@ -56,7 +56,7 @@
 
 impl Follower {
     fn new(node: Rc<Node>) -> Self {
-        let reader = Reader::new(node.clone(), Kind::Targets);
+        let reader = Reader::new(node.clone(), ObjectKind::Targets);
         let sources = Sources::default();
         let client = Client::new(peers::CONNECT_TIMEOUT);
         Follower {
@@ -169,9 +169,9 @@
         let age = Duration::from_millis(answer.age_ms);
         let rules_age = Duration::from_millis(answer.rules_age_ms);
         if let Some(epoch) = epoch {
-            node.saw_epoch(epoch, &peer.id.name);
+            node.observe_epoch(epoch, &peer.id.name);
         }
-        let is_current = node.is_current(epoch);
+        let is_current = node.is_current_epoch(epoch);
         let is_stale = answer.out_of_touch || Feed::is_stale(age) || !is_current;
         if is_stale {
             self.sources.relay_stale(&peer.id, now);
@@ -190,7 +190,7 @@
             peers::fetch_rules(&node, &self.client, peer.entry).await;
         }
         if rules <= node.table().rules.version {
-            node.feed.confirm(Kind::Rules, now - rules_age, now);
+            node.feed.confirm(ObjectKind::Rules, now - rules_age, now);
         }
     }
 
@@ -235,7 +235,7 @@
     let StoreUpdate { revision, epoch, is_snapshot, truncated, changes, .. } = update;
     let epoch = epoch.unwrap_or(node.feed.epoch());
     let changes: Vec<TargetChange> = changes.into_iter().filter_map(target_change).collect();
-    let grace = node.doubt(|d| d.read_from_store(now));
+    let grace = node.outage_grace(|d| d.read_from_store(now));
     let is_new_state =
         truncated && (node.feed.revision() != Some(revision) || node.feed.epoch() != epoch);
     if is_snapshot {
@@ -246,11 +246,11 @@
     if is_new_state {
         // The store may hold more, but what is known can be used, and followers can get no more.
         node.feed.restart(epoch, revision);
-        node.know_targets();
+        node.mark_targets_known();
     }
     // This holds for a truncated list too: what was read is current, and followers that took this
     // node for stale would find no other node that knows more.
-    node.feed.confirm(Kind::Targets, now, now);
+    node.feed.confirm(ObjectKind::Targets, now, now);
 }
 
 /// Applies an answer from a peer.
@@ -272,7 +272,7 @@
         rollouts::apply(node, list, from);
     }
     let now = node.now();
-    let grace = || node.doubt(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
+    let grace = || node.outage_grace(|d| d.read_from_peer(Duration::from_millis(doubt_ms), now));
     match news {
         TargetNews::Unknown => return,
         TargetNews::Whole(list) => apply_snapshot(node, epoch, revision, list, grace()),
@@ -287,9 +287,9 @@
     let now = node.now();
     let services: BTreeSet<Name> = list.targets.iter().map(|t| t.service.clone()).collect();
     node.fleet(|f| f.replace(list, grace, now));
-    services.iter().for_each(|service| node.maker_came(service));
+    services.iter().for_each(|service| node.worker_added(service));
     node.feed.restart(epoch, revision);
-    node.know_targets();
+    node.mark_targets_known();
 }
 
 fn apply_changes(node: &Node, revision: u64, changes: Vec<TargetChange>, grace: Option<Time>) {
@@ -304,7 +304,7 @@
                     _ => "ready",
                 };
                 if node.fleet(|f| f.upsert(target.clone(), now)) {
-                    node.maker_came(&target.service);
+                    node.worker_added(&target.service);
                     Event::Target { target: &target.id.name, service: &target.service, state }
                         .emit();
                 }
@@ -326,7 +326,7 @@
 fn target_change(change: Change) -> Option<TargetChange> {
     match change {
         Change::Target(target) => Some(TargetChange::Now(target)),
-        Change::Gone(id) => Some(TargetChange::Gone(id)),
+        Change::Removed(id) => Some(TargetChange::Gone(id)),
         Change::Unreadable(name) => Some(TargetChange::Unreadable(name)),
         Change::Rules(_) | Change::Evacuated(_) | Change::Rollout(_) | Change::Held(_) => None,
     }
@@ -417,13 +417,14 @@
     ttl: Duration,
 ) -> FollowAnswer {
     let now = node.now();
-    let rules_age = node.feed.age_of(Kind::Rules, now);
+    let rules_age = node.feed.age_of(ObjectKind::Rules, now);
     let rollouts = node.fleet(|f| {
         let versions = f.versions();
         let is_newer = versions.is_current() && versions.revision() > known_rollouts;
         is_newer.then(|| versions.list()).flatten()
     });
-    let grace = node.doubt(|d| d.until(now)).map(|until| until.since(now).saturating_sub(ttl));
+    let grace =
+        node.outage_grace(|d| d.until(now)).map(|until| until.since(now).saturating_sub(ttl));
     FollowAnswer {
         at: node.feed.revision().unwrap_or(0),
         age_ms: millis(node.feed.age(now).saturating_add(ttl)),
