--- a/crates/forward/src/limits/ask.rs
+++ b/crates/forward/src/limits/ask.rs
@@ -124,7 +124,8 @@
 ) -> Result<Grant, CallError> {
     // A pooled connection may be dead after a timeout.
     let unresponsive = &node.limits.unresponsive;
-    let fresh = unresponsive.failed_recently(&peer.id, node.now()).then(|| Client::new(PERMIT_TIMEOUT));
+    let fresh =
+        unresponsive.failed_recently(&peer.id, node.now()).then(|| Client::new(PERMIT_TIMEOUT));
     let client = fresh.as_ref().unwrap_or(&node.client);
     let answer = peers::call_named(node, client, peer.entry, PERMIT, ask, PERMIT_TIMEOUT).await;
     let now = node.now();
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -207,7 +207,8 @@
         return Ok(());
     }
     let min_times = forecast::min_stage_times(route, &head.pieces, |name| table.service(name));
-    let (min_times, queues) = node.stage_estimates(route, &head.pieces, &resolved.allowed, &min_times);
+    let (min_times, queues) =
+        node.stage_estimates(route, &head.pieces, &resolved.allowed, &min_times);
     let now = node.now();
     let expected = node.forecast(|f| f.expected(route, &min_times, &queues, resolved.rank, now));
     let objective = Duration::from_millis(route.objective_ms);
