--- a/crates/forward/src/events/gate.rs
+++ b/crates/forward/src/events/gate.rs
@@ -2,11 +2,11 @@
 //! larger allowance than those of what went well.
 
 /// Lines a second of what went well.
-const PLAIN: f64 = 150.0;
+const ROUTINE_RATE: f64 = 150.0;
 /// Lines a second of failures and beliefs.
-const WEIGHTY: f64 = 600.0;
+const IMPORTANT_RATE: f64 = 600.0;
 /// Seconds whose allowance may be used at once.
-const BURST: f64 = 2.0;
+const BURST_SECONDS: f64 = 2.0;
 
 #[derive(Debug)]
 struct Bucket {
@@ -16,11 +16,11 @@
 
 impl Bucket {
     fn new(rate: f64) -> Self {
-        Bucket { rate, tokens: rate * BURST }
+        Bucket { rate, tokens: rate * BURST_SECONDS }
     }
 
-    fn take(&mut self, seconds: f64) -> bool {
-        self.tokens = (self.tokens + seconds * self.rate).min(self.rate * BURST);
+    fn try_take(&mut self, seconds: f64) -> bool {
+        self.tokens = (self.tokens + seconds * self.rate).min(self.rate * BURST_SECONDS);
         if self.tokens < 1.0 {
             return false;
         }
@@ -31,30 +31,34 @@
 
 /// Lets lines through up to a rate.
 #[derive(Debug)]
-pub struct Gate {
-    plain: Bucket,
-    weighty: Bucket,
+pub struct RateLimiter {
+    routine: Bucket,
+    important: Bucket,
     last_ms: u64,
 }
 
-impl Default for Gate {
+impl Default for RateLimiter {
     fn default() -> Self {
-        Gate { plain: Bucket::new(PLAIN), weighty: Bucket::new(WEIGHTY), last_ms: 0 }
+        RateLimiter {
+            routine: Bucket::new(ROUTINE_RATE),
+            important: Bucket::new(IMPORTANT_RATE),
+            last_ms: 0,
+        }
     }
 }
 
-impl Gate {
+impl RateLimiter {
     /// Whether a line may be written now.
-    pub fn pass(&mut self, weighty: bool, now_ms: u64) -> bool {
+    pub fn allow(&mut self, important: bool, now_ms: u64) -> bool {
         let seconds = now_ms.saturating_sub(self.last_ms) as f64 / 1000.0;
         self.last_ms = now_ms;
         // Time passes for both.
-        let (one, other) = if weighty {
-            (&mut self.weighty, &mut self.plain)
+        let (used, other) = if important {
+            (&mut self.important, &mut self.routine)
         } else {
-            (&mut self.plain, &mut self.weighty)
+            (&mut self.routine, &mut self.important)
         };
-        other.tokens = (other.tokens + seconds * other.rate).min(other.rate * BURST);
-        one.take(seconds)
+        other.tokens = (other.tokens + seconds * other.rate).min(other.rate * BURST_SECONDS);
+        used.try_take(seconds)
     }
 }
--- a/crates/forward/src/events/kinds.rs
+++ b/crates/forward/src/events/kinds.rs
@@ -285,11 +285,11 @@
 }
 
 /// Outcomes of requests that ended as their callers wished.
-const WELL: [&str; 2] = ["answered", "streamed"];
+const SUCCESSFUL: [&str; 2] = ["answered", "streamed"];
 
 impl<'a> Event<'a> {
     /// The line of a judgement.
-    pub fn judged(
+    pub fn rollout_judged(
         service: &'a str,
         version: &'a str,
         whom: &'a str,
@@ -314,9 +314,9 @@
 
 impl Event<'_> {
     /// Whether the line tells of a failure or a change of belief, which are kept first.
-    pub fn is_weighty(&self) -> bool {
+    pub fn is_important(&self) -> bool {
         match self {
-            Event::Request { outcome, .. } => !WELL.contains(outcome),
+            Event::Request { outcome, .. } => !SUCCESSFUL.contains(outcome),
             Event::Stage { made, .. } => !made,
             Event::Call { pieces, made, .. } => made < pieces,
             Event::Permit { after_ms, .. } => after_ms.is_some(),
--- a/crates/forward/src/events/writer.rs
+++ b/crates/forward/src/events/writer.rs
@@ -8,13 +8,13 @@
 use serde::Serialize;
 use util::clock::Clock;
 
-use super::gate::Gate;
+use super::gate::RateLimiter;
 use super::kinds::Event;
 
 /// Lines that may wait to be written.
-const QUEUE: usize = 2048;
+const QUEUE_LINES: usize = 2048;
 /// Stack of the writer's thread.
-const STACK: usize = 128 << 10;
+const STACK_BYTES: usize = 128 << 10;
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -27,7 +27,7 @@
 struct Sink {
     node: Name,
     clock: Clock,
-    gate: Gate,
+    limiter: RateLimiter,
     lines: SyncSender<String>,
     dropped: u64,
 }
@@ -38,13 +38,13 @@
 
 /// Starts the writer; events of this thread go to it from now on.
 pub fn install(node: Name, clock: Clock) -> anyhow::Result<()> {
-    let (lines, waiting) = sync_channel(QUEUE);
+    let (lines, receiver) = sync_channel(QUEUE_LINES);
     std::thread::Builder::new()
         .name("log".into())
-        .stack_size(STACK)
-        .spawn(move || write(waiting))
+        .stack_size(STACK_BYTES)
+        .spawn(move || write(receiver))
         .context("could not start the log's thread")?;
-    let sink = Sink { node, clock, gate: Gate::default(), lines, dropped: 0 };
+    let sink = Sink { node, clock, limiter: RateLimiter::default(), lines, dropped: 0 };
     SINK.with_borrow_mut(|s| *s = Some(sink));
     Ok(())
 }
@@ -60,26 +60,26 @@
     pub fn emit(&self) {
         SINK.with_borrow_mut(|sink| {
             if let Some(sink) = sink {
-                sink.take(self);
+                sink.write_event(self);
             }
         });
     }
 }
 
 impl Sink {
-    fn take(&mut self, event: &Event<'_>) {
+    fn write_event(&mut self, event: &Event<'_>) {
         let at_ms = self.clock.now().0 / 1000;
-        let passes = self.gate.pass(event.is_weighty(), at_ms);
-        if !passes || !self.queue(at_ms, event) {
+        let is_allowed = self.limiter.allow(event.is_important(), at_ms);
+        if !is_allowed || !self.enqueue(at_ms, event) {
             self.dropped += 1;
             return;
         }
-        if self.dropped > 0 && self.queue(at_ms, &Event::Dropped { lines: self.dropped }) {
+        if self.dropped > 0 && self.enqueue(at_ms, &Event::Dropped { lines: self.dropped }) {
             self.dropped = 0;
         }
     }
 
-    fn queue(&self, at_ms: u64, event: &Event<'_>) -> bool {
+    fn enqueue(&self, at_ms: u64, event: &Event<'_>) -> bool {
         let line = Line { at_ms, node: &self.node, event };
         let text = serde_json::to_string(&line).expect("events have string keys");
         self.lines.try_send(text).is_ok()
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -27,7 +27,7 @@
 use crate::rollout::{self, LocalRollouts};
 use crate::rules::Table;
 use crate::settings::Settings;
-use crate::stages::Pools;
+use crate::stages::LocalCoordinators;
 use crate::watch::Feed;
 
 /// Names of routes, workspaces or regions in one log line, at most.
@@ -52,7 +52,7 @@
     /// Peers and the coordinators among them.
     pub peers: Peers,
     /// Coordinators of stage services at this node.
-    pub pools: Pools,
+    pub pools: LocalCoordinators,
     /// Schedulers of prompts at this node.
     pub schedulers: Schedulers,
     /// Requests under which targets ended.
@@ -95,7 +95,7 @@
                 settings.host.capacity(),
                 regions,
             ),
-            pools: Pools::default(),
+            pools: LocalCoordinators::default(),
             schedulers: Schedulers::default(),
             quarantine: LocalQuarantine::default(),
             limits: LocalLimits::default(),
@@ -326,7 +326,7 @@
     pub fn figures(&self) -> String {
         self.metrics.text(Now {
             open: self.open(),
-            orders: self.pools.open(),
+            orders: self.pools.open_orders(),
             rules: self.table.borrow().rules.version,
             unserved: self.unserved().len(),
             peers: self.peers.roster(|r| r.count()),
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -14,8 +14,8 @@
 use crate::ingress::small;
 use crate::limits;
 use crate::node::Node;
-use crate::rollout::{self, Written};
-use crate::stages::{self, NotMade};
+use crate::rollout::{self, WriteOutcome};
+use crate::stages::{self, OrderError};
 use crate::watch;
 
 /// Path of batch orders.
@@ -121,17 +121,17 @@
 
 async fn rollout(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
     let report = message(request, "not a report").await?;
-    let answer = rollout::judge(node, report);
+    let answer = rollout::handle_report(node, report);
     let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such order"))?;
     Ok(rmp(&answer))
 }
 
 async fn rollout_state(node: &Rc<Node>, request: Request<Incoming>) -> Answered {
     let RemoteState { order, state } = message(request, "not an order's state").await?;
-    let stands = match rollout::at_store(node, &order, state).await {
-        Written::Stands => Some(true),
-        Written::Not => Some(false),
-        Written::Unknown => None,
+    let stands = match rollout::write_to_store(node, &order, state).await {
+        WriteOutcome::Applied => Some(true),
+        WriteOutcome::Conflict => Some(false),
+        WriteOutcome::Unknown => None,
     };
     Ok(rmp(&stands))
 }
@@ -182,10 +182,12 @@
     if node.is_stopping() {
         return Err(stopping());
     }
-    match stages::take(node, order).await {
+    match stages::handle_order(node, order).await {
         Ok(answer) => Ok(rmp(&answer)),
-        Err(NotMade::Moved) if node.is_stopping() => Err(stopping()),
-        Err(NotMade::Moved) => Err(text(StatusCode::CONFLICT, "another node comes first")),
-        Err(NotMade::NoService) => Err(text(StatusCode::NOT_FOUND, "no such stage service")),
+        Err(OrderError::HandedOver) if node.is_stopping() => Err(stopping()),
+        Err(OrderError::HandedOver) => Err(text(StatusCode::CONFLICT, "another node comes first")),
+        Err(OrderError::UnknownService) => {
+            Err(text(StatusCode::NOT_FOUND, "no such stage service"))
+        }
     }
 }
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -11,68 +11,68 @@
     Allowed, Rollout, RolloutAnswer, RolloutId, RolloutReport, RolloutState, Side,
 };
 
-use super::{report, running, take_phase, write};
+use super::{apply_phase, report, running_order, write};
 use crate::border::Kind;
 use crate::events::Event;
 use crate::node::Node;
 use crate::watch::Backoff;
 
 /// Time without a report after which a node that does not come first judges no longer.
-const REST: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest wait after a write that failed.
-const RETRY_LONGEST: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// Time between looks at whether the store has confirmed the orders since a write.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An order that this node judges.
-pub struct Judging {
+pub struct LocalJudge {
     machine: RefCell<Judge>,
     /// The order as the machine last heard of it.
     order: RefCell<Rollout>,
     /// When a node last reported.
-    heard: Cell<Time>,
+    last_report: Cell<Time>,
 }
 
-impl Judging {
+impl LocalJudge {
     /// What names the order.
     fn id(&self) -> RolloutId {
         self.machine.borrow().id()
     }
 
     /// Whether the order has come to its end, as the machine knows.
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.machine.borrow().next_tick(Time::ZERO) == Time::NEVER
     }
 
     /// Whether this is the judging of an order. One that has come to its end stays that until
     /// this node hears of another order: the store may tell it of the end seconds later, and a
     /// judge that began anew would know nothing.
-    fn judges(&self, order: &Rollout) -> bool {
+    fn covers(&self, order: &Rollout) -> bool {
         let own = self.order.borrow();
         let is_same = own.version == order.version && !order.is_anew(&own);
-        is_same && (!self.is_over() || order.revision <= own.revision)
+        is_same && (!self.is_finished() || order.revision <= own.revision)
     }
 }
 
 /// Takes what a node saw; `None` if its order does not run as far as this one knows.
-pub fn judge(node: &Rc<Node>, report: RolloutReport) -> Option<RolloutAnswer> {
+pub fn handle_report(node: &Rc<Node>, report: RolloutReport) -> Option<RolloutAnswer> {
     let own = node.fleet(|f| f.versions().order_id(&report.order.service))?;
-    let order = running(node, &own).filter(|_| own.is_alike(&report.order))?;
-    let judging = judging(node, order)?;
+    let order = running_order(node, &own).filter(|_| own.is_alike(&report.order))?;
+    let judge = get_or_start(node, order)?;
     if report.node != node.peers.id {
-        judging.heard.set(node.now());
+        judge.last_report.set(node.now());
     }
     let asked = report.order.clone();
-    feed(node, &judging, JudgeEvent::Report(report));
-    let answer = judging.machine.borrow().answer(node.now());
+    handle_event(node, &judge, JudgeEvent::Report(report));
+    let answer = judge.machine.borrow().answer(node.now());
     Some(answer).filter(|answer| answer.order.is_same(&asked))
 }
 
 /// The judging of an order, begun if there is none.
-fn judging(node: &Rc<Node>, order: Rollout) -> Option<Rc<Judging>> {
-    let held = node.rollouts.judging.borrow().get(&order.service).cloned();
-    if let Some(judging) = held.filter(|j| j.judges(&order)) {
-        return Some(judging);
+fn get_or_start(node: &Rc<Node>, order: Rollout) -> Option<Rc<LocalJudge>> {
+    let existing = node.rollouts.judges.borrow().get(&order.service).cloned();
+    if let Some(judge) = existing.filter(|j| j.covers(&order)) {
+        return Some(judge);
     }
     let settings = node.settings().rollouts?;
     let bounds = Bounds {
@@ -85,132 +85,133 @@
         let versions = f.versions();
         Some((versions.order_id(&order.service)?, versions.age(&order.service, now)?))
     })?;
-    let judging = Rc::new(Judging {
+    let judge = Rc::new(LocalJudge {
         machine: RefCell::new(Judge::new(bounds, order.clone(), id.since, age, now)),
         order: RefCell::new(order.clone()),
-        heard: Cell::new(now),
+        last_report: Cell::new(now),
     });
-    node.rollouts.judging.borrow_mut().insert(order.service, judging.clone());
-    tell_state(node, &judging);
-    tokio::task::spawn_local(tick(node.clone(), judging.clone()));
-    Some(judging)
+    node.rollouts.judges.borrow_mut().insert(order.service, judge.clone());
+    update_state(node, &judge);
+    tokio::task::spawn_local(run_judge(node.clone(), judge.clone()));
+    Some(judge)
 }
 
 /// Keeps the machine's time until the order is over, or others judge it.
-async fn tick(node: Rc<Node>, judging: Rc<Judging>) {
+async fn run_judge(node: Rc<Node>, judge: Rc<LocalJudge>) {
     loop {
         // An order that is over is kept until it is known so here: a judge begun anew would not
         // know what became of it.
         let now = node.now();
-        let at = judging.machine.borrow().next_tick(now).min(now + REST);
+        let at = judge.machine.borrow().next_tick(now).min(now + IDLE_TIMEOUT);
         node.clock.sleep_until(at).await;
-        if !goes_on(&node, &judging) {
+        if !is_needed(&node, &judge) {
             break;
         }
-        if judging.is_over() {
+        if judge.is_finished() {
             continue;
         }
-        tell_order(&node, &judging);
-        tell_state(&node, &judging);
-        feed(&node, &judging, JudgeEvent::Tick);
+        update_order(&node, &judge);
+        update_state(&node, &judge);
+        handle_event(&node, &judge, JudgeEvent::Tick);
     }
-    let mut all = node.rollouts.judging.borrow_mut();
-    all.retain(|_, j| !Rc::ptr_eq(j, &judging));
+    let mut all = node.rollouts.judges.borrow_mut();
+    all.retain(|_, j| !Rc::ptr_eq(j, &judge));
 }
 
-fn goes_on(node: &Node, judging: &Judging) -> bool {
+fn is_needed(node: &Node, judge: &LocalJudge) -> bool {
     let now = node.now();
-    let order = judging.order.borrow();
-    let key = report::key(&order.service);
+    let order = judge.order.borrow();
+    let key = report::ranking_key(&order.service);
     let is_wanted = node.peers.roster(|r| r.coordinates(key.as_str(), now))
-        || now.since(judging.heard.get()) < REST;
-    let runs = || running(node, &judging.id()).is_some_and(|o| judging.judges(&o));
-    is_wanted && is_held(node, judging) && runs()
+        || now.since(judge.last_report.get()) < IDLE_TIMEOUT;
+    let runs = || running_order(node, &judge.id()).is_some_and(|o| judge.covers(&o));
+    is_wanted && is_current(node, judge) && runs()
 }
 
 /// Whether reports of the order still go to this judging.
-fn is_held(node: &Node, judging: &Judging) -> bool {
-    let all = node.rollouts.judging.borrow();
-    all.values().any(|held| std::ptr::eq(&**held, judging))
+fn is_current(node: &Node, judge: &LocalJudge) -> bool {
+    let all = node.rollouts.judges.borrow();
+    all.values().any(|existing| std::ptr::eq(&**existing, judge))
 }
 
 /// Tells the machine of the order if it has changed in the store.
-fn tell_order(node: &Rc<Node>, judging: &Rc<Judging>) {
-    let known = {
-        let order = judging.order.borrow();
-        running(node, &judging.id()).filter(|known| *known != *order)
+fn update_order(node: &Rc<Node>, judge: &Rc<LocalJudge>) {
+    let stored = {
+        let order = judge.order.borrow();
+        running_order(node, &judge.id()).filter(|stored| *stored != *order)
     };
-    if let Some(order) = known {
-        judging.order.replace(order.clone());
-        feed(node, judging, JudgeEvent::Order(order));
+    if let Some(order) = stored {
+        judge.order.replace(order.clone());
+        handle_event(node, judge, JudgeEvent::Order(order));
     }
 }
 
 /// Tells the machine who may have requests at either version, and what each can bear.
-fn tell_state(node: &Rc<Node>, judging: &Rc<Judging>) {
-    let service = judging.order.borrow().service.clone();
+fn update_state(node: &Rc<Node>, judge: &Rc<LocalJudge>) {
+    let service = judge.order.borrow().service.clone();
     let limit = node.cold_limit(&service);
     let now = node.now();
     let count = |side| {
         node.fleet(|f| {
             let is_warm = |b: &&TargetState| limit.is_none_or(|l| !f.is_cold(b, l, now));
             let terms = Terms { allowed: &Allowed::ANY, side };
-            let sound = f.usable(&service, terms, now).filter(|b| !b.is_ejected(now));
-            sound.filter(is_warm).count()
+            let healthy = f.usable(&service, terms, now).filter(|b| !b.is_ejected(now));
+            healthy.filter(is_warm).count()
         })
     };
     let (serving, trial) = (count(Side::Serving), count(Side::Trial));
     // Before all else: a judge that takes an order over late decides by them at once.
-    feed(node, judging, JudgeEvent::Targets { serving, trial });
+    handle_event(node, judge, JudgeEvent::Targets { serving, trial });
     let mut nodes = node.peers.roster(|r| r.ids());
     nodes.push(node.peers.id.clone());
-    feed(node, judging, JudgeEvent::Nodes(nodes));
+    handle_event(node, judge, JudgeEvent::Nodes(nodes));
 }
 
-fn feed(node: &Rc<Node>, judging: &Rc<Judging>, event: JudgeEvent) {
-    let actions = judging.machine.borrow_mut().handle(node.now(), event);
+fn handle_event(node: &Rc<Node>, judge: &Rc<LocalJudge>, event: JudgeEvent) {
+    let actions = judge.machine.borrow_mut().handle(node.now(), event);
     for action in actions {
-        act(node, judging, action);
+        perform(node, judge, action);
     }
 }
 
-fn act(node: &Rc<Node>, judging: &Rc<Judging>, action: JudgeAction) {
-    let order = judging.order.borrow().clone();
+fn perform(node: &Rc<Node>, judge: &Rc<LocalJudge>, action: JudgeAction) {
+    let order = judge.order.borrow().clone();
     match action {
         JudgeAction::Write(state) => {
-            tokio::task::spawn_local(set_state(node.clone(), judging.clone(), order, state));
+            tokio::task::spawn_local(write_state(node.clone(), judge.clone(), order, state));
         }
         JudgeAction::Judged { verdict, age } => {
-            Event::judged(&order.service, &order.version, "all nodes", &verdict, age).emit();
+            Event::rollout_judged(&order.service, &order.version, "all nodes", &verdict, age)
+                .emit();
         }
-        JudgeAction::Phase(phase) => take_phase(node, &judging.id(), phase, "judging"),
+        JudgeAction::Phase(phase) => apply_phase(node, &judge.id(), phase, "judging"),
     }
 }
 
 /// Writes a state. Where that fails, the machine goes on by the order as the store has it
 /// since: the write may have been done all the same, or be done yet, but never after another
 /// one, since all are for the same revision.
-async fn set_state(node: Rc<Node>, judging: Rc<Judging>, order: Rollout, state: RolloutState) {
-    let stands = write::set(&node, &order, state).await;
-    if !stands {
+async fn write_state(node: Rc<Node>, judge: Rc<LocalJudge>, order: Rollout, state: RolloutState) {
+    let applied = write::set_order_state(&node, &order, state).await;
+    if !applied {
         let ended = node.now();
-        Backoff::default().failed(&node, RETRY_LONGEST).await;
-        while is_held(&node, &judging) && !is_confirmed_since(&node, ended) {
-            tokio::time::sleep(LOOK).await;
+        Backoff::default().failed(&node, MAX_BACKOFF).await;
+        while is_current(&node, &judge) && !is_confirmed_since(&node, ended) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     // Who judges no longer gets no reports, and must not write by old ones.
-    if !is_held(&node, &judging) {
+    if !is_current(&node, &judge) {
         return;
     }
-    feed(&node, &judging, JudgeEvent::WriteEnded(stands));
-    if stands {
+    handle_event(&node, &judge, JudgeEvent::WriteEnded(applied));
+    if applied {
         return;
     }
-    let known = running(&node, &judging.id());
-    if let Some(order) = known.filter(|known| judging.judges(known)) {
-        judging.order.replace(order.clone());
-        feed(&node, &judging, JudgeEvent::Order(order));
+    let stored = running_order(&node, &judge.id());
+    if let Some(order) = stored.filter(|stored| judge.covers(stored)) {
+        judge.order.replace(order.clone());
+        handle_event(&node, &judge, JudgeEvent::Order(order));
     }
 }
 
--- a/crates/forward/src/rollout/mod.rs
+++ b/crates/forward/src/rollout/mod.rs
@@ -19,40 +19,40 @@
 
 use crate::events::Event;
 use crate::node::Node;
-use judge::Judging;
-use stalls::Stalls;
+use judge::LocalJudge;
+use stalls::StallDetector;
 
-pub use held::Held;
-pub use judge::judge;
-pub use report::run;
-pub use sent::{Sent, sent};
+pub use held::NeededResults;
+pub use judge::handle_report;
+pub use report::run_reports;
+pub use sent::{TrackedSend, track_send};
 pub use stalls::watch as watch_stalls;
-pub use write::{Written, at_store};
+pub use write::{WriteOutcome, write_to_store};
 
 /// What this node holds of roll-outs besides the orders.
 #[derive(Default)]
 pub struct LocalRollouts {
     evidence: RefCell<Evidence>,
-    judging: RefCell<BTreeMap<Name, Rc<Judging>>>,
+    judges: RefCell<BTreeMap<Name, Rc<LocalJudge>>>,
     /// Results at their makers that requests of this node still need.
-    pub held: Held,
-    stalls: Stalls,
+    pub needed_results: NeededResults,
+    stalls: StallDetector,
     changed: Notify,
 }
 
 impl LocalRollouts {
     /// An order came, changed or went.
-    pub fn changed(&self, change: &RolloutChange, now: Time) {
-        let is_anew = match change {
+    pub fn handle_change(&self, change: &RolloutChange, now: Time) {
+        let starts_over = match change {
             RolloutChange::State(order) => order.state.is_final(),
             RolloutChange::Began(_)
             | RolloutChange::Replaced { .. }
             | RolloutChange::Withdrawn(_) => true,
         };
-        if is_anew {
+        if starts_over {
             self.evidence.borrow_mut().forget(service_of(change));
         }
-        self.stalls.begin(now);
+        self.stalls.start(now);
         self.changed.notify_waiters();
     }
 }
@@ -67,7 +67,7 @@
 }
 
 /// The running order that is meant.
-fn running(node: &Node, id: &RolloutId) -> Option<Rollout> {
+fn running_order(node: &Node, id: &RolloutId) -> Option<Rollout> {
     node.fleet(|f| f.versions().find_order(id).cloned())
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// Works by a phase from now on, unless that is taken back or would undo a later one.
-fn take_phase(node: &Node, id: &RolloutId, phase: Phase, why: &str) {
+fn apply_phase(node: &Node, id: &RolloutId, phase: Phase, why: &str) {
     let now = node.now();
     let RolloutId { service, version, .. } = id;
     if !node.fleet(|f| f.versions_mut().set_phase(id, phase)) {
--- a/crates/forward/src/rollout/report.rs
+++ b/crates/forward/src/rollout/report.rs
@@ -8,92 +8,92 @@
 use model::forward::{RolloutAnswer, RolloutId, RolloutReport};
 use model::member::Node as PeerNode;
 
-use super::{judge, running_ids, sent, take_phase};
+use super::{apply_phase, handle_report, running_ids, sent};
 use crate::node::Node;
 use crate::peers::{self, ROLLOUT};
 
 /// Time between two reports. A version that proves bad is to get nothing after some seconds,
 /// and a report and its answer each wait for the next one.
-const EVERY: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for an answer: the largest report fits into a packet or two.
 const TIMEOUT: Duration = Duration::from_millis(200);
 /// Nodes asked, one after the other, for want of an answer.
-const ASKED: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 /// Age of an order from which on every node in touch knows it: one that does not is passed over.
-const KNOWN_BY_ALL: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Reports until the process ends.
-pub async fn run(node: Rc<Node>) {
+pub async fn run_reports(node: Rc<Node>) {
     loop {
         let orders = running_ids(&node);
         if orders.is_empty() {
             node.rollouts.changed.notified().await;
             continue;
         }
-        join_all(orders.iter().map(|order| report(&node, order))).await;
-        tokio::time::sleep(EVERY).await;
+        join_all(orders.iter().map(|order| send_report(&node, order))).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
 /// Name by which nodes are ordered for judging a service's orders.
-pub(super) fn key(service: &Name) -> String {
+pub(super) fn ranking_key(service: &Name) -> String {
     format!("rollout of {service}")
 }
 
-async fn report(node: &Rc<Node>, order: &RolloutId) {
-    sent::take_back_if_bad(node, order);
+async fn send_report(node: &Rc<Node>, order: &RolloutId) {
+    sent::roll_back_if_bad(node, order);
     let now = node.now();
-    let first: Vec<Option<PeerNode>> = node
-        .peers
-        .roster(|r| r.coordinators(key(&order.service).as_str(), now).take(ASKED).collect());
-    for peer in first {
-        let Some(report) = report_of(node, order) else {
+    let ranked: Vec<Option<PeerNode>> = node.peers.roster(|r| {
+        r.coordinators(ranking_key(&order.service).as_str(), now).take(MAX_ATTEMPTS).collect()
+    });
+    for peer in ranked {
+        let Some(report) = build_report(node, order) else {
             return;
         };
         let answer = match &peer {
-            None => judge(node, report).ok_or(Silence::Unheard),
-            Some(peer) => ask(node, peer, &report).await,
+            None => handle_report(node, report).ok_or(ReportError::UnknownOrder),
+            Some(peer) => ask_peer(node, peer, &report).await,
         };
         let age = node.fleet(|f| f.versions().age(&order.service, now)).unwrap_or_default();
         match answer {
-            Ok(answer) => return take_answer(node, &answer),
+            Ok(answer) => return apply_answer(node, &answer),
             // It hears of the order soon, and whoever comes next would judge beside it.
-            Err(Silence::Unheard) if age < KNOWN_BY_ALL => return,
+            Err(ReportError::UnknownOrder) if age < PROPAGATION_TIME => return,
             Err(_) => {}
         }
     }
 }
 
 /// Why a node did not answer a report.
-enum Silence {
+enum ReportError {
     /// It knows of no such order that runs.
-    Unheard,
+    UnknownOrder,
     /// It could not be reached, or not in time.
-    Lost,
+    Unreachable,
 }
 
-async fn ask(
+async fn ask_peer(
     node: &Rc<Node>,
     peer: &PeerNode,
     report: &RolloutReport,
-) -> Result<RolloutAnswer, Silence> {
+) -> Result<RolloutAnswer, ReportError> {
     peers::ask(node, peer.entry, ROLLOUT, report, TIMEOUT).await.map_err(|e| {
         log::debug!("rollout: {e}");
-        if e.status().is_some() { Silence::Unheard } else { Silence::Lost }
+        if e.status().is_some() { ReportError::UnknownOrder } else { ReportError::Unreachable }
     })
 }
 
 /// Works by an answer, unless it is of another order than the one that runs here by now.
-fn take_answer(node: &Node, answer: &RolloutAnswer) {
+fn apply_answer(node: &Node, answer: &RolloutAnswer) {
     let RolloutAnswer { order, phase, age_ms } = answer;
     let now = node.now();
     let age = Duration::from_millis(*age_ms);
     node.fleet(|f| f.versions_mut().raise_age(order, age, now));
-    take_phase(node, order, *phase, "judge");
+    apply_phase(node, order, *phase, "judge");
 }
 
 /// What this node saw; `None` if the order is over meanwhile.
-fn report_of(node: &Node, order: &RolloutId) -> Option<RolloutReport> {
+fn build_report(node: &Node, order: &RolloutId) -> Option<RolloutReport> {
     let service = &order.service;
     let now = node.now();
     let (order, phase, age) = node.fleet(|f| {
@@ -103,7 +103,7 @@
     })?;
     Some(RolloutReport {
         node: node.peers.id.clone(),
-        open: open_at_old(node, &order),
+        open: open_at_other_versions(node, &order),
         evidence: node.rollouts.evidence.borrow().report(service),
         order,
         age_ms: age.as_millis() as u64,
@@ -113,9 +113,9 @@
 
 /// Requests and calls of this node at targets of other versions, and results there that its
 /// requests still need.
-fn open_at_old(node: &Node, order: &RolloutId) -> u32 {
+fn open_at_other_versions(node: &Node, order: &RolloutId) -> u32 {
     node.fleet(|f| {
-        let old = f.of_service(&order.service).filter(|b| b.target.version != order.version);
-        old.map(|b| b.outstanding + node.rollouts.held.at(&b.target.id)).sum()
+        let others = f.of_service(&order.service).filter(|b| b.target.version != order.version);
+        others.map(|b| b.outstanding + node.rollouts.needed_results.count_at(&b.target.id)).sum()
     })
 }
--- a/crates/forward/src/rollout/sent.rs
+++ b/crates/forward/src/rollout/sent.rs
@@ -7,13 +7,13 @@
 use model::forward::{Phase, RolloutId, Side, Target};
 use model::{Name, Time};
 
-use super::{running, take_phase};
+use super::{apply_phase, running_order};
 use crate::events::Event;
 use crate::node::Node;
 
 /// A request, or the pieces of a call, at a target whose service moves to another version.
 #[derive(Clone)]
-pub struct Sent(Rc<Inner>);
+pub struct TrackedSend(Rc<Inner>);
 
 struct Inner {
     node: Rc<Node>,
@@ -22,23 +22,23 @@
     version: Name,
     side: Side,
     pieces: usize,
-    begun: Time,
+    started: Time,
     /// The target is cold: what it answers tells nothing of its version.
     is_cold: bool,
     /// When its caller, or this node, gives it up.
     deadline: Time,
-    is_judged: Cell<bool>,
+    is_recorded: Cell<bool>,
 }
 
 /// Notes that a target gets a request, or a call of so many pieces, if its service moves to
 /// another version.
-pub fn sent(
+pub fn track_send(
     node: &Rc<Node>,
     target: &Target,
     route: &Name,
     pieces: usize,
     deadline: Time,
-) -> Option<Sent> {
+) -> Option<TrackedSend> {
     node.settings().rollouts?;
     let Target { service, version, .. } = target;
     let order = node.fleet(|f| f.versions().order_id(service))?;
@@ -46,31 +46,31 @@
     let limit = node.cold_limit(service);
     let now = node.now();
     let is_cold = node.fleet(|f| {
-        let belief = f.get(&target.id);
-        belief.zip(limit).is_some_and(|(b, limit)| f.is_cold(b, limit, now))
+        let state = f.get(&target.id);
+        state.zip(limit).is_some_and(|(b, limit)| f.is_cold(b, limit, now))
     });
     node.rollouts.evidence.borrow_mut().record_sent(service, route, side, pieces as u32);
     node.metrics.rollout_sent(service, version, pieces);
-    Some(Sent(Rc::new(Inner {
+    Some(TrackedSend(Rc::new(Inner {
         node: node.clone(),
         order,
         route: route.clone(),
         version: version.clone(),
         side,
         pieces,
-        begun: now,
+        started: now,
         is_cold,
         deadline,
-        is_judged: Cell::new(false),
+        is_recorded: Cell::new(false),
     })))
 }
 
-impl Sent {
+impl TrackedSend {
     /// It was answered well after this time.
-    pub fn good(&self, took: Duration) {
-        let Inner { node, order, route, version, side, is_judged, .. } = &*self.0;
-        is_judged.set(true);
-        if !self.0.counts() {
+    pub fn record_success(&self, took: Duration) {
+        let Inner { node, order, route, version, side, is_recorded, .. } = &*self.0;
+        is_recorded.set(true);
+        if !self.0.is_evidence() {
             return;
         }
         node.metrics.rollout_good(&order.service, version, took);
@@ -82,47 +82,49 @@
 
     /// A call was answered after this time as part of what is expected, so many of its pieces as
     /// failed.
-    pub fn answered(&self, failed: usize, took: Duration) {
-        let Inner { node, order, route, version, side, pieces, begun, is_judged, .. } = &*self.0;
-        is_judged.set(true);
-        if !self.0.counts() {
+    pub fn record_call(&self, failed: usize, took: Duration) {
+        let Inner { node, order, route, version, side, pieces, started, is_recorded, .. } =
+            &*self.0;
+        is_recorded.set(true);
+        if !self.0.is_evidence() {
             return;
         }
-        let part = failed as f64 / (*pieces).max(1) as f64;
+        let failed_share = failed as f64 / (*pieces).max(1) as f64;
         let is_bad = {
             let mut evidence = node.rollouts.evidence.borrow_mut();
             let is_late_again =
                 failed == 0 && evidence.note_late(&order.service, route, took, node.now());
-            !is_late_again && evidence.record_partial(&order.service, route, *side, part, took)
+            !is_late_again
+                && evidence.record_partial(&order.service, route, *side, failed_share, took)
         };
         node.metrics.rollout_bad(&order.service, version, failed);
         if failed < *pieces {
-            node.metrics.rollout_good(&order.service, version, node.now().since(*begun));
+            node.metrics.rollout_good(&order.service, version, node.now().since(*started));
         }
         if is_bad && *side == Side::Trial {
-            take_back_if_bad(node, order);
+            roll_back_if_bad(node, order);
         }
     }
 
     /// Its answer was a failure of the version, or came too late to be of use.
-    pub fn bad(&self) {
-        self.0.bad();
+    pub fn record_failure(&self) {
+        self.0.record_failure();
     }
 }
 
 impl Inner {
     /// Whether its end tells of the target's version, and the order that it was sent under
     /// still runs.
-    fn counts(&self) -> bool {
-        let Inner { node, order, begun, is_cold, .. } = self;
-        let tells = !is_cold && !node.rollouts.stalls.since(*begun, node.now());
-        tells && running(node, order).is_some()
+    fn is_evidence(&self) -> bool {
+        let Inner { node, order, started, is_cold, .. } = self;
+        let is_valid = !is_cold && !node.rollouts.stalls.stalled_since(*started, node.now());
+        is_valid && running_order(node, order).is_some()
     }
 
-    fn bad(&self) {
-        let Inner { node, order, route, version, side, pieces, is_judged, .. } = self;
-        is_judged.set(true);
-        if !self.counts() {
+    fn record_failure(&self) {
+        let Inner { node, order, route, version, side, pieces, is_recorded, .. } = self;
+        is_recorded.set(true);
+        if !self.is_evidence() {
             return;
         }
         // Once for all pieces of a call, as for good ones: they share one fate, so that each
@@ -130,7 +132,7 @@
         node.rollouts.evidence.borrow_mut().record_bad(&order.service, route, *side);
         node.metrics.rollout_bad(&order.service, version, *pieces);
         if *side == Side::Trial {
-            take_back_if_bad(node, order);
+            roll_back_if_bad(node, order);
         }
     }
 }
@@ -138,15 +140,15 @@
 impl Drop for Inner {
     /// Who gives up at the deadline has waited in vain; who leaves before tells nothing.
     fn drop(&mut self) {
-        if !self.is_judged.get() && self.node.now() >= self.deadline {
-            self.bad();
+        if !self.is_recorded.get() && self.node.now() >= self.deadline {
+            self.record_failure();
         }
     }
 }
 
 /// Takes the version back at this node if its own requests prove that it is bad.
-pub(super) fn take_back_if_bad(node: &Node, id: &RolloutId) {
-    let Some(order) = running(node, id) else {
+pub(super) fn roll_back_if_bad(node: &Node, id: &RolloutId) {
+    let Some(order) = running_order(node, id) else {
         return;
     };
     let RolloutId { service, version, .. } = id;
@@ -163,6 +165,6 @@
     let Some(verdict) = node.rollouts.evidence.borrow().proves_bad(service) else {
         return;
     };
-    Event::judged(service, version, "this node", &verdict, age).emit();
-    take_phase(node, id, Phase::Back, "own requests");
+    Event::rollout_judged(service, version, "this node", &verdict, age).emit();
+    apply_phase(node, id, Phase::Back, "own requests");
 }
--- a/crates/forward/src/rollout/stalls.rs
+++ b/crates/forward/src/rollout/stalls.rs
@@ -10,38 +10,38 @@
 use crate::node::Node;
 
 /// Time between two looks at the clock.
-const EVERY: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time beyond that from which on the process stood still. A host whose share of its core is
 /// used up gets nothing for up to 100 ms, which is usual and short beside what is judged.
-const LATE: Duration = Duration::from_millis(150);
+const STALL_THRESHOLD: Duration = Duration::from_millis(150);
 
 /// When this process last stood still, while orders run.
 #[derive(Default)]
-pub struct Stalls {
-    looked: Cell<Time>,
-    last: Cell<Time>,
+pub struct StallDetector {
+    last_check: Cell<Time>,
+    last_stall: Cell<Time>,
 }
 
-impl Stalls {
+impl StallDetector {
     /// The clock is looked at from now on.
-    pub(super) fn begin(&self, now: Time) {
-        self.looked.set(now);
+    pub(super) fn start(&self, now: Time) {
+        self.last_check.set(now);
     }
 
-    fn look(&self, now: Time) {
-        if self.is_late(now) {
-            self.last.set(now);
+    fn check(&self, now: Time) {
+        if self.is_stalled(now) {
+            self.last_stall.set(now);
         }
-        self.looked.set(now);
+        self.last_check.set(now);
     }
 
-    fn is_late(&self, now: Time) -> bool {
-        now.since(self.looked.get()) > EVERY + LATE
+    fn is_stalled(&self, now: Time) -> bool {
+        now.since(self.last_check.get()) > CHECK_INTERVAL + STALL_THRESHOLD
     }
 
     /// Whether the process stood still after a time.
-    pub(super) fn since(&self, begun: Time, now: Time) -> bool {
-        self.is_late(now) || self.last.get() > begun
+    pub(super) fn stalled_since(&self, started: Time, now: Time) -> bool {
+        self.is_stalled(now) || self.last_stall.get() > started
     }
 }
 
@@ -52,7 +52,7 @@
             node.rollouts.changed.notified().await;
             continue;
         }
-        tokio::time::sleep(EVERY).await;
-        node.rollouts.stalls.look(node.now());
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        node.rollouts.stalls.check(node.now());
     }
 }
--- a/crates/forward/src/rollout/write.rs
+++ b/crates/forward/src/rollout/write.rs
@@ -22,87 +22,87 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Peers asked to write, one after the other. A store that turns some nodes away serves others;
 /// one that is down serves nobody.
-const PEERS: usize = 2;
+const MAX_PEERS: usize = 2;
 /// Status of a write under a condition that does not hold any more.
 const CONFLICT: u16 = 409;
 /// Status of a write to what is gone.
 const NOT_FOUND: u16 = 404;
 /// Calls of the store in the node's figures.
-const WHAT: &str = "rollout_state";
+const CALL_LABEL: &str = "rollout_state";
 
 /// Sets the state of an order unless it has changed since; returns whether it stands.
-pub(super) async fn set(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
-    match at_store(node, order, state).await {
-        Written::Stands => true,
-        Written::Not => false,
+pub(super) async fn set_order_state(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
+    match write_to_store(node, order, state).await {
+        WriteOutcome::Applied => true,
+        WriteOutcome::Conflict => false,
         // It may have been done: the condition keeps it from being done twice.
-        Written::Unknown => through_peers(node, order, state).await,
+        WriteOutcome::Unknown => write_via_peers(node, order, state).await,
     }
 }
 
 /// What became of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It was done.
-    Stands,
+    Applied,
     /// Its condition does not hold any more.
-    Not,
+    Conflict,
     /// The store could not be reached, turned this node away, or did not answer.
     Unknown,
 }
 
-impl Written {
-    fn of(end: &Result<(), CallError>) -> Written {
-        match end {
-            Ok(()) => Written::Stands,
-            Err(e) if matches!(e.status(), Some(CONFLICT | NOT_FOUND)) => Written::Not,
-            Err(_) => Written::Unknown,
+impl WriteOutcome {
+    fn from_result(result: &Result<(), CallError>) -> WriteOutcome {
+        match result {
+            Ok(()) => WriteOutcome::Applied,
+            Err(e) if matches!(e.status(), Some(CONFLICT | NOT_FOUND)) => WriteOutcome::Conflict,
+            Err(_) => WriteOutcome::Unknown,
         }
     }
 
     fn as_str(self) -> &'static str {
         match self {
-            Written::Stands => "written",
-            Written::Not => "changed",
-            Written::Unknown => "unknown",
+            WriteOutcome::Applied => "written",
+            WriteOutcome::Conflict => "changed",
+            WriteOutcome::Unknown => "unknown",
         }
     }
 }
 
 /// Writes by a call of this node's own.
-pub async fn at_store(node: &Node, order: &Rollout, state: RolloutState) -> Written {
-    let begun = node.now();
+pub async fn write_to_store(node: &Node, order: &Rollout, state: RolloutState) -> WriteOutcome {
+    let started = node.now();
     let Put { path, media, body } = node.dialect.set_rollout(order, state);
-    node.metrics.store_call(WHAT);
+    node.metrics.store_call(CALL_LABEL);
     let store = node.settings().store.to_string();
     // A connection of its own: one whose answer was lost says nothing further.
     let client = Client::new(STORE_CONNECT);
-    let end = client.put(&store, &path, media, body, TIMEOUT).await;
-    let written = Written::of(&end);
-    let why = end.err().map(|e| e.to_string()).unwrap_or_default();
+    let result = client.put(&store, &path, media, body, TIMEOUT).await;
+    let outcome = WriteOutcome::from_result(&result);
+    let why = result.err().map(|e| e.to_string()).unwrap_or_default();
     Event::RolloutWrite {
         service: &order.service,
         version: &order.version,
         state: state.as_str(),
         revision: order.revision,
-        outcome: written.as_str(),
+        outcome: outcome.as_str(),
         why: &why,
-        took_ms: node.now().since(begun).as_millis() as u64,
+        took_ms: node.now().since(started).as_millis() as u64,
     }
     .emit();
-    written
+    outcome
 }
 
 /// Has peers write, until one of them knows what became of it.
-async fn through_peers(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
-    let key = report::key(&order.service);
-    let first: Vec<PeerNode> = node
+async fn write_via_peers(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
+    let key = report::ranking_key(&order.service);
+    let candidates: Vec<PeerNode> = node
         .peers
-        .roster(|r| r.coordinators(key.as_str(), node.now()).flatten().take(PEERS).collect());
+        .roster(|r| r.coordinators(key.as_str(), node.now()).flatten().take(MAX_PEERS).collect());
     let message = RemoteState { order: order.clone(), state };
-    for peer in first {
+    for peer in candidates {
         match peers::ask(node, peer.entry, ROLLOUT_STATE, &message, PEER_TIMEOUT).await {
-            Ok(Some(stands)) => return stands,
+            Ok(Some(applied)) => return applied,
             Ok(None) => {}
             Err(e) => log::debug!("rollout: {e}"),
         }
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -73,7 +73,7 @@
         if passed + LAST_ANSWERS >= most {
             node.enter(LifePhase::Ending);
         }
-        let answered = node.open() == 0 && node.pools.open() == 0;
+        let answered = node.open() == 0 && node.pools.open_orders() == 0;
         if passed >= most || (passed >= BALANCER_LAG && answered) {
             break;
         }
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -14,7 +14,7 @@
 use crate::prefill::{self, Prompt, Ticket};
 use crate::quarantine::HELD;
 use crate::rollout;
-use crate::stages::Made;
+use crate::stages::RequestResults;
 
 /// Asks for permits that may hold one request up.
 const PERMIT_ASKS: usize = 3;
@@ -123,9 +123,9 @@
     }
 
     /// Whether all results rest where the rules in force allow them.
-    pub(super) fn is_inside(&self, made: &Made) -> bool {
+    pub(super) fn is_inside(&self, made: &RequestResults) -> bool {
         let allowed = self.allowed_now();
-        self.node.fleet(|f| made.makers().all(|maker| f.is_in_allowed_region(maker, &allowed)))
+        self.node.fleet(|f| made.workers().all(|maker| f.is_in_allowed_region(maker, &allowed)))
     }
 
     /// The first service, of those that the request needs, without any target in the regions
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -19,7 +19,7 @@
 use crate::limits::AT_LIMIT;
 use crate::node::{Node, OpenGuard};
 use crate::phase::LifePhase;
-use crate::stages::{self, Job, Made, StageError};
+use crate::stages::{self, Job, RequestResults, StageError};
 
 /// Part of a deadline kept for the answer's way back.
 const ANSWER_MARGIN: Duration = Duration::from_millis(30);
@@ -219,7 +219,7 @@
     async fn ask_targets(
         self: Rc<Self>,
         mut chosen: Option<Target>,
-        mut made: Option<Made>,
+        mut made: Option<RequestResults>,
     ) -> Result<Response<Body>, Response<Body>> {
         loop {
             let first = chosen.take().filter(|t| self.is_by_inputs(t));
@@ -253,13 +253,13 @@
         }
     }
 
-    async fn make_stages(&self, chosen: Option<&Target>) -> Result<Made, Response<Body>> {
+    async fn make_stages(&self, chosen: Option<&Target>) -> Result<RequestResults, Response<Body>> {
         self.make_within(self.slack(), chosen).await.map_err(|_| self.own_ending())
     }
 
     /// Makes the stages of a stream anew that goes on at `target`. Its first event is
     /// long out; what counts is the pause that its caller bears, about one objective.
-    pub async fn make_stages_again(&self, target: &Target) -> Result<Made, StageError> {
+    pub async fn make_stages_again(&self, target: &Target) -> Result<RequestResults, StageError> {
         let objective = Duration::from_millis(self.route.objective_ms);
         let made = self.make_within(objective, Some(target)).await;
         let left_ms = self.left().as_millis() as u64;
@@ -272,13 +272,14 @@
         &self,
         slack: Duration,
         target: Option<&Target>,
-    ) -> Result<Made, StageError> {
+    ) -> Result<RequestResults, StageError> {
         let begun = self.node.now();
         let made = self.make_inside(begun + slack, target).await;
         let took = self.node.now().since(begun);
         self.progress(|p| p.stages += took);
         let map = self.node.peers.roster(|r| r.map());
-        let lies_at = made.as_ref().ok().and_then(Made::lies_at).map(|d| map.region_of(d));
+        let lies_at =
+            made.as_ref().ok().and_then(RequestResults::inputs_domain).map(|d| map.region_of(d));
         self.progress(|p| p.lies_at = lies_at);
         made.inspect_err(|e| {
             let is_unserved = self.unserved().is_some();
@@ -289,11 +290,15 @@
 
     /// Makes the stages in the regions that are allowed, and once more if those change
     /// meanwhile: orders are taken back then, and what was made is freed.
-    async fn make_inside(&self, due: Time, target: Option<&Target>) -> Result<Made, StageError> {
+    async fn make_inside(
+        &self,
+        due: Time,
+        target: Option<&Target>,
+    ) -> Result<RequestResults, StageError> {
         let mut rounds = ROUNDS;
         while rounds > 0 {
             if self.unserved().is_some() {
-                return Err(StageError::Barred);
+                return Err(StageError::NoAllowedTarget);
             }
             let allowed = self.allowed_now();
             let near = target.filter(|t| self.is_allowed_at(&t.id)).map(|t| t.domain.clone());
@@ -307,15 +312,15 @@
                 rank: if self.node.settings().policy.ranks { self.rank } else { Rank::default() },
             };
             tokio::select! {
-                made = stages::make(&self.node, job) => match made {
-                    Err(StageError::Outside) => rounds -= 1,
+                made = stages::run_all(&self.node, job) => match made {
+                    Err(StageError::WrongRegion) => rounds -= 1,
                     end => return end,
                 },
                 () = self.allowed_changes(&allowed) => {}
             }
             Event::Moved { id: &self.head.id, version: self.node.table().rules.version }.emit();
         }
-        Err(StageError::Barred)
+        Err(StageError::NoAllowedTarget)
     }
 
     /// What a target had begun of the request broke off there.
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -21,8 +21,8 @@
 use crate::node::Node;
 use crate::prefill::Ticket;
 use crate::quarantine::HELD;
-use crate::rollout::{self, Sent};
-use crate::stages::Made;
+use crate::rollout::{self, TrackedSend};
+use crate::stages::RequestResults;
 use crate::upstream::{self, Answer};
 
 /// Largest answer that is taken in whole.
@@ -54,7 +54,7 @@
     pub(super) target: Target,
     unread: u64,
     ticket: Option<Ticket>,
-    sent: Option<Sent>,
+    sent: Option<TrackedSend>,
 }
 
 impl AtTarget {
@@ -67,14 +67,14 @@
     /// The target answered well after this time.
     fn good(&self, took: Duration) {
         if let Some(sent) = &self.sent {
-            sent.good(took);
+            sent.record_success(took);
         }
     }
 
     /// What it answered was a failure of its version, or late.
     pub(super) fn bad(&self) {
         if let Some(sent) = &self.sent {
-            sent.bad();
+            sent.record_failure();
         }
     }
 
@@ -103,7 +103,7 @@
 pub async fn send(
     exchange: &Rc<Exchange>,
     choice: Choice,
-    made: Option<&Made>,
+    made: Option<&RequestResults>,
     resume_after: Option<u64>,
 ) -> Outcome {
     let Choice { target, ticket, permit } = choice;
@@ -135,12 +135,13 @@
     }
     exchange.progress(|p| p.tries.connected());
     heard::sent(&exchange.node, target);
-    let sent = rollout::sent(&exchange.node, target, &exchange.route.name, 1, exchange.deadline);
+    let sent =
+        rollout::track_send(&exchange.node, target, &exchange.route.name, 1, exchange.deadline);
     at_target.sent.clone_from(&sent);
     let request = request_for(exchange, target, made, resume_after);
     let crossing = Crossing::to_target(&exchange.node, Kind::Request, &target.id);
     if let Some(made) = made {
-        crossed::fetched(&exchange.node, &target.id, made.fetched());
+        crossed::fetched(&exchange.node, &target.id, made.input_sources());
     }
     let work = async {
         match upstream::send_over(socket, target.address, request, crossing).await {
@@ -152,7 +153,7 @@
         return outcome;
     }
     if let Some(sent) = sent {
-        sent.bad();
+        sent.record_failure();
     }
     attempt.broke_off("silent for too long".into())
 }
@@ -160,7 +161,7 @@
 fn request_for(
     exchange: &Exchange,
     target: &Target,
-    made: Option<&Made>,
+    made: Option<&RequestResults>,
     resume_after: Option<u64>,
 ) -> hyper::Request<Full<Bytes>> {
     let onward = Onward {
@@ -168,7 +169,7 @@
         target: &target.id,
         workspace: exchange.workspace.as_ref(),
         rank: (!exchange.head.prompt.is_empty()).then_some(exchange.rank.level()),
-        inputs: made.map_or(&[], Made::inputs),
+        inputs: made.map_or(&[], RequestResults::inputs),
         resume_after: resume_after.or(exchange.head.last_event),
     };
     let taken = &exchange.request;
--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -13,7 +13,7 @@
 use super::exchange::Exchange;
 use super::reply::Body;
 use super::send::{AtTarget, Outcome, send};
-use crate::stages::{Made, StageError};
+use crate::stages::{RequestResults, StageError};
 use crate::upstream::Connection;
 
 /// Largest event.
@@ -109,13 +109,17 @@
     first: Option<Bytes>,
     last_event: Option<u64>,
     /// Results that are held although nobody wants them, where they are not freed early.
-    _kept: Option<Made>,
+    _kept: Option<RequestResults>,
     at_target: AtTarget,
     over: bool,
 }
 
 /// The answer that passes a begun stream on.
-pub fn answer(exchange: Rc<Exchange>, begun: Begun, kept: Option<Made>) -> Response<Body> {
+pub fn answer(
+    exchange: Rc<Exchange>,
+    begun: Begun,
+    kept: Option<RequestResults>,
+) -> Response<Body> {
     let Begun { status, headers, reader, first, at_target } = begun;
     let now = exchange.node.now();
     exchange.progress(|p| {
--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -20,20 +20,20 @@
 use crate::heard;
 use crate::limits;
 use crate::node::Node;
-use crate::rollout::{self, Sent};
+use crate::rollout::{self, TrackedSend};
 use crate::upstream::{self, Answer};
 
 /// Time beyond a call's expected one before it is given up.
 const CALL_SLACK: Duration = Duration::from_millis(1500);
 /// Most times what is expected that the time of a call counts as.
-const PART_MOST: f64 = 1000.0;
+const MAX_TIME_RATIO: f64 = 1000.0;
 /// Largest answer to a call.
-const ANSWER_MAX: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// The request of a call that only this start of a maker may take.
 pub fn request(
     node: &Node,
-    maker: &TargetId,
+    worker: &TargetId,
     address: SocketAddr,
     post: Post,
 ) -> Request<Full<Bytes>> {
@@ -42,29 +42,29 @@
         .header(header::CONTENT_TYPE, post.media)
         .body(Full::new(Bytes::from(post.body)))
         .expect("path and media type are valid");
-    request.headers_mut().extend(node.dialect.meant_for(maker));
+    request.headers_mut().extend(node.dialect.meant_for(worker));
     request
 }
 
 /// Makes a call of a coordinator; what came of it.
-pub(super) async fn make(runner: &Runner, node: &Rc<Node>, call: Call) -> CallEnd {
+pub(super) async fn execute(runner: &Runner, node: &Rc<Node>, call: Call) -> CallEnd {
     let Some(target) = node.fleet(|f| f.get(&call.worker).map(|b| b.target.clone())) else {
         return CallEnd::Failed;
     };
     let address = target.address;
-    let _at_maker = AtMaker::new(node, &call.worker);
+    let _in_flight = InFlightGuard::new(node, &call.worker);
     let post = node.dialect.stage_call(&call.pieces);
     let request = request(node, &call.worker, address, post);
     let id = || call_id(runner, &call);
-    let Some(permit) = limits::permit(node, &target, counted(&call), id).await else {
+    let Some(permit) = limits::permit(node, &target, permit_count(&call), id).await else {
         let why = limits::AT_LIMIT;
         log_call(runner, &call, &[], 0, node.targets_age_ms(), why);
         return CallEnd::Full;
     };
-    let begun = node.now();
+    let started = node.now();
     let targets_age_ms = node.targets_age_ms();
-    let (pieces, timeout) = (call.pieces.len(), runner.patience(node, call.pieces.len()));
-    let sent = rollout::sent(node, &target, &runner.pool.service, pieces, begun + timeout);
+    let (pieces, timeout) = (call.pieces.len(), runner.call_timeout(node, call.pieces.len()));
+    let sent = rollout::track_send(node, &target, &runner.pool.service, pieces, started + timeout);
     let crossing = Crossing::to_target(node, Kind::Call, &call.worker);
     let work = async {
         let socket = match upstream::connect(address).await {
@@ -77,8 +77,9 @@
         heard::sent(node, &target);
         match upstream::send_over(socket, address, request, crossing).await {
             Ok(answer) => {
-                let from = Asked { target: &target, begun, took: node.now().since(begun) };
-                read_answer(node, from, answer, sent.as_ref()).await
+                let sent_call =
+                    SentCall { target: &target, started, took: node.now().since(started) };
+                read_answer(node, sent_call, answer, sent.as_ref()).await
             }
             Err(e) => (CallEnd::Failed, Observation::Interrupted, e.to_string()),
         }
@@ -97,10 +98,10 @@
         CallEnd::Full | CallEnd::Failed => &[],
     };
     node.metrics.batch(&runner.pool.service, pieces);
-    let took_ms = node.now().since(begun).as_millis() as u64;
+    let took_ms = node.now().since(started).as_millis() as u64;
     log_call(runner, &call, results, took_ms, targets_age_ms, &why);
     if let (Some(sent), Observation::Answered(took)) = (&sent, observed) {
-        note_answer(sent, results, took, runner.expected(node, pieces));
+        record_answer(sent, results, took, runner.expected_time(node, pieces));
     }
     node.observe(&call.worker, observed, &why);
     end
@@ -108,7 +109,7 @@
 
 /// Requests that a call counts as at a maker that names a limit: each of its pieces, unless it was
 /// made large since all makers name one.
-fn counted(call: &Call) -> u32 {
+fn permit_count(call: &Call) -> u32 {
     let pieces = call.pieces.len() as u32;
     if pieces <= MAX_LIMITED_PIECES { pieces } else { 1 }
 }
@@ -142,19 +143,19 @@
 }
 
 /// Counts a call at its maker until it goes.
-struct AtMaker {
+struct InFlightGuard {
     node: Rc<Node>,
     id: TargetId,
 }
 
-impl AtMaker {
+impl InFlightGuard {
     fn new(node: &Rc<Node>, id: &TargetId) -> Self {
         node.fleet(|f| f.request_sent(id, 0));
-        AtMaker { node: node.clone(), id: id.clone() }
+        InFlightGuard { node: node.clone(), id: id.clone() }
     }
 }
 
-impl Drop for AtMaker {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.node.fleet(|f| f.request_done(&self.id));
     }
@@ -162,47 +163,47 @@
 
 /// What a maker's answer shows of its version. Calls take time by what they carry, so their
 /// times are told as parts of what is expected, which counts as a second.
-fn note_answer(sent: &Sent, results: &[PieceResult], took: Duration, expected: Duration) {
+fn record_answer(sent: &TrackedSend, results: &[PieceResult], took: Duration, expected: Duration) {
     let failed = results.iter().filter(|r| **r == PieceResult::Failed).count();
-    let part = took.as_secs_f64() / expected.as_secs_f64().max(f64::EPSILON);
-    sent.answered(failed, Duration::from_secs_f64(part.min(PART_MOST)));
+    let ratio = took.as_secs_f64() / expected.as_secs_f64().max(f64::EPSILON);
+    sent.record_call(failed, Duration::from_secs_f64(ratio.min(MAX_TIME_RATIO)));
 }
 
 /// A call that was answered.
-struct Asked<'a> {
+struct SentCall<'a> {
     target: &'a Target,
-    begun: Time,
+    started: Time,
     took: Duration,
 }
 
 async fn read_answer(
     node: &Rc<Node>,
-    asked: Asked<'_>,
+    call: SentCall<'_>,
     answer: Answer,
-    sent: Option<&Sent>,
+    sent: Option<&TrackedSend>,
 ) -> (CallEnd, Observation, String) {
-    let Asked { target, begun, took } = asked;
+    let SentCall { target, started, took } = call;
     let (head, body) = answer.response.into_parts();
-    let said = node.dialect.answer(&head);
-    if said.misdirected {
+    let answer_head = node.dialect.answer(&head);
+    if answer_head.misdirected {
         return (CallEnd::Failed, Observation::Replaced, "another target answered".into());
     }
-    heard::take(node, target, &said, begun);
-    if said.not_run {
+    heard::take(node, target, &answer_head, started);
+    if answer_head.not_run {
         return (CallEnd::Full, Observation::Rejected, "full".into());
     }
     if !head.status.is_success() {
-        sent.inspect(|sent| sent.bad());
+        sent.inspect(|sent| sent.record_failure());
         return (CallEnd::Failed, Observation::Failed, format!("status {}", head.status));
     }
-    let body = match Limited::new(body, ANSWER_MAX).collect().await {
+    let body = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) => return (CallEnd::Failed, Observation::Interrupted, e.to_string()),
     };
     match node.dialect.stage_answer(&target.id, &body) {
         Ok(results) => (CallEnd::Answered(results), Observation::Answered(took), String::new()),
         Err(e) => {
-            sent.inspect(|sent| sent.bad());
+            sent.inspect(|sent| sent.record_failure());
             (CallEnd::Failed, Observation::Failed, e.to_string())
         }
     }
@@ -210,12 +211,12 @@
 
 impl Runner {
     /// Time after which a call is given up.
-    fn patience(&self, node: &Node, pieces: usize) -> Duration {
-        2 * self.expected(node, pieces) + CALL_SLACK
+    fn call_timeout(&self, node: &Node, pieces: usize) -> Duration {
+        2 * self.expected_time(node, pieces) + CALL_SLACK
     }
 
     /// Time that a call takes by the rules.
-    fn expected(&self, node: &Node, pieces: usize) -> Duration {
+    fn expected_time(&self, node: &Node, pieces: usize) -> Duration {
         let table = node.table();
         let pool = table.service(&self.pool.service).and_then(|s| s.pool.as_ref());
         pool.map_or(Duration::ZERO, |p| p.call_time(pieces as u32))
--- a/crates/forward/src/stages/free.rs
+++ b/crates/forward/src/stages/free.rs
@@ -17,80 +17,80 @@
 use crate::peers::{self, FREE, RemoteFree};
 
 /// Time during which results of one maker or coordinator are gathered into one call.
-const GATHER: Duration = Duration::from_millis(10);
+const FLUSH_DELAY: Duration = Duration::from_millis(10);
 /// Time for the call; a result that is not freed runs out by itself.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Largest answer that is read.
-const ANSWER_MAX: usize = 64 << 10;
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 /// Where results are freed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Place {
-    Maker(TargetId, PoolId),
+enum Destination {
+    Worker(TargetId, PoolId),
     Coordinator(SocketAddr, PoolId),
 }
 
 /// Results to be freed.
 #[derive(Default)]
-pub struct Freer(RefCell<HashMap<Place, Vec<Handle>>>);
+pub struct FreeQueue(RefCell<HashMap<Destination, Vec<Handle>>>);
 
-impl Freer {
+impl FreeQueue {
     /// Frees results of a pool at their makers soon.
-    pub fn at_makers(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
+    pub fn free_at_workers(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
         for handle in handles {
-            let place = Place::Maker(handle.maker.clone(), pool.clone());
-            self.push(node, place, vec![handle]);
+            let destination = Destination::Worker(handle.maker.clone(), pool.clone());
+            self.push(node, destination, vec![handle]);
         }
     }
 
     /// Frees results through the coordinator of a pool at a peer soon.
-    pub fn at_peer(&self, node: &Rc<Node>, peer: SocketAddr, pool: &PoolId, h: Vec<Handle>) {
-        self.push(node, Place::Coordinator(peer, pool.clone()), h);
+    pub fn free_via_peer(&self, node: &Rc<Node>, peer: SocketAddr, pool: &PoolId, h: Vec<Handle>) {
+        self.push(node, Destination::Coordinator(peer, pool.clone()), h);
     }
 
-    fn push(&self, node: &Rc<Node>, place: Place, handles: Vec<Handle>) {
-        let mut waiting = self.0.borrow_mut();
-        if !waiting.contains_key(&place) {
-            tokio::task::spawn_local(flush(node.clone(), place.clone()));
+    fn push(&self, node: &Rc<Node>, destination: Destination, handles: Vec<Handle>) {
+        let mut pending = self.0.borrow_mut();
+        if !pending.contains_key(&destination) {
+            tokio::task::spawn_local(flush(node.clone(), destination.clone()));
         }
-        waiting.entry(place).or_default().extend(handles);
+        pending.entry(destination).or_default().extend(handles);
     }
 
-    fn take(&self, place: &Place) -> Vec<Handle> {
-        self.0.borrow_mut().remove(place).unwrap_or_default()
+    fn drain(&self, destination: &Destination) -> Vec<Handle> {
+        self.0.borrow_mut().remove(destination).unwrap_or_default()
     }
 }
 
-async fn flush(node: Rc<Node>, place: Place) {
-    tokio::time::sleep(GATHER).await;
-    let handles = node.pools.freer.take(&place);
-    match place {
-        Place::Maker(maker, pool) => {
-            free_at_maker(&node, &maker, &handles).await;
-            node.pools.freed(&node, &pool, handles);
+async fn flush(node: Rc<Node>, destination: Destination) {
+    tokio::time::sleep(FLUSH_DELAY).await;
+    let handles = node.pools.free_queue.drain(&destination);
+    match destination {
+        Destination::Worker(worker, pool) => {
+            free_at_worker(&node, &worker, &handles).await;
+            node.pools.note_freed(&node, &pool, handles);
         }
-        Place::Coordinator(peer, pool) => {
+        Destination::Coordinator(peer, pool) => {
             let message = RemoteFree { pool, handles };
             if peers::ask::<_, ()>(&node, peer, FREE, &message, TIMEOUT).await.is_err() {
-                node.pools.freer.at_makers(&node, &message.pool, message.handles);
+                node.pools.free_queue.free_at_workers(&node, &message.pool, message.handles);
             }
         }
     }
 }
 
-async fn free_at_maker(node: &Rc<Node>, maker: &TargetId, handles: &[Handle]) {
+async fn free_at_worker(node: &Rc<Node>, worker: &TargetId, handles: &[Handle]) {
     // It wants nothing meanwhile, and what is not freed runs out there.
-    while let Some(until) = node.fleet(|f| f.notices().backoff_until(maker, node.now())) {
+    while let Some(until) = node.fleet(|f| f.notices().backoff_until(worker, node.now())) {
         node.clock.sleep_until(until).await;
     }
-    let Some(target) = node.fleet(|f| f.get(maker).map(|b| b.target.clone())) else {
+    let Some(target) = node.fleet(|f| f.get(worker).map(|b| b.target.clone())) else {
         return;
     };
     let address = target.address;
     let post = node.dialect.stage_free(handles);
     let sent = post.body.len();
-    let mut request = call::request(node, maker, address, post);
+    let mut request = call::request(node, worker, address, post);
     let peer = address.to_string();
     let Ok(uri) = format!("http://{peer}{}", request.uri()).parse() else {
         return;
@@ -98,7 +98,7 @@
     *request.uri_mut() = uri;
     // On a kept connection, unlike all else that goes to a target: nobody looks at the
     // answer, so a late one can do no harm, and a new connection would take a maker's time.
-    let crossing = Crossing::to_target(node, Kind::Free, maker);
+    let crossing = Crossing::to_target(node, Kind::Free, worker);
     if let Some(crossing) = &crossing {
         crossing.sent(sent);
     }
@@ -107,12 +107,12 @@
             return;
         };
         let (head, body) = answer.into_parts();
-        let said = node.dialect.answer(&head);
-        if !said.misdirected {
-            heard::take_notice(node, &target, said.notice);
+        let answer_head = node.dialect.answer(&head);
+        if !answer_head.misdirected {
+            heard::take_notice(node, &target, answer_head.notice);
         }
         // Read to its end, so that the connection can be used again.
-        let read = Limited::new(body, ANSWER_MAX).collect().await;
+        let read = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         if let (Some(crossing), Ok(body)) = (&crossing, read) {
             crossing.got(body.to_bytes().len());
         }
--- a/crates/forward/src/stages/job.rs
+++ b/crates/forward/src/stages/job.rs
@@ -9,14 +9,14 @@
 };
 use model::{Name, Time};
 
-use super::made::Kept;
+use super::made::StageResults;
 use super::plan::StageError;
 use crate::node::Node;
 
 /// Time that stages leave an engine for its first event: between the median and the 90th
 /// percentile (139 and 404 ms) of long prompts. Less would leave half of them late, more would
 /// have stages hurry for the sake of a few.
-const KEPT_FOR_ENGINE: Duration = Duration::from_millis(200);
+const ENGINE_RESERVE: Duration = Duration::from_millis(200);
 
 /// What the stages of one request are made for.
 pub struct Job<'a> {
@@ -43,30 +43,31 @@
     }
 
     /// Time of each stage without any wait.
-    pub(super) fn least_times(&self, node: &Node) -> Vec<Duration> {
+    pub(super) fn min_stage_times(&self, node: &Node) -> Vec<Duration> {
         let table = node.table();
         forecast::min_stage_times(self.route, &self.head.pieces, |name| table.service(name))
     }
 
     /// Least time from the end of each stage to the first event, given that of the stages.
-    pub(super) fn least_after(&self, least: &[Duration]) -> Vec<Duration> {
-        let tails = stages::remaining_times(&self.route.order(), least);
-        tails.into_iter().map(|tail| tail + KEPT_FOR_ENGINE).collect()
+    pub(super) fn min_remaining_times(&self, min_times: &[Duration]) -> Vec<Duration> {
+        let tails = stages::remaining_times(&self.route.order(), min_times);
+        tails.into_iter().map(|tail| tail + ENGINE_RESERVE).collect()
     }
 
     /// Stages whose results are large, and when they are due, the first due first: they
     /// start so late that they end with the longest path, since room at makers is short.
-    pub(super) fn postponed(
+    pub(super) fn postponed_stages(
         &self,
         node: &Node,
-        least: &[Duration],
+        min_times: &[Duration],
         now: Time,
     ) -> VecDeque<(Time, usize)> {
         if !node.settings().policy.late_starts {
             return VecDeque::new();
         }
-        let (least, queues) = node.paths(self.route, &self.head.pieces, self.allowed, least);
-        let times = node.forecast(|f| f.stage_times(&least, &queues, self.rank, now));
+        let (min_times, queues) =
+            node.paths(self.route, &self.head.pieces, self.allowed, min_times);
+        let times = node.forecast(|f| f.stage_times(&min_times, &queues, self.rank, now));
         let latest = stages::latest_starts(&self.route.order(), &times);
         let large = self.route.stages.iter().enumerate().filter(|(i, s)| {
             s.bytes >= LARGE_RESULT && s.after.is_empty() && self.pieces_of(*i) > 0
@@ -79,9 +80,14 @@
 
     /// Region that a stage is wanted in: where its inputs lie, or, for the last one, where its
     /// results are wanted. A chain so changes its region once at most.
-    fn region_of(&self, stage: usize, kept: &[Kept], node: &Node) -> Option<Name> {
+    fn preferred_region(
+        &self,
+        stage: usize,
+        results: &[StageResults],
+        node: &Node,
+    ) -> Option<Name> {
         let inputs = self.route.stages[stage].after.iter();
-        let first = inputs.flat_map(|j| &kept[*j].handles).next();
+        let first = inputs.flat_map(|j| &results[*j].handles).next();
         let at = first.and_then(|h| node.fleet(|f| f.domain_of(&h.maker).cloned()));
         let is_last = dependents(&self.route.stages, stage).next().is_none();
         let at = at.or_else(|| self.near.clone().filter(|_| is_last))?;
@@ -90,33 +96,35 @@
 
     /// Where a stage is best made: where its inputs lie, or, for the last one, where its
     /// results are wanted, whichever moves more bytes.
-    fn place_of(&self, stage: usize, kept: &[Kept], node: &Node) -> Place {
+    fn placement(&self, stage: usize, results: &[StageResults], node: &Node) -> Placement {
         if !node.settings().policy.affinity {
-            return Place::default();
+            return Placement::default();
         }
         let stages = &self.route.stages;
-        let (what, pieces) = (&stages[stage], u64::from(self.pieces_of(stage)));
-        let out_bytes = pieces * what.bytes;
+        let (spec, pieces) = (&stages[stage], u64::from(self.pieces_of(stage)));
+        let out_bytes = pieces * spec.bytes;
         // Each piece fetches all of its inputs.
-        let fetched = what.after.iter().map(|j| kept[*j].handles.len() as u64 * stages[*j].bytes);
+        let fetched =
+            spec.after.iter().map(|j| results[*j].handles.len() as u64 * stages[*j].bytes);
         let in_bytes = fetched.sum::<u64>() * pieces;
-        let later: u64 = dependents(stages, stage).map(|d| u64::from(self.pieces_of(d))).sum();
+        let dependent_pieces: u64 =
+            dependents(stages, stage).map(|d| u64::from(self.pieces_of(d))).sum();
         let is_last = dependents(stages, stage).next().is_none();
         let wanted_bytes = if is_last { out_bytes } else { 0 };
         let near = if in_bytes > wanted_bytes {
-            let first = what.after.iter().find_map(|j| kept[*j].handles.first());
+            let first = spec.after.iter().find_map(|j| results[*j].handles.first());
             first.and_then(|h| node.fleet(|f| f.domain_of(&h.maker).cloned()))
         } else {
             self.near.clone().filter(|_| is_last)
         };
         let moved_bytes = in_bytes.max(wanted_bytes);
-        Place { near, moved_bytes, spread_bytes: moved_bytes.max(out_bytes * later) }
+        Placement { near, moved_bytes, spread_bytes: moved_bytes.max(out_bytes * dependent_pieces) }
     }
 }
 
 /// Where a stage is best made, and what it costs to make it elsewhere.
 #[derive(Default)]
-struct Place {
+struct Placement {
     /// Failure domain; none if it does not matter.
     near: Option<Name>,
     /// Bytes that cross failure domains if the pieces are made elsewhere.
@@ -132,51 +140,51 @@
 }
 
 /// What of a request's time is not left for a stage.
-pub(super) struct Spent {
+pub(super) struct TimeUsed {
     /// Milliseconds passed since the first stage could start.
-    pub(super) passed_ms: u64,
+    pub(super) elapsed_ms: u64,
     /// Least milliseconds from the end of the stage to the first event.
-    pub(super) after_ms: u64,
+    pub(super) reserved_ms: u64,
 }
 
 /// The order for one stage; `None` if the request leaves the stage out.
-pub(super) fn order_of(
+pub(super) fn build_order(
     job: &Job<'_>,
     stage: usize,
-    kept: &[Kept],
-    spent: Spent,
+    results: &[StageResults],
+    used: TimeUsed,
     node: &Node,
 ) -> Result<Option<BatchOrder>, StageError> {
     let pieces = job.pieces_of(stage);
     if pieces == 0 {
         return Ok(None);
     }
-    let what = &job.route.stages[stage];
-    let input = if what.after.is_empty() {
+    let spec = &job.route.stages[stage];
+    let input = if spec.after.is_empty() {
         let key = job.head.piece_key.clone().ok_or(StageError::NoKey)?;
         StageInput::Key(key.into())
     } else {
-        let inputs = what.after.iter().flat_map(|j| &kept[*j].handles);
+        let inputs = spec.after.iter().flat_map(|j| &results[*j].handles);
         StageInput::Handles(inputs.map(|h| h.text.clone()).collect())
     };
-    let place = job.place_of(stage, kept, node);
-    let wanted = job.region_of(stage, kept, node);
+    let placement = job.placement(stage, results, node);
+    let preferred = job.preferred_region(stage, results, node);
     Ok(Some(BatchOrder {
-        service: what.service.clone(),
+        service: spec.service.clone(),
         attempt: job.head.id.as_str().into(),
         stage,
         pieces,
         input,
-        slack_ms: job.slack_ms.saturating_sub(spent.passed_ms + spent.after_ms),
-        left_ms: job.left_ms.saturating_sub(spent.passed_ms),
+        slack_ms: job.slack_ms.saturating_sub(used.elapsed_ms + used.reserved_ms),
+        left_ms: job.left_ms.saturating_sub(used.elapsed_ms),
         rank: job.rank,
         allowed: job.allowed.clone(),
-        region: node.region_for(&what.service, job.allowed, wanted),
+        region: node.region_for(&spec.service, job.allowed, preferred),
         spilled: false,
-        near: place.near,
-        moved_bytes: place.moved_bytes,
-        spread_bytes: place.spread_bytes,
-        result_bytes: what.bytes,
+        near: placement.near,
+        moved_bytes: placement.moved_bytes,
+        spread_bytes: placement.spread_bytes,
+        result_bytes: spec.bytes,
         skipped: Vec::new(),
         passed_on: false,
     }))
--- a/crates/forward/src/stages/mod.rs
+++ b/crates/forward/src/stages/mod.rs
@@ -11,7 +11,7 @@
 mod spill;
 
 pub use job::Job;
-pub use made::Made;
-pub use order::take;
-pub use plan::{StageError, make};
-pub use runner::{NotMade, Pools};
+pub use made::RequestResults;
+pub use order::handle_order;
+pub use plan::{StageError, run_all};
+pub use runner::{LocalCoordinators, OrderError};
--- a/crates/forward/src/stages/plan.rs
+++ b/crates/forward/src/stages/plan.rs
@@ -8,9 +8,9 @@
 use model::Time;
 use model::forward::{BatchOrder, PieceResult};
 
-use super::job::{Job, Spent, order_of};
-use super::made::Made;
-use super::order::{self, Placed};
+use super::job::{Job, TimeUsed, build_order};
+use super::made::RequestResults;
+use super::order::{self, CompletedOrder};
 use crate::events::Event;
 use crate::node::Node;
 
@@ -28,9 +28,9 @@
     /// the request names pieces without a key
     NoKey,
     /// a result was made outside of the allowed regions
-    Outside,
+    WrongRegion,
     /// no target of a stage is in an allowed region
-    Barred,
+    NoAllowedTarget,
 }
 
 impl StageError {
@@ -42,17 +42,17 @@
             StageError::Failed => "failed",
             StageError::InputGone => "input_gone",
             StageError::NoKey => "no_key",
-            StageError::Outside => "outside",
-            StageError::Barred => "barred",
+            StageError::WrongRegion => "outside",
+            StageError::NoAllowedTarget => "barred",
         }
     }
 
     /// Why a piece of a stage was not made: the last one of which that is so; `None` if all were.
-    pub(super) fn of_any(results: &[PieceResult]) -> Option<StageError> {
-        results.iter().rev().find_map(StageError::of)
+    pub(super) fn last_error(results: &[PieceResult]) -> Option<StageError> {
+        results.iter().rev().find_map(StageError::from_piece)
     }
 
-    fn of(result: &PieceResult) -> Option<StageError> {
+    fn from_piece(result: &PieceResult) -> Option<StageError> {
         match result {
             PieceResult::Made(_) => None,
             PieceResult::Late => Some(StageError::Late),
@@ -64,27 +64,29 @@
 }
 
 /// Makes all stages of a request that has any.
-pub async fn make(node: &Rc<Node>, job: Job<'_>) -> Result<Made, StageError> {
+pub async fn run_all(node: &Rc<Node>, job: Job<'_>) -> Result<RequestResults, StageError> {
     let stages = &job.route.stages;
-    let mut made = Made::new(node, stages.len());
+    let mut results = RequestResults::new(node, stages.len());
     let mut progress = Progress::new(job.route.order());
     let mut running = FuturesUnordered::new();
-    let begun = node.now();
-    let least = job.least_times(node);
-    let least_after = job.least_after(&least);
-    let mut postponed = job.postponed(node, &least, begun);
+    let started = node.now();
+    let min_times = job.min_stage_times(node);
+    let min_remaining = job.min_remaining_times(&min_times);
+    let mut postponed = job.postponed_stages(node, &min_times, started);
     postponed.iter().for_each(|(_, i)| progress.postpone(*i));
     loop {
         while let Some(i) = progress.start_next() {
-            let passed = node.now().since(begun).as_millis() as u64;
-            let spent = Spent { passed_ms: passed, after_ms: least_after[i].as_millis() as u64 };
-            match order_of(&job, i, &made.kept, spent, node)? {
-                Some(order) => running.push(make_stage(node, i, order)),
-                None => made.release_all(&progress.complete(i)),
+            let elapsed = node.now().since(started).as_millis() as u64;
+            let used =
+                TimeUsed { elapsed_ms: elapsed, reserved_ms: min_remaining[i].as_millis() as u64 };
+            match build_order(&job, i, &results.stages, used, node)? {
+                Some(order) => running.push(run_stage(node, i, order)),
+                None => results.release_all(&progress.complete(i)),
             }
         }
-        let ended = next_ended(node, &mut running, postponed.front().map(|(due, _)| *due)).await;
-        let Some((i, placed)) = ended else {
+        let ended =
+            next_completed(node, &mut running, postponed.front().map(|(due, _)| *due)).await;
+        let Some((i, completed)) = ended else {
             // The next postponed stage is due, or nothing else goes on.
             let Some((_, due)) = postponed.pop_front() else {
                 break;
@@ -92,17 +94,19 @@
             progress.release(due);
             continue;
         };
-        match made.keep(i, placed) {
-            Ok(()) if !made.is_inside(i, job.allowed) => return Err(StageError::Outside),
+        match results.add_stage(i, completed) {
+            Ok(()) if !results.is_within_regions(i, job.allowed) => {
+                return Err(StageError::WrongRegion);
+            }
             Ok(()) => {
-                made.count_fetched(i, stages);
-                made.release_all(&progress.complete(i));
+                results.count_fetched(i, stages);
+                results.release_all(&progress.complete(i));
             }
             Err(StageError::InputGone) if node.settings().policy.recompute => {
-                let again = progress.input_lost(i).ok_or(StageError::InputGone)?;
-                Event::Remade { id: &job.head.id, stage: i, again: again.len() }.emit();
-                made.release(i);
-                made.release_all(&again);
+                let rerun = progress.input_lost(i).ok_or(StageError::InputGone)?;
+                Event::Remade { id: &job.head.id, stage: i, again: rerun.len() }.emit();
+                results.release(i);
+                results.release_all(&rerun);
             }
             Err(e) => {
                 node.metrics.stage_refused(&stages[i].service, e.cause());
@@ -110,12 +114,12 @@
             }
         }
     }
-    made.set_inputs(&progress.final_stages(), stages);
-    Ok(made)
+    results.set_inputs(&progress.final_stages(), stages);
+    Ok(results)
 }
 
 /// The next stage that ends, unless none does before this time or none goes on.
-async fn next_ended<T>(
+async fn next_completed<T>(
     node: &Node,
     running: &mut FuturesUnordered<impl Future<Output = T>>,
     due: Option<Time>,
@@ -126,29 +130,29 @@
     node.clock.until(due, running.next()).await.flatten()
 }
 
-async fn make_stage(node: &Rc<Node>, stage: usize, order: BatchOrder) -> (usize, Placed) {
-    let begun = node.now();
+async fn run_stage(node: &Rc<Node>, stage: usize, order: BatchOrder) -> (usize, CompletedOrder) {
+    let started = node.now();
     let (id, service) = (order.attempt.clone(), order.service.clone());
     let (near, slack_ms) = (order.near.clone(), order.slack_ms);
-    let ordered = order.region.clone();
-    let placed = order::place(node, order).await;
-    let region = &placed.pool.region;
-    let results = &placed.results;
-    let error = StageError::of_any(results);
-    let took_ms = node.now().since(begun).as_millis() as u64;
+    let requested = order.region.clone();
+    let completed = order::submit(node, order).await;
+    let region = &completed.pool.region;
+    let results = &completed.results;
+    let error = StageError::last_error(results);
+    let took_ms = node.now().since(started).as_millis() as u64;
     let pieces = results.len();
     let near = near.as_deref().unwrap_or_default();
-    let elsewhere = results.iter().filter(|r| !near.is_empty() && !is_made_in(node, r, near));
+    let elsewhere = results.iter().filter(|r| !near.is_empty() && !is_in_domain(node, r, near));
     let elsewhere = elsewhere.count();
-    let here = node.settings();
-    let coordinator = placed.coordinator.as_ref().unwrap_or(&here.name);
+    let settings = node.settings();
+    let coordinator = completed.coordinator.as_ref().unwrap_or(&settings.name);
     Event::Stage {
         id: &id,
         stage,
         service: &service,
         coordinator,
         region: region.as_deref().unwrap_or_default(),
-        spilled: *region != ordered,
+        spilled: *region != requested,
         pieces,
         near,
         elsewhere,
@@ -159,11 +163,11 @@
     }
     .emit();
     node.metrics.time("stage", &service, took_ms);
-    (stage, placed)
+    (stage, completed)
 }
 
 /// Whether a result lies in a failure domain.
-fn is_made_in(node: &Node, result: &PieceResult, domain: &str) -> bool {
+fn is_in_domain(node: &Node, result: &PieceResult, domain: &str) -> bool {
     let PieceResult::Made(handle) = result else {
         return false;
     };
--- a/crates/forward/src/stages/runner.rs
+++ b/crates/forward/src/stages/runner.rs
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 
 use super::call;
-use super::free::Freer;
+use super::free::FreeQueue;
 use crate::events::Event as LogEvent;
 use crate::node::Node;
 use crate::upstream;
@@ -25,44 +25,44 @@
 
 /// Why this node's coordinator did not answer an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotMade {
+pub enum OrderError {
     /// The service makes no pieces.
-    NoService,
+    UnknownService,
     /// The order is to be placed with another coordinator: this node stops, or does
     /// not come first any more.
-    Moved,
+    HandedOver,
 }
 
 /// The coordinators at this node.
 #[derive(Default)]
-pub struct Pools {
+pub struct LocalCoordinators {
     runners: RefCell<HashMap<PoolId, Rc<Runner>>>,
     /// Frees results.
-    pub freer: Freer,
+    pub free_queue: FreeQueue,
 }
 
-impl Pools {
+impl LocalCoordinators {
     /// Makes the pieces of an order; a `pinned` one is not handed over.
-    pub async fn order(
+    pub async fn execute_order(
         &self,
         node: &Rc<Node>,
         order: BatchOrder,
         pinned: bool,
-    ) -> Result<BatchAnswer, NotMade> {
-        let runner = self.runner(node, &order.pool()).ok_or(NotMade::NoService)?;
-        let (order, spilled) = runner.spill(node, order).await;
+    ) -> Result<BatchAnswer, OrderError> {
+        let runner = self.runner(node, &order.pool()).ok_or(OrderError::UnknownService)?;
+        let (order, spilled) = runner.try_spill(node, order).await;
         if let Some(answer) = spilled {
             return Ok(answer);
         }
-        let begun = node.now();
+        let started = node.now();
         let queue = order.queue();
         // Where all regions are one pool, none is left that it could be passed on to.
-        let kept = runner.pool.region.is_some().then(|| order.clone());
-        let Some(results) = runner.order(node, order, pinned).await else {
+        let original = runner.pool.region.is_some().then(|| order.clone());
+        let Some(results) = runner.run_order(node, order, pinned).await else {
             // Its makers went while it waited, or it goes to another coordinator.
-            let order = kept.ok_or(NotMade::Moved)?.later(node.now().since(begun));
-            let (_, spilled) = runner.spill(node, order).await;
-            return spilled.ok_or(NotMade::Moved);
+            let order = original.ok_or(OrderError::HandedOver)?.later(node.now().since(started));
+            let (_, spilled) = runner.try_spill(node, order).await;
+            return spilled.ok_or(OrderError::HandedOver);
         };
         let (waits, region) = (runner.waits(node, &queue), runner.pool.region.clone());
         Ok(BatchAnswer { results, waits, coordinator: None, region })
@@ -71,7 +71,7 @@
     /// What an order would wait for makers of which this node is the coordinator.
     pub fn waits(&self, node: &Rc<Node>, pool: &PoolId) -> Option<Waits> {
         let runner = self.runner(node, pool)?;
-        runner.feed(node, Event::Tick);
+        runner.handle_event(node, Event::Tick);
         let waits = runner.machine.borrow_mut().waits(node.now());
         Some(waits)
     }
@@ -80,25 +80,25 @@
     pub fn hand_over(&self, node: &Rc<Node>) {
         let runners: Vec<_> = self.runners.borrow().values().cloned().collect();
         for runner in runners {
-            runner.feed(node, Event::HandOver);
+            runner.handle_event(node, Event::HandOver);
         }
     }
 
     /// Results that this node's coordinator made are no longer wanted.
     pub fn free(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
-        self.freer.at_makers(node, pool, handles);
+        self.free_queue.free_at_workers(node, pool, handles);
     }
 
     /// Results were freed at their makers.
-    pub fn freed(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
+    pub fn note_freed(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
         let runner = self.runners.borrow().get(pool).cloned();
         if let Some(runner) = runner {
-            runner.feed(node, Event::Freed(handles));
+            runner.handle_event(node, Event::Freed(handles));
         }
     }
 
     /// Orders that are open, of this node's requests and of its peers'.
-    pub fn open(&self) -> usize {
+    pub fn open_orders(&self) -> usize {
         self.runners.borrow().values().map(|r| r.machine.borrow().open_orders()).sum()
     }
 
@@ -107,8 +107,8 @@
         let pool = table.service(&id.service)?.pool.clone()?;
         let mut runners = self.runners.borrow_mut();
         let policy = node.settings().policy;
-        let fresh = || Rc::new(Runner::new(id.clone(), pool.clone(), policy));
-        let runner = runners.entry(id.clone()).or_insert_with(fresh).clone();
+        let new_runner = || Rc::new(Runner::new(id.clone(), pool.clone(), policy));
+        let runner = runners.entry(id.clone()).or_insert_with(new_runner).clone();
         runner.machine.borrow_mut().set_pool(pool, node.now());
         Some(runner)
     }
@@ -117,14 +117,14 @@
 pub(super) struct Runner {
     pub(super) pool: PoolId,
     pub(super) machine: RefCell<Coordinator>,
-    makers: RefCell<WorkerFeed>,
+    workers: RefCell<WorkerFeed>,
     /// What is known of the makers of other regions.
     pub(super) spill: RefCell<Spill>,
-    waiting: RefCell<HashMap<OrderId, oneshot::Sender<Vec<PieceResult>>>>,
-    next: Cell<OrderId>,
+    waiters: RefCell<HashMap<OrderId, oneshot::Sender<Vec<PieceResult>>>>,
+    next_id: Cell<OrderId>,
     ticking: Cell<bool>,
     /// When the machine last looked at its makers.
-    looked: Cell<Option<Time>>,
+    last_event: Cell<Option<Time>>,
 }
 
 /// Cancels an order that nobody waits for any more.
@@ -136,8 +136,8 @@
 
 impl Drop for OrderGuard {
     fn drop(&mut self) {
-        if self.runner.waiting.borrow_mut().remove(&self.id).is_some() {
-            self.runner.feed(&self.node, Event::Cancel(self.id));
+        if self.runner.waiters.borrow_mut().remove(&self.id).is_some() {
+            self.runner.handle_event(&self.node, Event::Cancel(self.id));
         }
     }
 }
@@ -147,57 +147,58 @@
         Runner {
             pool: id,
             machine: RefCell::new(Coordinator::new(pool, policy)),
-            makers: RefCell::default(),
+            workers: RefCell::default(),
             spill: RefCell::default(),
-            waiting: RefCell::default(),
-            next: Cell::new(1),
+            waiters: RefCell::default(),
+            next_id: Cell::new(1),
             ticking: Cell::new(false),
-            looked: Cell::new(None),
+            last_event: Cell::new(None),
         }
     }
 
-    async fn order(
+    async fn run_order(
         self: &Rc<Self>,
         node: &Rc<Node>,
         order: BatchOrder,
         pinned: bool,
     ) -> Option<Vec<PieceResult>> {
-        let id = self.next.replace(self.next.get() + 1);
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, tell);
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        let (sender, receiver) = oneshot::channel();
+        self.waiters.borrow_mut().insert(id, sender);
         let _guard = OrderGuard { runner: self.clone(), node: node.clone(), id };
-        self.feed(node, Event::Order { id, order, pinned });
+        self.handle_event(node, Event::Order { id, order, pinned });
         self.start_ticking(node);
-        told.await.ok()
+        receiver.await.ok()
     }
 
     /// Lets the machine take an event, with the makers as they are right now.
-    pub(super) fn feed(self: &Rc<Self>, node: &Rc<Node>, event: Event) {
+    pub(super) fn handle_event(self: &Rc<Self>, node: &Rc<Node>, event: Event) {
         let now = node.now();
-        self.looked.set(Some(now));
+        self.last_event.set(Some(now));
         let map = node.peers.roster(|r| r.map());
         let cold = node.cold_limit(&self.pool.service);
-        let mut makers = self.makers.borrow_mut();
-        let news = node.fleet(|f| makers.next_event(f, &self.pool, &map, cold, now));
-        drop(makers);
+        let mut workers = self.workers.borrow_mut();
+        let worker_event = node.fleet(|f| workers.next_event(f, &self.pool, &map, cold, now));
+        drop(workers);
         let mut machine = self.machine.borrow_mut();
-        let mut actions = news.map(|news| machine.handle(now, news)).unwrap_or_default();
+        let mut actions =
+            worker_event.map(|worker_event| machine.handle(now, worker_event)).unwrap_or_default();
         actions.extend(machine.handle(now, event));
         drop(machine);
         for action in actions {
-            self.act(node, action);
+            self.perform(node, action);
         }
     }
 
     /// Lets the machine look at late orders and its makers, if it has not done so for a while.
-    pub(super) fn look(self: &Rc<Self>, node: &Rc<Node>) {
-        let looked = self.looked.get();
-        if looked.is_none_or(|at| node.now().since(at) >= TICK) {
-            self.feed(node, Event::Tick);
+    pub(super) fn tick_if_due(self: &Rc<Self>, node: &Rc<Node>) {
+        let last = self.last_event.get();
+        if last.is_none_or(|at| node.now().since(at) >= TICK) {
+            self.handle_event(node, Event::Tick);
         }
     }
 
-    fn act(self: &Rc<Self>, node: &Rc<Node>, action: Action) {
+    fn perform(self: &Rc<Self>, node: &Rc<Node>, action: Action) {
         match action {
             Action::Start(call) => {
                 tokio::task::spawn_local(run_call(self.clone(), node.clone(), call));
@@ -213,18 +214,18 @@
                 }
                 .emit()
             }
-            Action::Probe(maker) => {
-                tokio::task::spawn_local(probe(self.clone(), node.clone(), maker));
+            Action::Probe(worker) => {
+                tokio::task::spawn_local(probe(self.clone(), node.clone(), worker));
             }
             Action::Answer(id, results) => {
-                if let Some(tell) = self.waiting.borrow_mut().remove(&id)
-                    && let Err(unheard) = tell.send(results)
+                if let Some(sender) = self.waiters.borrow_mut().remove(&id)
+                    && let Err(undelivered) = sender.send(results)
                 {
-                    node.pools.free(node, &self.pool, made(unheard));
+                    node.pools.free(node, &self.pool, result_handles(undelivered));
                 }
             }
             Action::HandOver(id) => {
-                self.waiting.borrow_mut().remove(&id);
+                self.waiters.borrow_mut().remove(&id);
             }
             Action::Free(handles) => node.pools.free(node, &self.pool, handles),
         }
@@ -239,16 +240,16 @@
             while runner.machine.borrow().open_orders() > 0 {
                 tokio::time::sleep(TICK).await;
                 let now = node.now();
-                let first = node.peers.roster(|r| r.coordinates(&runner.pool, now));
-                let moves = !first || runner.is_abandoned(&node);
-                runner.feed(&node, if moves { Event::HandOver } else { Event::Tick });
+                let is_coordinator = node.peers.roster(|r| r.coordinates(&runner.pool, now));
+                let hands_over = !is_coordinator || runner.should_hand_over(&node);
+                runner.handle_event(&node, if hands_over { Event::HandOver } else { Event::Tick });
             }
             runner.ticking.set(false);
         });
     }
 }
 
-fn made(results: Vec<PieceResult>) -> Vec<Handle> {
+fn result_handles(results: Vec<PieceResult>) -> Vec<Handle> {
     let handle = |r| match r {
         PieceResult::Made(h) => Some(h),
         _ => None,
@@ -257,17 +258,17 @@
 }
 
 /// Asks a maker for a sign of life: whether it takes a connection.
-async fn probe(runner: Rc<Runner>, node: Rc<Node>, maker: TargetId) {
-    let address = node.fleet(|f| f.get(&maker).map(|b| b.target.address));
+async fn probe(runner: Rc<Runner>, node: Rc<Node>, worker: TargetId) {
+    let address = node.fleet(|f| f.get(&worker).map(|b| b.target.address));
     let alive = match address {
         Some(address) => upstream::connect(address).await.is_ok(),
         None => false,
     };
-    runner.feed(&node, Event::Probed(maker, alive));
+    runner.handle_event(&node, Event::Probed(worker, alive));
 }
 
 async fn run_call(runner: Rc<Runner>, node: Rc<Node>, call: Call) {
     let number = call.number;
-    let end = call::make(&runner, &node, call).await;
-    runner.feed(&node, Event::CallEnded(number, end));
+    let end = call::execute(&runner, &node, call).await;
+    runner.handle_event(&node, Event::CallEnded(number, end));
 }
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -18,17 +18,17 @@
 impl Runner {
     /// Passes an order on if another region makes it in time and this one would not; returns
     /// it, and its answer if it was.
-    pub(super) async fn spill(
+    pub(super) async fn try_spill(
         self: &Rc<Self>,
         node: &Rc<Node>,
         order: BatchOrder,
     ) -> (BatchOrder, Option<BatchAnswer>) {
-        let Some(region) = self.choose(node, &order) else {
+        let Some(region) = self.choose_region(node, &order) else {
             return (order, None);
         };
-        let begun = node.now();
-        let passed = BatchOrder { region: Some(region.clone()), spilled: true, ..order.clone() };
-        match order::at_region(node, passed).await {
+        let started = node.now();
+        let forwarded = BatchOrder { region: Some(region.clone()), spilled: true, ..order.clone() };
+        match order::submit_to_region(node, forwarded).await {
             Ok(answer) => {
                 self.spill.borrow_mut().update_waits(region.clone(), answer.waits, node.now());
                 let from = self.pool.region.as_deref().unwrap_or_default();
@@ -45,7 +45,7 @@
                     why: &why,
                 }
                 .emit();
-                let order = order.later(node.now().since(begun));
+                let order = order.later(node.now().since(started));
                 (BatchOrder { spilled: true, ..order }, None)
             }
         }
@@ -53,21 +53,21 @@
 
     /// The region that an order goes to in place of this one; asks others for their waits
     /// once there is a wait here.
-    fn choose(self: &Rc<Self>, node: &Rc<Node>, order: &BatchOrder) -> Option<Name> {
-        let own_region = self.pool.region.as_ref()?;
-        self.look(node);
+    fn choose_region(self: &Rc<Self>, node: &Rc<Node>, order: &BatchOrder) -> Option<Name> {
+        let local_region = self.pool.region.as_ref()?;
+        self.tick_if_due(node);
         let now = node.now();
-        let own = self.machine.borrow_mut().local_load(order, now);
-        let others = others(node, &self.pool.service, own_region, &order.allowed);
+        let local = self.machine.borrow_mut().local_load(order, now);
+        let others = other_regions(node, &self.pool.service, local_region, &order.allowed);
         let names: Vec<Name> = others.iter().map(|(r, _)| r.clone()).collect();
-        for region in self.spill.borrow_mut().take_due_queries(&names, own.wait, now) {
-            tokio::task::spawn_local(ask(self.clone(), node.clone(), region));
+        for region in self.spill.borrow_mut().take_due_queries(&names, local.wait, now) {
+            tokio::task::spawn_local(query_waits(self.clone(), node.clone(), region));
         }
-        self.spill.borrow_mut().choose(&others, order, own, now)
+        self.spill.borrow_mut().choose(&others, order, local, now)
     }
 
     /// Whether no maker works here, while another region's can take what waits.
-    pub(super) fn is_abandoned(&self, node: &Node) -> bool {
+    pub(super) fn should_hand_over(&self, node: &Node) -> bool {
         let now = node.now();
         let is_dead = self.machine.borrow_mut().waits(now).of(Rank::default()) == Waits::NOBODY;
         is_dead && self.spill.borrow().has_fresh_waits(now)
@@ -77,28 +77,33 @@
     pub(super) fn waits(&self, node: &Node, queue: &QueueId) -> Waits {
         let now = node.now();
         let waits = self.machine.borrow_mut().waits(now);
-        let Some(own) = &self.pool.region else {
+        let Some(local) = &self.pool.region else {
             return waits;
         };
-        let others = others(node, &self.pool.service, own, &queue.allowed);
+        let others = other_regions(node, &self.pool.service, local, &queue.allowed);
         self.spill.borrow().bound_waits(waits, &others, queue.is_large, now)
     }
 }
 
 /// Regions with usable makers but one, and the time there and back.
-fn others(node: &Node, service: &str, but: &Name, allowed: &Allowed) -> Vec<(Name, Duration)> {
+fn other_regions(
+    node: &Node,
+    service: &str,
+    excluded: &Name,
+    allowed: &Allowed,
+) -> Vec<(Name, Duration)> {
     let map = node.peers.roster(|r| r.map());
     if !map.is_split() {
         return Vec::new();
     }
-    let able = node.able_regions(&map, service, allowed).into_iter();
-    able.filter(|r| r != but).map(|r| (r.clone(), map.region_round_trip(&r))).collect()
+    let candidates = node.able_regions(&map, service, allowed).into_iter();
+    candidates.filter(|r| r != excluded).map(|r| (r.clone(), map.region_round_trip(&r))).collect()
 }
 
 /// Asks another region's coordinator for its waits.
-async fn ask(runner: Rc<Runner>, node: Rc<Node>, region: Name) {
+async fn query_waits(runner: Rc<Runner>, node: Rc<Node>, region: Name) {
     let pool = PoolId { region: Some(region.clone()), ..runner.pool.clone() };
-    let Some(peer) = order::coordinator_in(&node, &pool) else {
+    let Some(peer) = order::remote_coordinator(&node, &pool) else {
         return;
     };
     match peers::ask::<_, Waits>(&node, peer.entry, WAITS, &pool, WAITS_TIMEOUT).await {
--- a/crates/forward/src/watch/mod.rs
+++ b/crates/forward/src/watch/mod.rs
@@ -44,7 +44,7 @@
         node.fleet(|f| f.versions_mut().set_awaiting_peers(true));
         tokio::task::spawn_local(lists::follow::<Rollouts>(node.clone()));
         tokio::task::spawn_local(rollouts::ask_peers(node.clone()));
-        tokio::task::spawn_local(rollout::run(node.clone()));
+        tokio::task::spawn_local(rollout::run_reports(node.clone()));
         tokio::task::spawn_local(rollout::watch_stalls(node.clone()));
     }
     tokio::task::spawn_local(rules::follow(node.clone()));
--- a/crates/forward/src/watch/rollouts.rs
+++ b/crates/forward/src/watch/rollouts.rs
@@ -109,7 +109,7 @@
     let changes = node.fleet(|f| f.versions_mut().apply(list, now));
     for change in &changes {
         tell(node, change, from);
-        node.rollouts.changed(change, now);
+        node.rollouts.handle_change(change, now);
     }
     let is_settled = node.fleet(|f| f.versions().unsettled().is_none());
     if !changes.is_empty() || !was_known || (was_unsettled && is_settled) {
