--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -1,4 +1,4 @@
-//! One call to a maker: its request, its permit where the maker names a limit, and what came of it.
+//! One batch call to a worker: its permit if the worker has a limit, its request and its outcome.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,14 +23,14 @@
 use crate::rollout::{self, TrackedSend};
 use crate::upstream::{self, Answer};
 
-/// Time beyond a call's expected one before it is given up.
+/// Fixed part of a call's timeout, on top of twice its expected time.
 const CALL_SLACK: Duration = Duration::from_millis(1500);
-/// Most times what is expected that the time of a call counts as.
+/// Cap on the recorded ratio of a call's time to its expected time.
 const MAX_TIME_RATIO: f64 = 1000.0;
-/// Largest answer to a call.
+/// Maximum size of the body of an answer.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// The request of a call that only this start of a maker may take.
+/// Builds a request that only this incarnation of a worker may accept.
 pub fn request(
     node: &Node,
     worker: &TargetId,
@@ -46,7 +46,7 @@
     request
 }
 
-/// Makes a call of a coordinator; what came of it.
+/// Executes a coordinator's call.
 pub(super) async fn execute(runner: &Runner, node: &Rc<Node>, call: Call) -> CallEnd {
     let Some(target) = node.fleet(|f| f.get(&call.worker).map(|b| b.target.clone())) else {
         return CallEnd::Failed;
@@ -69,7 +69,7 @@
     let work = async {
         let socket = match upstream::connect(address).await {
             Ok(_) if permit.is_over(node.now()) => {
-                return (CallEnd::Full, Observation::NotSent, "its permit ran out".into());
+                return (CallEnd::Full, Observation::NotSent, "permit expired".into());
             }
             Ok(socket) => socket,
             Err(e) => return (CallEnd::Failed, Observation::Unreachable, e.to_string()),
@@ -84,8 +84,8 @@
             Err(e) => (CallEnd::Failed, Observation::Interrupted, e.to_string()),
         }
     };
-    // The time holds for the whole answer: a maker may stall within it.
-    let too_long = || (CallEnd::Failed, Observation::Interrupted, "call took too long".to_string());
+    // The timeout covers the whole body: a worker may stall in the middle of an answer.
+    let too_long = || (CallEnd::Failed, Observation::Interrupted, "call timed out".to_string());
     let ended = tokio::time::timeout(timeout, work).await;
     let (end, observed, why) = ended.unwrap_or_else(|_| too_long());
     match observed {
@@ -107,14 +107,14 @@
     end
 }
 
-/// Requests that a call counts as at a maker that names a limit: each of its pieces, unless it was
-/// made large since all makers name one.
+/// Number of requests that a call counts as towards a worker's limit: one per piece. A call of more
+/// than [`MAX_LIMITED_PIECES`] is built only where all workers have limits, and counts as one.
 fn permit_count(call: &Call) -> u32 {
     let pieces = call.pieces.len() as u32;
     if pieces <= MAX_LIMITED_PIECES { pieces } else { 1 }
 }
 
-/// What names a call where attempts have their ids.
+/// Id of a call in the log lines of permits; calls have no attempt id.
 fn call_id(runner: &Runner, call: &Call) -> String {
     format!("{} {}", runner.pool.service, call.number)
 }
@@ -142,7 +142,7 @@
     .emit();
 }
 
-/// Counts a call at its maker until it goes.
+/// Counts a call as outstanding at its worker until dropped.
 struct InFlightGuard {
     node: Rc<Node>,
     id: TargetId,
@@ -161,15 +161,15 @@
     }
 }
 
-/// What a maker's answer shows of its version. Calls take time by what they carry, so their
-/// times are told as parts of what is expected, which counts as a second.
+/// Records a call as evidence on the worker's version. The time of a call depends on its number of
+/// pieces, so the ratio of its time to the expected time is recorded, as seconds.
 fn record_answer(sent: &TrackedSend, results: &[PieceResult], took: Duration, expected: Duration) {
     let failed = results.iter().filter(|r| **r == PieceResult::Failed).count();
     let ratio = took.as_secs_f64() / expected.as_secs_f64().max(f64::EPSILON);
     sent.record_call(failed, Duration::from_secs_f64(ratio.min(MAX_TIME_RATIO)));
 }
 
-/// A call that was answered.
+/// Target and timing of a call whose response head has arrived.
 struct SentCall<'a> {
     target: &'a Target,
     started: Time,
@@ -210,12 +210,11 @@
 }
 
 impl Runner {
-    /// Time after which a call is given up.
     fn call_timeout(&self, node: &Node, pieces: usize) -> Duration {
         2 * self.expected_time(node, pieces) + CALL_SLACK
     }
 
-    /// Time that a call takes by the rules.
+    /// Time of a call by the rules in force; zero for an unknown service.
     fn expected_time(&self, node: &Node, pieces: usize) -> Duration {
         let table = node.table();
         let pool = table.service(&self.pool.service).and_then(|s| s.pool.as_ref());
--- a/crates/forward/src/stages/free.rs
+++ b/crates/forward/src/stages/free.rs
@@ -1,5 +1,5 @@
-//! Frees results: through the coordinator that made them, which so knows what
-//! room its makers have, or straight at their makers if it is gone.
+//! Frees results, through the coordinator that ordered them so that it knows how much room its
+//! workers have, or directly at the workers if that coordinator does not answer.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,27 +16,27 @@
 use crate::node::Node;
 use crate::peers::{self, FREE, RemoteFree};
 
-/// Time during which results of one maker or coordinator are gathered into one call.
+/// Delay in which results for one worker or coordinator are batched into one request.
 const FLUSH_DELAY: Duration = Duration::from_millis(10);
-/// Time for the call; a result that is not freed runs out by itself.
+/// Timeout of a request. A result that is not freed expires at its worker.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest answer that is read.
+/// Maximum size of the body of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Where results are freed.
+/// Recipient of a request to free results.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Destination {
     Worker(TargetId, PoolId),
     Coordinator(SocketAddr, PoolId),
 }
 
-/// Results to be freed.
+/// Results to free, batched by recipient.
 #[derive(Default)]
 pub struct FreeQueue(RefCell<HashMap<Destination, Vec<Handle>>>);
 
 impl FreeQueue {
-    /// Frees results of a pool at their makers soon.
+    /// Queues results of a pool to be freed at their workers.
     pub fn free_at_workers(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
         for handle in handles {
             let destination = Destination::Worker(handle.maker.clone(), pool.clone());
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Frees results through the coordinator of a pool at a peer soon.
+    /// Queues results to be freed through the pool's coordinator on a peer.
     pub fn free_via_peer(&self, node: &Rc<Node>, peer: SocketAddr, pool: &PoolId, h: Vec<Handle>) {
         self.push(node, Destination::Coordinator(peer, pool.clone()), h);
     }
@@ -80,7 +80,7 @@
 }
 
 async fn free_at_worker(node: &Rc<Node>, worker: &TargetId, handles: &[Handle]) {
-    // It wants nothing meanwhile, and what is not freed runs out there.
+    // A worker that asked for backoff gets no requests; results expire there in the meantime.
     while let Some(until) = node.fleet(|f| f.notices().backoff_until(worker, node.now())) {
         node.clock.sleep_until(until).await;
     }
@@ -96,8 +96,8 @@
         return;
     };
     *request.uri_mut() = uri;
-    // On a kept connection, unlike all else that goes to a target: nobody looks at the
-    // answer, so a late one can do no harm, and a new connection would take a maker's time.
+    // Unlike all other requests to targets, this one uses a pooled connection: the answer's body is
+    // ignored, so a late one is harmless, and a new connection would cost the worker time.
     let crossing = Crossing::to_target(node, Kind::Free, worker);
     if let Some(crossing) = &crossing {
         crossing.sent(sent);
@@ -111,12 +111,12 @@
         if !answer_head.misdirected {
             heard::take_notice(node, &target, answer_head.notice);
         }
-        // Read to its end, so that the connection can be used again.
+        // Reads the body to its end so that the connection can be reused.
         let read = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         if let (Some(crossing), Ok(body)) = (&crossing, read) {
             crossing.got(body.to_bytes().len());
         }
     };
-    // What is not freed runs out at its maker by itself.
+    // Results that are not freed expire at the worker.
     let _ = tokio::time::timeout(TIMEOUT, freed).await;
 }
--- a/crates/forward/src/stages/job.rs
+++ b/crates/forward/src/stages/job.rs
@@ -1,4 +1,4 @@
-//! What the stages of one request are made for, and the order for each of them.
+//! Constraints on the stages of one request, and the batch order built from them for each stage.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,49 +13,49 @@
 use super::plan::StageError;
 use crate::node::Node;
 
-/// Time that stages leave an engine for its first event: between the median and the 90th
-/// percentile (139 and 404 ms) of long prompts. Less would leave half of them late, more would
-/// have stages hurry for the sake of a few.
+/// Time reserved for the engine's first event, between the median (139 ms) and the 90th percentile
+/// (404 ms) for long prompts. With less, half of them would be late; with more, stages would be
+/// ordered as more urgent for the sake of a few.
 const ENGINE_RESERVE: Duration = Duration::from_millis(200);
 
-/// What the stages of one request are made for.
+/// Constraints on the stages of one request.
 pub struct Job<'a> {
-    /// Route.
+    /// Route that the request was matched to.
     pub route: &'a Route,
-    /// Request.
+    /// Head of the caller's request.
     pub head: &'a CallerHead,
-    /// Regions in which its pieces may be made.
+    /// Regions in which its pieces may run.
     pub allowed: &'a Allowed,
-    /// Failure domain of the target that takes the results.
+    /// Failure domain of the target that consumes the results, if it is chosen already.
     pub near: Option<Name>,
-    /// Milliseconds until the first event is due.
+    /// Milliseconds until the first event's deadline.
     pub slack_ms: u64,
-    /// Milliseconds until the request ends.
+    /// Milliseconds until the request's deadline.
     pub left_ms: u64,
-    /// Rank.
+    /// Priority among orders.
     pub rank: Rank,
 }
 
 impl Job<'_> {
-    /// Pieces of a stage; none if the request leaves it out.
+    /// Number of pieces of a stage; 0 if the request skips it.
     fn pieces_of(&self, stage: usize) -> u32 {
         self.head.pieces.get(stage).copied().unwrap_or(0)
     }
 
-    /// Time of each stage without any wait.
+    /// Duration of each stage without queueing.
     pub(super) fn min_stage_times(&self, node: &Node) -> Vec<Duration> {
         let table = node.table();
         forecast::min_stage_times(self.route, &self.head.pieces, |name| table.service(name))
     }
 
-    /// Least time from the end of each stage to the first event, given that of the stages.
+    /// Minimum time from the end of each stage to the first event.
     pub(super) fn min_remaining_times(&self, min_times: &[Duration]) -> Vec<Duration> {
         let tails = stages::remaining_times(&self.route.order(), min_times);
         tails.into_iter().map(|tail| tail + ENGINE_RESERVE).collect()
     }
 
-    /// Stages whose results are large, and when they are due, the first due first: they
-    /// start so late that they end with the longest path, since room at makers is short.
+    /// Stages with large results and their start times, earliest first. They start late enough to
+    /// end together with the longest path, because room for results at workers is scarce.
     pub(super) fn postponed_stages(
         &self,
         node: &Node,
@@ -78,8 +78,8 @@
         postponed.into()
     }
 
-    /// Region that a stage is wanted in: where its inputs lie, or, for the last one, where its
-    /// results are wanted. A chain so changes its region once at most.
+    /// Preferred region of a stage: that of its inputs; failing that, for a final stage, that of
+    /// the consumer of its results. A chain of stages thus changes region at most once.
     fn preferred_region(
         &self,
         stage: usize,
@@ -94,8 +94,8 @@
         Some(node.peers.roster(|r| r.map().region_of(&at)))
     }
 
-    /// Where a stage is best made: where its inputs lie, or, for the last one, where its
-    /// results are wanted, whichever moves more bytes.
+    /// Preferred failure domain of a stage: that of its inputs or, for a final stage, that of the
+    /// consumer of its results, whichever saves more transferred bytes.
     fn placement(&self, stage: usize, results: &[StageResults], node: &Node) -> Placement {
         if !node.settings().policy.affinity {
             return Placement::default();
@@ -103,7 +103,7 @@
         let stages = &self.route.stages;
         let (spec, pieces) = (&stages[stage], u64::from(self.pieces_of(stage)));
         let out_bytes = pieces * spec.bytes;
-        // Each piece fetches all of its inputs.
+        // Each piece fetches all inputs of the stage.
         let fetched =
             spec.after.iter().map(|j| results[*j].handles.len() as u64 * stages[*j].bytes);
         let in_bytes = fetched.sum::<u64>() * pieces;
@@ -122,32 +122,32 @@
     }
 }
 
-/// Where a stage is best made, and what it costs to make it elsewhere.
+/// Preferred place of a stage, and the cost of running it elsewhere.
 #[derive(Default)]
 struct Placement {
-    /// Failure domain; none if it does not matter.
+    /// Preferred failure domain; `None` if any will do.
     near: Option<Name>,
-    /// Bytes that cross failure domains if the pieces are made elsewhere.
+    /// Bytes that cross failure domains if the pieces run elsewhere.
     moved_bytes: u64,
-    /// Bytes that cross later if the results lie in several failure domains.
+    /// Bytes that cross failure domains later if the results lie in several of them.
     spread_bytes: u64,
 }
 
-/// Stages that come after `stage`.
+/// Stages that take `stage`'s results as inputs.
 fn dependents(stages: &[Stage], stage: usize) -> impl Iterator<Item = usize> + '_ {
     let after = move |(_, s): &(usize, &Stage)| s.after.contains(&stage);
     stages.iter().enumerate().filter(after).map(|(i, _)| i)
 }
 
-/// What of a request's time is not left for a stage.
+/// Parts of a request's time that are not available to a stage.
 pub(super) struct TimeUsed {
-    /// Milliseconds passed since the first stage could start.
+    /// Milliseconds since the first stage could start.
     pub(super) elapsed_ms: u64,
-    /// Least milliseconds from the end of the stage to the first event.
+    /// Minimum milliseconds from the end of the stage to the first event.
     pub(super) reserved_ms: u64,
 }
 
-/// The order for one stage; `None` if the request leaves the stage out.
+/// Builds the order for a stage; `None` if the request skips the stage.
 pub(super) fn build_order(
     job: &Job<'_>,
     stage: usize,
--- a/crates/forward/src/stages/made.rs
+++ b/crates/forward/src/stages/made.rs
@@ -1,4 +1,4 @@
-//! Results of one request's stages that rest at their makers, until they are freed.
+//! Ownership of a request's stage results, which are stored at the workers until freed.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,28 +11,28 @@
 use crate::crossed;
 use crate::node::Node;
 
-/// Results that a request's target takes as inputs; freed when this goes.
+/// Stage results of one request; frees them at their workers when dropped.
 pub struct RequestResults {
     node: Rc<Node>,
-    /// Results by stage.
+    /// Stored results by stage.
     pub(super) stages: Vec<StageResults>,
     inputs: Vec<String>,
-    /// Who made the inputs, and their bytes.
+    /// Worker and size in bytes of each input.
     input_sources: Vec<(TargetId, u64)>,
     inputs_domain: Option<Name>,
 }
 
-/// Results of one stage that still rest at their makers.
+/// Results of one stage that are stored at their workers.
 #[derive(Default)]
 pub(super) struct StageResults {
-    /// Where the results rest.
+    /// Handles of the stored results.
     pub(super) handles: Vec<Handle>,
     pool: Option<PoolId>,
     peer: Option<SocketAddr>,
 }
 
 impl RequestResults {
-    /// Nothing made yet, of this many stages.
+    /// Creates an empty set for this number of stages.
     pub(super) fn new(node: &Rc<Node>, stages: usize) -> Self {
         let stage_results = (0..stages).map(|_| StageResults::default()).collect();
         RequestResults {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Takes what came of a stage. If a piece of it was not made, what was made of the
-    /// others is held all the same, to be freed.
+    /// Adds the results of a stage. If a piece failed, the results of the others are kept all the
+    /// same, so that they are freed.
     pub(super) fn add_stage(
         &mut self,
         stage: usize,
@@ -67,7 +67,7 @@
         failed.map_or(Ok(()), Err)
     }
 
-    /// The request's target will take the results of these stages.
+    /// Sets the results of the final stages as the inputs of the request's target.
     pub(super) fn set_inputs(&mut self, final_stages: &[usize], stages: &[Stage]) {
         let bytes = |i: &&usize| self.stages[**i].handles.len() as u64 * stages[**i].bytes;
         let largest = final_stages.iter().max_by_key(bytes);
@@ -81,8 +81,8 @@
         (self.inputs, self.input_sources) = both.unzip();
     }
 
-    /// Counts what the makers of a stage have fetched from other regions: each piece takes all
-    /// results of the stages before.
+    /// Counts the bytes that a stage's workers fetched from other regions; each piece fetches all
+    /// results of the stages that it depends on.
     pub(super) fn count_fetched(&self, stage: usize, stages: &[Stage]) {
         for piece in &self.stages[stage].handles {
             let inputs = stages[stage].after.iter().flat_map(|j| {
@@ -93,29 +93,29 @@
         }
     }
 
-    /// Whether the results of a stage rest where they may. Its coordinator sees to that, by
-    /// what it knows.
+    /// Whether all results of a stage are stored in allowed regions. The coordinator ensures that
+    /// by its own state, which may differ from this node's.
     pub(super) fn is_within_regions(&self, stage: usize, allowed: &Allowed) -> bool {
         let mut workers = self.stages[stage].handles.iter().map(|h| &h.maker);
         self.node.fleet(|f| workers.all(|worker| f.is_in_allowed_region(worker, allowed)))
     }
 
-    /// Targets at which results rest.
+    /// Workers that store results.
     pub fn workers(&self) -> impl Iterator<Item = &TargetId> {
         self.stages.iter().flat_map(|k| &k.handles).map(|h| &h.maker)
     }
 
-    /// Handles of the stages that no other stage comes after.
+    /// Handles of the final stages' results.
     pub fn inputs(&self) -> &[String] {
         &self.inputs
     }
 
-    /// Who made them, and their bytes.
+    /// Worker and size in bytes of each input.
     pub fn input_sources(&self) -> impl Iterator<Item = (TargetId, u64)> {
         self.input_sources.iter().cloned()
     }
 
-    /// Failure domain where most bytes of the inputs lie, as far as is known.
+    /// Failure domain that stores most bytes of the inputs, if known.
     pub fn inputs_domain(&self) -> Option<&Name> {
         self.inputs_domain.as_ref()
     }
--- a/crates/forward/src/stages/mod.rs
+++ b/crates/forward/src/stages/mod.rs
@@ -1,5 +1,5 @@
-//! Batched stages: the coordinators that run at this node, the orders of this
-//! node's requests, and the freeing of results.
+//! Batched stages: the batch coordinators on this node, the orders of this node's requests, and
+//! the freeing of results.
 
 mod call;
 mod free;
--- a/crates/forward/src/stages/order.rs
+++ b/crates/forward/src/stages/order.rs
@@ -1,4 +1,4 @@
-//! Places an order with the batch coordinator of its service, wherever it runs.
+//! Submits batch orders to the coordinator of their service, on this node or on a peer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,28 +13,28 @@
 use crate::peers::{self, BATCH};
 use crate::stages::OrderError;
 
-/// Coordinators asked before the node batches by itself.
+/// Maximum number of peers tried per round before this node coordinates the order itself.
 const MAX_COORDINATORS: usize = 3;
-/// Times that an order goes round before this node keeps it whatever happens.
+/// Rounds of submission before this node executes the order itself in any case.
 const MAX_ROUNDS: usize = 2;
-/// Status by which a peer says that it stops and coordinates no more.
+/// Status returned by a peer that is shutting down and no longer coordinates.
 const STATUS_STOPPING: u16 = 503;
-/// Time between looks at whether the coordinator is still up.
+/// Interval between liveness checks of the coordinator.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Results, and the peer whose coordinator made them; `None` if it was this node's.
+/// Results of an order and the coordinator that executed it.
 pub struct CompletedOrder {
-    /// Results in the order's order.
+    /// One result per piece, in order.
     pub results: Vec<PieceResult>,
-    /// Where the coordinator runs.
+    /// Address of the coordinator's node; `None` is this one.
     pub peer: Option<SocketAddr>,
-    /// Name of the node that it runs on; `None` is this one.
+    /// Name of the coordinator's node; `None` is this one.
     pub coordinator: Option<Name>,
-    /// Makers that made them.
+    /// Pool whose workers ran the order.
     pub pool: PoolId,
 }
 
-/// Places the order; after its coordinators fail, this node makes the calls itself.
+/// Submits an order. If its coordinators fail, this node makes the calls itself.
 pub async fn submit(node: &Rc<Node>, mut order: BatchOrder) -> CompletedOrder {
     await_cluster(node, &mut order).await;
     let rounds = if node.settings().policy.pooling { MAX_ROUNDS } else { 0 };
@@ -45,7 +45,7 @@
         if reroute_to_local(node, &mut order) {
             continue;
         }
-        // A coordinator that no longer comes first hands over, this one too.
+        // A coordinator that is no longer ranked first hands its orders over; so does this one.
         match node.pools.execute_order(node, order.clone(), false).await {
             Err(OrderError::HandedOver) => {}
             end => return complete_locally(node, &order, end),
@@ -55,8 +55,8 @@
     complete_locally(node, &order, end)
 }
 
-/// Waits until nodes that have started together know each other; if each made calls of
-/// its own, they would take each other's makers for seconds.
+/// Waits until nodes that started at the same time have discovered each other. If each coordinated
+/// its own calls, they would compete for the same workers for seconds.
 async fn await_cluster(node: &Rc<Node>, order: &mut BatchOrder) {
     let started = node.now();
     while node.peers.roster(|r| r.is_cluster_forming(node.now())) {
@@ -65,14 +65,14 @@
     deduct_time(order, node.now().since(started));
 }
 
-/// Takes time that has passed off an order's.
+/// Subtracts elapsed time from an order's remaining time.
 fn deduct_time(order: &mut BatchOrder, time: Duration) {
     let passed = time.as_millis() as u64;
     order.left_ms = order.left_ms.saturating_sub(passed);
     order.slack_ms = order.slack_ms.saturating_sub(passed);
 }
 
-/// Places the order with the peers that come before this node.
+/// Submits an order to the peers that are ranked before this node.
 async fn submit_to_peers(node: &Rc<Node>, order: &mut BatchOrder) -> Option<CompletedOrder> {
     let pool = order.pool();
     ping_silent(node, &pool);
@@ -102,13 +102,14 @@
             Err(why) => log_lost(&pool.service, &peer, &why),
         }
         if node.peers.is_hung(&peer.id, now) && !hung.contains(&peer.id) {
-            // It is there; only the connection is not.
+            // The peer is up and only its connection hangs, so it is tried once more.
             hung.push(peer.id);
             deduct_time(order, node.now().since(now));
             continue;
         }
         if node.peers.roster(|r| r.is_silent(&peer.id)) {
-            // Whoever else is gone with it is found out at once, not one order after another.
+            // Pings other peers, so that those that failed with it are found at once rather than
+            // one per order.
             let others = node.peers.roster(|r| r.survey(&pool, node.now()));
             peers::ask_all(node, &others).await;
         }
@@ -118,20 +119,20 @@
     None
 }
 
-/// Whether a pool is that of another region.
+/// Whether a pool belongs to another region.
 fn is_remote_region(node: &Node, pool: &PoolId) -> bool {
     let own = node.peers.roster(|r| r.map().local_region());
     pool.region.as_ref().is_some_and(|r| *r != own)
 }
 
-/// Whether a peer is in the pool's region.
+/// Whether a peer is in a pool's region.
 fn is_in_region(node: &Node, pool: &PoolId, peer: &PeerNode) -> bool {
     let region = node.peers.roster(|r| r.map().region_of(&peer.domain));
     pool.region.as_ref().is_some_and(|r| *r == region)
 }
 
-/// Lets this region make an order if nobody in the one that it names answers: no node decides
-/// for makers that it may not reach.
+/// Reroutes an order to the local region if no node of the order's region answers, since a node
+/// must not coordinate workers that it may be unable to reach.
 fn reroute_to_local(node: &Node, order: &mut BatchOrder) -> bool {
     let pool = order.pool();
     if !is_remote_region(node, &pool) || remote_coordinator(node, &pool).is_some() {
@@ -149,7 +150,7 @@
     Event::Coordinator { service, coordinator: &peer.id.name, why }.emit();
 }
 
-/// Asks silent peers that would come first for a sign of life, in the background.
+/// Pings, in the background, unresponsive peers that would be ranked first.
 fn ping_silent(node: &Rc<Node>, pool: &PoolId) {
     let due = node.peers.roster(|r| r.checks_due(pool, node.now()));
     if !due.is_empty() {
@@ -158,8 +159,8 @@
     }
 }
 
-/// Takes an order of a peer: as its coordinator, or by passing it on to the node that
-/// comes first, so that all nodes agree on one even while they know different things.
+/// Handles a peer's order: executes it, or forwards it to the node that is ranked first, so that
+/// all nodes use one coordinator even while their views differ.
 pub async fn handle_order(
     node: &Rc<Node>,
     mut order: BatchOrder,
@@ -188,7 +189,7 @@
     }
 }
 
-/// What this node's own coordinator made.
+/// Builds the outcome of an order that this node's coordinator executed.
 fn complete_locally(
     node: &Rc<Node>,
     order: &BatchOrder,
@@ -206,19 +207,19 @@
     CompletedOrder { results, peer: coordinator, coordinator: None, pool }
 }
 
-/// The coordinator of a region's makers, if it is a peer there.
+/// Coordinator of a region's pool, if it is a peer in that region.
 pub(super) fn remote_coordinator(node: &Node, pool: &PoolId) -> Option<PeerNode> {
     let first = node.peers.roster(|r| r.coordinators(pool, node.now()).next())??;
     Some(first).filter(|p| is_in_region(node, pool, p))
 }
 
-/// Places an order with the coordinator of the region that it names.
+/// Submits an order to the coordinator of the region that it names.
 pub(super) async fn submit_to_region(
     node: &Rc<Node>,
     mut order: BatchOrder,
 ) -> Result<BatchAnswer, String> {
     let pool = order.pool();
-    let peer = remote_coordinator(node, &pool).ok_or("nobody there answers")?;
+    let peer = remote_coordinator(node, &pool).ok_or("no coordinator is up in the region")?;
     order.passed_on = false;
     order.skipped = node.peers.roster(|r| r.skipped(&pool, node.now()));
     let answer = send_order(node, &peer, &order).await?;
@@ -241,7 +242,7 @@
     };
     match answer {
         Ok(answer) if answer.results.len() == order.pieces as usize => Ok(answer),
-        Ok(_) => Err("it answered for other pieces".into()),
+        Ok(_) => Err("peer answered a different number of pieces".into()),
         Err(e) => {
             if e.status() == Some(STATUS_STOPPING) {
                 node.peers.roster(|r| r.note_stopping(&peer.id, node.now()));
@@ -253,19 +254,18 @@
     }
 }
 
-/// Returns, with the reason, once the peer is suspected or gone, does not answer a ping, or
-/// does so over a new connection only. Membership takes a second or two to find out that it
-/// is gone, and the operating system as long for a connection; an order that waits asks by
-/// itself.
+/// Returns the reason once a peer is suspected or down, fails a ping, or answers one only over a
+/// new connection. Membership takes a second or two to detect a failed peer, and the operating
+/// system as long to detect a dead connection, so a waiting order pings by itself.
 async fn await_failure(node: &Rc<Node>, peer: &PeerNode, started: Time) -> &'static str {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         let sound = node.peers.roster(|r| r.is_awaitable(&peer.id));
         if !sound || !peers::answers(node, peer).await {
-            return "it is suspected or gone";
+            return "peer is suspected or down";
         }
         if node.peers.is_hung(&peer.id, started) {
-            return "its connection fell silent";
+            return "connection to the peer hangs";
         }
     }
 }
--- a/crates/forward/src/stages/plan.rs
+++ b/crates/forward/src/stages/plan.rs
@@ -1,4 +1,4 @@
-//! Makes all stages of one request, each as soon as those before it are made.
+//! Runs all stages of one request, each as soon as its dependencies are complete.
 
 use std::rc::Rc;
 
@@ -14,27 +14,27 @@
 use crate::events::Event;
 use crate::node::Node;
 
-/// Why stages could not be made.
+/// Reason for which a request's stages failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum StageError {
-    /// a stage's time was over
+    /// a stage missed its deadline
     Late,
-    /// no maker of a stage had room in time
+    /// no worker of a stage had room before the deadline
     NoRoom,
-    /// no maker made a piece
+    /// no worker completed a piece
     Failed,
-    /// an input of a stage was gone
+    /// an input of a stage was no longer stored
     InputGone,
-    /// the request names pieces without a key
+    /// the request has pieces but no piece key
     NoKey,
-    /// a result was made outside of the allowed regions
+    /// a result is stored outside the allowed regions
     WrongRegion,
     /// no target of a stage is in an allowed region
     NoAllowedTarget,
 }
 
 impl StageError {
-    /// One word for it, in logs and figures.
+    /// Label in logs and metrics.
     pub fn cause(self) -> &'static str {
         match self {
             StageError::Late => "late",
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Why a piece of a stage was not made: the last one of which that is so; `None` if all were.
+    /// Error of the last failed piece; `None` if all pieces succeeded.
     pub(super) fn last_error(results: &[PieceResult]) -> Option<StageError> {
         results.iter().rev().find_map(StageError::from_piece)
     }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Makes all stages of a request that has any.
+/// Runs all stages of a request and returns their results.
 pub async fn run_all(node: &Rc<Node>, job: Job<'_>) -> Result<RequestResults, StageError> {
     let stages = &job.route.stages;
     let mut results = RequestResults::new(node, stages.len());
@@ -87,7 +87,7 @@
         let ended =
             next_completed(node, &mut running, postponed.front().map(|(due, _)| *due)).await;
         let Some((i, completed)) = ended else {
-            // The next postponed stage is due, or nothing else goes on.
+            // The next postponed stage is due, or no stage is running.
             let Some((_, due)) = postponed.pop_front() else {
                 break;
             };
@@ -118,7 +118,7 @@
     Ok(results)
 }
 
-/// The next stage that ends, unless none does before this time or none goes on.
+/// Waits for the next stage to complete; `None` at `due`, or if no stage is running.
 async fn next_completed<T>(
     node: &Node,
     running: &mut FuturesUnordered<impl Future<Output = T>>,
@@ -166,7 +166,7 @@
     (stage, completed)
 }
 
-/// Whether a result lies in a failure domain.
+/// Whether a result is stored in a failure domain.
 fn is_in_domain(node: &Node, result: &PieceResult, domain: &str) -> bool {
     let PieceResult::Made(handle) = result else {
         return false;
--- a/crates/forward/src/stages/runner.rs
+++ b/crates/forward/src/stages/runner.rs
@@ -1,5 +1,5 @@
-//! Drives the coordinator machines of this node: starts their calls, keeps their
-//! time and answers their orders.
+//! Drives the batch coordinators of this node: starts their calls, ticks them and answers their
+//! orders.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,29 +20,29 @@
 use crate::node::Node;
 use crate::upstream;
 
-/// Time between looks at late orders and makers that are back.
+/// Interval of ticks, which find late orders and workers that are available again.
 const TICK: Duration = Duration::from_millis(40);
 
-/// Why this node's coordinator did not answer an order.
+/// Reason for which this node's coordinator did not execute an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderError {
-    /// The service makes no pieces.
+    /// The service is unknown or has no pool.
     UnknownService,
-    /// The order is to be placed with another coordinator: this node stops, or does
-    /// not come first any more.
+    /// The order must go to another coordinator, because this node is stopping or is no longer
+    /// ranked first.
     HandedOver,
 }
 
-/// The coordinators at this node.
+/// Batch coordinators that run on this node, by pool.
 #[derive(Default)]
 pub struct LocalCoordinators {
     runners: RefCell<HashMap<PoolId, Rc<Runner>>>,
-    /// Frees results.
+    /// Results waiting to be freed.
     pub free_queue: FreeQueue,
 }
 
 impl LocalCoordinators {
-    /// Makes the pieces of an order; a `pinned` one is not handed over.
+    /// Executes an order, here or in another region. A `pinned` order is never handed over.
     pub async fn execute_order(
         &self,
         node: &Rc<Node>,
@@ -56,10 +56,10 @@
         }
         let started = node.now();
         let queue = order.queue();
-        // Where all regions are one pool, none is left that it could be passed on to.
+        // Where all regions share one pool, there is no other region to spill to.
         let original = runner.pool.region.is_some().then(|| order.clone());
         let Some(results) = runner.run_order(node, order, pinned).await else {
-            // Its makers went while it waited, or it goes to another coordinator.
+            // Its workers went away while it waited, or it goes to another coordinator.
             let order = original.ok_or(OrderError::HandedOver)?.later(node.now().since(started));
             let (_, spilled) = runner.try_spill(node, order).await;
             return spilled.ok_or(OrderError::HandedOver);
@@ -68,7 +68,7 @@
         Ok(BatchAnswer { results, waits, coordinator: None, region })
     }
 
-    /// What an order would wait for makers of which this node is the coordinator.
+    /// Waits that a new order would have in a pool coordinated here; `None` for an unknown pool.
     pub fn waits(&self, node: &Rc<Node>, pool: &PoolId) -> Option<Waits> {
         let runner = self.runner(node, pool)?;
         runner.handle_event(node, Event::Tick);
@@ -76,7 +76,7 @@
         Some(waits)
     }
 
-    /// This node stops: orders not begun yet go to another coordinator.
+    /// Hands over orders that have not started, because this node is stopping.
     pub fn hand_over(&self, node: &Rc<Node>) {
         let runners: Vec<_> = self.runners.borrow().values().cloned().collect();
         for runner in runners {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Results that this node's coordinator made are no longer wanted.
+    /// Frees results that are no longer needed, at their workers.
     pub fn free(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
         self.free_queue.free_at_workers(node, pool, handles);
     }
 
-    /// Results were freed at their makers.
+    /// Tells the pool's coordinator that results were freed at their workers.
     pub fn note_freed(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
         let runner = self.runners.borrow().get(pool).cloned();
         if let Some(runner) = runner {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Orders that are open, of this node's requests and of its peers'.
+    /// Number of open orders, of this node's requests and of its peers'.
     pub fn open_orders(&self) -> usize {
         self.runners.borrow().values().map(|r| r.machine.borrow().open_orders()).sum()
     }
@@ -118,16 +118,16 @@
     pub(super) pool: PoolId,
     pub(super) machine: RefCell<Coordinator>,
     workers: RefCell<WorkerFeed>,
-    /// What is known of the makers of other regions.
+    /// Waits known of other regions.
     pub(super) spill: RefCell<Spill>,
     waiters: RefCell<HashMap<OrderId, oneshot::Sender<Vec<PieceResult>>>>,
     next_id: Cell<OrderId>,
     ticking: Cell<bool>,
-    /// When the machine last looked at its makers.
+    /// Time of the last event, with which the workers were refreshed.
     last_event: Cell<Option<Time>>,
 }
 
-/// Cancels an order that nobody waits for any more.
+/// Cancels an order when its waiting caller is dropped.
 struct OrderGuard {
     runner: Rc<Runner>,
     node: Rc<Node>,
@@ -171,7 +171,7 @@
         receiver.await.ok()
     }
 
-    /// Lets the machine take an event, with the makers as they are right now.
+    /// Passes an event to the coordinator, after refreshing its view of the workers.
     pub(super) fn handle_event(self: &Rc<Self>, node: &Rc<Node>, event: Event) {
         let now = node.now();
         self.last_event.set(Some(now));
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Lets the machine look at late orders and its makers, if it has not done so for a while.
+    /// Sends a tick unless an event was handled within the last interval.
     pub(super) fn tick_if_due(self: &Rc<Self>, node: &Rc<Node>) {
         let last = self.last_event.get();
         if last.is_none_or(|at| node.now().since(at) >= TICK) {
@@ -203,17 +203,15 @@
             Action::Start(call) => {
                 tokio::task::spawn_local(run_call(self.clone(), node.clone(), call));
             }
-            Action::Overdue { number, worker: maker, repeated: again, age, limit } => {
-                LogEvent::Overdue {
-                    service: &self.pool.service,
-                    number,
-                    maker: &maker.name,
-                    again,
-                    age_ms: age.as_millis() as u64,
-                    limit_ms: limit.as_millis() as u64,
-                }
-                .emit()
+            Action::Overdue { number, worker, repeated, age, limit } => LogEvent::Overdue {
+                service: &self.pool.service,
+                number,
+                maker: &worker.name,
+                again: repeated,
+                age_ms: age.as_millis() as u64,
+                limit_ms: limit.as_millis() as u64,
             }
+            .emit(),
             Action::Probe(worker) => {
                 tokio::task::spawn_local(probe(self.clone(), node.clone(), worker));
             }
@@ -257,7 +255,7 @@
     results.into_iter().filter_map(handle).collect()
 }
 
-/// Asks a maker for a sign of life: whether it takes a connection.
+/// Probes a worker by opening a connection to it.
 async fn probe(runner: Rc<Runner>, node: Rc<Node>, worker: TargetId) {
     let address = node.fleet(|f| f.get(&worker).map(|b| b.target.address));
     let alive = match address {
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -1,4 +1,4 @@
-//! Passes orders on to the coordinators of other regions, and asks them for their waits.
+//! Spills orders to the coordinators of other regions, and queries those for their waits.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::node::Node;
 use crate::peers::{self, WAITS};
 
-/// Time for another coordinator to tell its waits: some crossings.
+/// Timeout of a query for waits: a few round trips between regions.
 const WAITS_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl Runner {
-    /// Passes an order on if another region makes it in time and this one would not; returns
-    /// it, and its answer if it was.
+    /// Spills an order if another region can complete it in time and this one cannot. Returns the
+    /// order, and the answer if it was spilled.
     pub(super) async fn try_spill(
         self: &Rc<Self>,
         node: &Rc<Node>,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// The region that an order goes to in place of this one; asks others for their waits
-    /// once there is a wait here.
+    /// Region to spill an order to, if any. Queries other regions for their waits once there is a
+    /// wait here.
     fn choose_region(self: &Rc<Self>, node: &Rc<Node>, order: &BatchOrder) -> Option<Name> {
         let local_region = self.pool.region.as_ref()?;
         self.tick_if_due(node);
@@ -66,14 +66,14 @@
         self.spill.borrow_mut().choose(&others, order, local, now)
     }
 
-    /// Whether no maker works here, while another region's can take what waits.
+    /// Whether no worker is available here while another region's coordinator answers queries.
     pub(super) fn should_hand_over(&self, node: &Node) -> bool {
         let now = node.now();
         let is_dead = self.machine.borrow_mut().waits(now).of(Rank::default()) == Waits::NOBODY;
         is_dead && self.spill.borrow().has_fresh_waits(now)
     }
 
-    /// What the next orders in a queue would wait now, here or where they would be passed on to.
+    /// Waits that the next orders in a queue would have now, here or in the region they spill to.
     pub(super) fn waits(&self, node: &Node, queue: &QueueId) -> Waits {
         let now = node.now();
         let waits = self.machine.borrow_mut().waits(now);
@@ -85,7 +85,7 @@
     }
 }
 
-/// Regions with usable makers but one, and the time there and back.
+/// Regions with usable workers except `excluded`, with their round-trip times.
 fn other_regions(
     node: &Node,
     service: &str,
@@ -100,7 +100,7 @@
     candidates.filter(|r| r != excluded).map(|r| (r.clone(), map.region_round_trip(&r))).collect()
 }
 
-/// Asks another region's coordinator for its waits.
+/// Queries another region's coordinator for its waits.
 async fn query_waits(runner: Rc<Runner>, node: Rc<Node>, region: Name) {
     let pool = PoolId { region: Some(region.clone()), ..runner.pool.clone() };
     let Some(peer) = order::remote_coordinator(&node, &pool) else {
@@ -108,6 +108,6 @@
     };
     match peers::ask::<_, Waits>(&node, peer.entry, WAITS, &pool, WAITS_TIMEOUT).await {
         Ok(waits) => runner.spill.borrow_mut().update_waits(region, waits, node.now()),
-        Err(e) => log::debug!("waits of {region}: {e}"),
+        Err(e) => log::debug!("could not query the waits of {region}: {e}"),
     }
 }
