--- a/crates/forward/src/rollout/held.rs
+++ b/crates/forward/src/rollout/held.rs
@@ -1,21 +1,21 @@
-//! Results at their makers that requests of this node still need.
+//! Counts of stored results that requests of this node still need.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 
 use model::forward::{Handle, TargetId};
 
-/// Count of results by maker.
+/// Needed results, counted per worker.
 #[derive(Default)]
 pub struct NeededResults(RefCell<HashMap<TargetId, u32>>);
 
 impl NeededResults {
-    /// A request needs a result from now on.
+    /// Counts a result that a request needs.
     pub fn add(&self, handle: &Handle) {
         *self.0.borrow_mut().entry(handle.maker.clone()).or_default() += 1;
     }
 
-    /// It needs it no longer.
+    /// Removes a result that its request no longer needs.
     pub fn remove(&self, handle: &Handle) {
         let mut counts = self.0.borrow_mut();
         let Some(count) = counts.get_mut(&handle.maker) else {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Results at a maker.
+    /// Number of needed results at a worker.
     pub fn count_at(&self, worker: &TargetId) -> u32 {
         self.0.borrow().get(worker).copied().unwrap_or(0)
     }
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -1,4 +1,4 @@
-//! Drives the machines that judge orders, at the node that comes first.
+//! Drives the judges of orders, on the node that is ranked first for them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,36 +17,36 @@
 use crate::node::Node;
 use crate::watch::Backoff;
 
-/// Time without a report after which a node that does not come first judges no longer.
+/// Time without reports after which a node that is not ranked first stops judging.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait after a write that failed.
+/// Maximum backoff after a failed write.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// Time between looks at whether the store has confirmed the orders since a write.
+/// Interval of checks whether the store has confirmed the orders since a write.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An order that this node judges.
+/// Judge of one order on this node.
 pub struct LocalJudge {
     machine: RefCell<Judge>,
-    /// The order as the machine last heard of it.
+    /// Order as last passed to the judge.
     order: RefCell<Rollout>,
-    /// When a node last reported.
+    /// Time of the last report from another node.
     last_report: Cell<Time>,
 }
 
 impl LocalJudge {
-    /// What names the order.
+    /// Id of the order.
     fn id(&self) -> RolloutId {
         self.machine.borrow().id()
     }
 
-    /// Whether the order has come to its end, as the machine knows.
+    /// Whether the judge has seen the order's end.
     fn is_finished(&self) -> bool {
         self.machine.borrow().next_tick(Time::ZERO) == Time::NEVER
     }
 
-    /// Whether this is the judging of an order. One that has come to its end stays that until
-    /// this node hears of another order: the store may tell it of the end seconds later, and a
-    /// judge that began anew would know nothing.
+    /// Whether this is the judge of an order. A finished one remains so until this node learns of
+    /// another order: the store may report the end seconds later, and a new judge would know
+    /// nothing of it.
     fn covers(&self, order: &Rollout) -> bool {
         let own = self.order.borrow();
         let is_same = own.version == order.version && !order.is_anew(&own);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Takes what a node saw; `None` if its order does not run as far as this one knows.
+/// Handles a node's report; `None` if its order is not running as far as this node knows.
 pub fn handle_report(node: &Rc<Node>, report: RolloutReport) -> Option<RolloutAnswer> {
     let own = node.fleet(|f| f.versions().order_id(&report.order.service))?;
     let order = running_order(node, &own).filter(|_| own.is_alike(&report.order))?;
@@ -68,7 +68,7 @@
     Some(answer).filter(|answer| answer.order.is_same(&asked))
 }
 
-/// The judging of an order, begun if there is none.
+/// Judge of an order, started if there is none.
 fn get_or_start(node: &Rc<Node>, order: Rollout) -> Option<Rc<LocalJudge>> {
     let existing = node.rollouts.judges.borrow().get(&order.service).cloned();
     if let Some(judge) = existing.filter(|j| j.covers(&order)) {
@@ -96,11 +96,11 @@
     Some(judge)
 }
 
-/// Keeps the machine's time until the order is over, or others judge it.
+/// Ticks a judge until its order has ended or another node judges it.
 async fn run_judge(node: Rc<Node>, judge: Rc<LocalJudge>) {
     loop {
-        // An order that is over is kept until it is known so here: a judge begun anew would not
-        // know what became of it.
+        // A finished judge is kept until this node learns of the end from the store: a new judge
+        // would not know the outcome.
         let now = node.now();
         let at = judge.machine.borrow().next_tick(now).min(now + IDLE_TIMEOUT);
         node.clock.sleep_until(at).await;
@@ -128,13 +128,13 @@
     is_wanted && is_current(node, judge) && runs()
 }
 
-/// Whether reports of the order still go to this judging.
+/// Whether reports on the order still go to this judge.
 fn is_current(node: &Node, judge: &LocalJudge) -> bool {
     let all = node.rollouts.judges.borrow();
     all.values().any(|existing| std::ptr::eq(&**existing, judge))
 }
 
-/// Tells the machine of the order if it has changed in the store.
+/// Passes the order to the judge if it has changed in the store.
 fn update_order(node: &Rc<Node>, judge: &Rc<LocalJudge>) {
     let stored = {
         let order = judge.order.borrow();
@@ -146,7 +146,8 @@
     }
 }
 
-/// Tells the machine who may have requests at either version, and what each can bear.
+/// Passes the nodes that may have requests at either version, and the number of targets that each
+/// version has, to the judge.
 fn update_state(node: &Rc<Node>, judge: &Rc<LocalJudge>) {
     let service = judge.order.borrow().service.clone();
     let limit = node.cold_limit(&service);
@@ -160,7 +161,7 @@
         })
     };
     let (serving, trial) = (count(Side::Serving), count(Side::Trial));
-    // Before all else: a judge that takes an order over late decides by them at once.
+    // Targets come first: a judge that takes over an order late decides by them at once.
     handle_event(node, judge, JudgeEvent::Targets { serving, trial });
     let mut nodes = node.peers.roster(|r| r.ids());
     nodes.push(node.peers.id.clone());
@@ -188,9 +189,9 @@
     }
 }
 
-/// Writes a state. Where that fails, the machine goes on by the order as the store has it
-/// since: the write may have been done all the same, or be done yet, but never after another
-/// one, since all are for the same revision.
+/// Writes a state. After a failure, the judge continues from the order as the store has it since:
+/// the failed write may have been applied or may still be applied, but never after another write,
+/// since all are conditional on the same revision.
 async fn write_state(node: Rc<Node>, judge: Rc<LocalJudge>, order: Rollout, state: RolloutState) {
     let applied = write::set_order_state(&node, &order, state).await;
     if !applied {
@@ -200,7 +201,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
-    // Who judges no longer gets no reports, and must not write by old ones.
+    // A replaced judge gets no more reports and must not write on account of old ones.
     if !is_current(&node, &judge) {
         return;
     }
@@ -215,7 +216,7 @@
     }
 }
 
-/// Whether the store has confirmed the orders known here since a time.
+/// Whether the store has confirmed the known orders since this time.
 fn is_confirmed_since(node: &Node, since: Time) -> bool {
     let now = node.now();
     node.feed.age_of(Kind::Rollouts, now).is_some_and(|age| now - age.now > since)
--- a/crates/forward/src/rollout/mod.rs
+++ b/crates/forward/src/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! Roll-outs at this node: what its requests show of a version on trial, its reports to the
-//! node that judges, and the judging where that is this node.
+//! Rollouts on this node: evidence on the trial version from its requests, its reports to the
+//! judging node, and the judge where that is this node.
 
 mod held;
 mod judge;
@@ -29,19 +29,19 @@
 pub use stalls::watch as watch_stalls;
 pub use write::{WriteOutcome, write_to_store};
 
-/// What this node holds of roll-outs besides the orders.
+/// Local state of rollouts besides the orders.
 #[derive(Default)]
 pub struct LocalRollouts {
     evidence: RefCell<Evidence>,
     judges: RefCell<BTreeMap<Name, Rc<LocalJudge>>>,
-    /// Results at their makers that requests of this node still need.
+    /// Stored results that requests of this node still need.
     pub needed_results: NeededResults,
     stalls: StallDetector,
     changed: Notify,
 }
 
 impl LocalRollouts {
-    /// An order came, changed or went.
+    /// Handles an order that began, changed or was withdrawn.
     pub fn handle_change(&self, change: &RolloutChange, now: Time) {
         let starts_over = match change {
             RolloutChange::State(order) => order.state.is_final(),
@@ -66,12 +66,12 @@
     }
 }
 
-/// The running order that is meant.
+/// Running order with this id.
 fn running_order(node: &Node, id: &RolloutId) -> Option<Rollout> {
     node.fleet(|f| f.versions().find_order(id).cloned())
 }
 
-/// What names the running orders.
+/// Ids of all running orders.
 fn running_ids(node: &Node) -> Vec<RolloutId> {
     node.fleet(|f| {
         let versions = f.versions();
@@ -79,7 +79,7 @@
     })
 }
 
-/// Works by a phase from now on, unless that is taken back or would undo a later one.
+/// Switches to a phase, unless the order is rolled back or already in a later one.
 fn apply_phase(node: &Node, id: &RolloutId, phase: Phase, why: &str) {
     let now = node.now();
     let RolloutId { service, version, .. } = id;
@@ -92,7 +92,7 @@
     Event::RolloutPhase { service, version, phase, share, why, age_ms }.emit();
 }
 
-/// Name of a phase and the share of requests that the version on trial gets in it.
+/// Name of a phase and the trial version's share of requests in it.
 pub fn name_and_share(phase: Phase) -> (&'static str, f64) {
     match phase {
         Phase::Share(share) => ("share", share),
--- a/crates/forward/src/rollout/report.rs
+++ b/crates/forward/src/rollout/report.rs
@@ -1,4 +1,4 @@
-//! Tells the node that judges an order what this one saw, and works by its answer.
+//! Reports this node's evidence on an order to the judging node, and applies its answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use crate::node::Node;
 use crate::peers::{self, ROLLOUT};
 
-/// Time between two reports. A version that proves bad is to get nothing after some seconds,
-/// and a report and its answer each wait for the next one.
+/// Interval of reports. A bad version must stop getting requests within seconds, and both the
+/// evidence and the phase decided by it wait for a report.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for an answer: the largest report fits into a packet or two.
+/// Timeout of a report; the largest one fits into a packet or two.
 const TIMEOUT: Duration = Duration::from_millis(200);
-/// Nodes asked, one after the other, for want of an answer.
+/// Maximum number of nodes tried, in turn, until one answers.
 const MAX_ATTEMPTS: usize = 3;
-/// Age of an order from which on every node in touch knows it: one that does not is passed over.
+/// Age of an order from which every connected node knows it; a node that does not is skipped.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// Reports until the process ends.
+/// Reports at intervals until the process ends.
 pub async fn run_reports(node: Rc<Node>) {
     loop {
         let orders = running_ids(&node);
@@ -35,7 +35,7 @@
     }
 }
 
-/// Name by which nodes are ordered for judging a service's orders.
+/// Key by which nodes are ranked as judges of a service's orders.
 pub(super) fn ranking_key(service: &Name) -> String {
     format!("rollout of {service}")
 }
@@ -57,18 +57,18 @@
         let age = node.fleet(|f| f.versions().age(&order.service, now)).unwrap_or_default();
         match answer {
             Ok(answer) => return apply_answer(node, &answer),
-            // It hears of the order soon, and whoever comes next would judge beside it.
+            // It learns of the order soon; reporting to the next node would start a second judge.
             Err(ReportError::UnknownOrder) if age < PROPAGATION_TIME => return,
             Err(_) => {}
         }
     }
 }
 
-/// Why a node did not answer a report.
+/// Reason for which a report got no answer.
 enum ReportError {
-    /// It knows of no such order that runs.
+    /// The node knows no such running order.
     UnknownOrder,
-    /// It could not be reached, or not in time.
+    /// The node could not be reached, or did not answer in time.
     Unreachable,
 }
 
@@ -78,12 +78,12 @@
     report: &RolloutReport,
 ) -> Result<RolloutAnswer, ReportError> {
     peers::ask(node, peer.entry, ROLLOUT, report, TIMEOUT).await.map_err(|e| {
-        log::debug!("rollout: {e}");
+        log::debug!("rollout: report failed: {e}");
         if e.status().is_some() { ReportError::UnknownOrder } else { ReportError::Unreachable }
     })
 }
 
-/// Works by an answer, unless it is of another order than the one that runs here by now.
+/// Applies an answer, unless another order is running here by now.
 fn apply_answer(node: &Node, answer: &RolloutAnswer) {
     let RolloutAnswer { order, phase, age_ms } = answer;
     let now = node.now();
@@ -92,7 +92,7 @@
     apply_phase(node, order, *phase, "judge");
 }
 
-/// What this node saw; `None` if the order is over meanwhile.
+/// Builds this node's report; `None` if the order has ended.
 fn build_report(node: &Node, order: &RolloutId) -> Option<RolloutReport> {
     let service = &order.service;
     let now = node.now();
@@ -111,8 +111,8 @@
     })
 }
 
-/// Requests and calls of this node at targets of other versions, and results there that its
-/// requests still need.
+/// Number of this node's open requests and calls at targets of other versions, plus results there
+/// that its requests still need.
 fn open_at_other_versions(node: &Node, order: &RolloutId) -> u32 {
     node.fleet(|f| {
         let others = f.of_service(&order.service).filter(|b| b.target.version != order.version);
--- a/crates/forward/src/rollout/sent.rs
+++ b/crates/forward/src/rollout/sent.rs
@@ -1,4 +1,4 @@
-//! What the requests of this node show of the two versions of a service.
+//! Evidence on the two versions of a service, from this node's requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,7 +11,8 @@
 use crate::events::Event;
 use crate::node::Node;
 
-/// A request, or the pieces of a call, at a target whose service moves to another version.
+/// A request, or the pieces of a call, sent to a target of a service in a rollout. An outcome that
+/// was not recorded by the deadline counts as a failure when the last clone is dropped.
 #[derive(Clone)]
 pub struct TrackedSend(Rc<Inner>);
 
@@ -23,15 +24,15 @@
     side: Side,
     pieces: usize,
     started: Time,
-    /// The target is cold: what it answers tells nothing of its version.
+    /// The target was cold, so its answer is no evidence on its version.
     is_cold: bool,
-    /// When its caller, or this node, gives it up.
+    /// Time at which its caller or this node gives up.
     deadline: Time,
     is_recorded: Cell<bool>,
 }
 
-/// Notes that a target gets a request, or a call of so many pieces, if its service moves to
-/// another version.
+/// Records a request, or a call of this number of pieces, sent to a target; `None` if its service
+/// is not in a rollout.
 pub fn track_send(
     node: &Rc<Node>,
     target: &Target,
@@ -66,7 +67,7 @@
 }
 
 impl TrackedSend {
-    /// It was answered well after this time.
+    /// Records a successful answer after this time.
     pub fn record_success(&self, took: Duration) {
         let Inner { node, order, route, version, side, is_recorded, .. } = &*self.0;
         is_recorded.set(true);
@@ -80,8 +81,8 @@
         }
     }
 
-    /// A call was answered after this time as part of what is expected, so many of its pieces as
-    /// failed.
+    /// Records an answered call with this number of failed pieces. `took` is the ratio of its time
+    /// to the expected time, as seconds.
     pub fn record_call(&self, failed: usize, took: Duration) {
         let Inner { node, order, route, version, side, pieces, started, is_recorded, .. } =
             &*self.0;
@@ -106,15 +107,15 @@
         }
     }
 
-    /// Its answer was a failure of the version, or came too late to be of use.
+    /// Records an answer that was a failure of the version or came too late.
     pub fn record_failure(&self) {
         self.0.record_failure();
     }
 }
 
 impl Inner {
-    /// Whether its end tells of the target's version, and the order that it was sent under
-    /// still runs.
+    /// Whether the outcome is evidence on the version: the target was warm, this process did not
+    /// stall meanwhile, and the order is still running.
     fn is_evidence(&self) -> bool {
         let Inner { node, order, started, is_cold, .. } = self;
         let is_valid = !is_cold && !node.rollouts.stalls.stalled_since(*started, node.now());
@@ -127,8 +128,8 @@
         if !self.is_evidence() {
             return;
         }
-        // Once for all pieces of a call, as for good ones: they share one fate, so that each
-        // counted by itself would let a single late call take a good version back.
+        // Counted once for all pieces of a call, as successes are. The pieces share one outcome, so
+        // counting each would let a single late call roll back a good version.
         node.rollouts.evidence.borrow_mut().record_bad(&order.service, route, *side);
         node.metrics.rollout_bad(&order.service, version, *pieces);
         if *side == Side::Trial {
@@ -138,7 +139,8 @@
 }
 
 impl Drop for Inner {
-    /// Who gives up at the deadline has waited in vain; who leaves before tells nothing.
+    /// A request given up at its deadline failed; one that its caller cancelled earlier is no
+    /// evidence.
     fn drop(&mut self) {
         if !self.is_recorded.get() && self.node.now() >= self.deadline {
             self.record_failure();
@@ -146,7 +148,7 @@
     }
 }
 
-/// Takes the version back at this node if its own requests prove that it is bad.
+/// Rolls the version back on this node if its own requests prove it bad.
 pub(super) fn roll_back_if_bad(node: &Node, id: &RolloutId) {
     let Some(order) = running_order(node, id) else {
         return;
@@ -156,8 +158,8 @@
     let age = node.fleet(|f| f.versions().age(service, now)).unwrap_or_default();
     let is_over = age >= Duration::from_millis(order.lasts_ms);
     match node.fleet(|f| f.versions().phase(service)) {
-        // It may have been completed, which a node out of touch has not heard: the old targets
-        // are most likely gone.
+        // The rollout may be complete, which a disconnected node does not know; the old targets are
+        // then most likely removed.
         Some(Phase::All) if is_over => return,
         Some(Phase::Back) => return,
         _ => {}
--- a/crates/forward/src/rollout/stalls.rs
+++ b/crates/forward/src/rollout/stalls.rs
@@ -1,5 +1,4 @@
-//! Whether this process stood still: what was open meanwhile took time that its target did not
-//! take.
+//! Detects stalls of this process: requests open during one took time that their targets did not.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,13 +8,13 @@
 
 use crate::node::Node;
 
-/// Time between two looks at the clock.
+/// Interval of clock checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time beyond that from which on the process stood still. A host whose share of its core is
-/// used up gets nothing for up to 100 ms, which is usual and short beside what is judged.
+/// Delay of a check from which the process counts as stalled. A host that has used up its CPU share
+/// is not scheduled for up to 100 ms, which is common and short compared with the judged times.
 const STALL_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// When this process last stood still, while orders run.
+/// Last stall of this process; checked while orders are running.
 #[derive(Default)]
 pub struct StallDetector {
     last_check: Cell<Time>,
@@ -23,7 +22,7 @@
 }
 
 impl StallDetector {
-    /// The clock is looked at from now on.
+    /// Restarts the checks, so that the time without them is no stall.
     pub(super) fn start(&self, now: Time) {
         self.last_check.set(now);
     }
@@ -39,13 +38,13 @@
         now.since(self.last_check.get()) > CHECK_INTERVAL + STALL_THRESHOLD
     }
 
-    /// Whether the process stood still after a time.
+    /// Whether the process stalled after this time.
     pub(super) fn stalled_since(&self, started: Time, now: Time) -> bool {
         self.is_stalled(now) || self.last_stall.get() > started
     }
 }
 
-/// Looks at the clock while orders run, until the process ends.
+/// Checks for stalls while orders are running, until the process ends.
 pub async fn watch(node: Rc<Node>) {
     loop {
         if node.fleet(|f| f.versions().running().next().is_none()) {
--- a/crates/forward/src/rollout/write.rs
+++ b/crates/forward/src/rollout/write.rs
@@ -1,5 +1,5 @@
-//! Writes the state of an order to the store: by this node, or where the store turns it away,
-//! by a peer.
+//! Writes the state of an order to the store, through a peer if the store does not answer this
+//! node.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,39 +15,39 @@
 use crate::peers::{self, ROLLOUT_STATE, RemoteState};
 use crate::watch::STORE_CONNECT;
 
-/// Time for the store's answer. One that is slow by 60 times takes 240 ms; without an answer
-/// the watch tells what became of the write.
+/// Timeout of a write. A store 60 times slower than normal answers in 240 ms; if there is no
+/// answer, the watch shows whether the write was applied.
 const TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for a peer that writes in this node's place.
+/// Timeout of a peer that writes on behalf of this node.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Peers asked to write, one after the other. A store that turns some nodes away serves others;
-/// one that is down serves nobody.
+/// Maximum number of peers asked, in turn. A store that rejects some nodes may serve others; if it
+/// is down, it serves none.
 const MAX_PEERS: usize = 2;
-/// Status of a write under a condition that does not hold any more.
+/// Status of a write whose precondition failed.
 const CONFLICT: u16 = 409;
-/// Status of a write to what is gone.
+/// Status of a write to a removed order.
 const NOT_FOUND: u16 = 404;
-/// Calls of the store in the node's figures.
+/// Label of these calls in the metric of store calls.
 const CALL_LABEL: &str = "rollout_state";
 
-/// Sets the state of an order unless it has changed since; returns whether it stands.
+/// Sets the state of an order unless the order has changed; returns whether the write was applied.
 pub(super) async fn set_order_state(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
     match write_to_store(node, order, state).await {
         WriteOutcome::Applied => true,
         WriteOutcome::Conflict => false,
-        // It may have been done: the condition keeps it from being done twice.
+        // It may have been applied; the precondition prevents a second application.
         WriteOutcome::Unknown => write_via_peers(node, order, state).await,
     }
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was done.
+    /// The write was applied.
     Applied,
-    /// Its condition does not hold any more.
+    /// The order has changed or was removed.
     Conflict,
-    /// The store could not be reached, turned this node away, or did not answer.
+    /// The store could not be reached, rejected this node, or did not answer.
     Unknown,
 }
 
@@ -69,13 +69,13 @@
     }
 }
 
-/// Writes by a call of this node's own.
+/// Writes directly from this node.
 pub async fn write_to_store(node: &Node, order: &Rollout, state: RolloutState) -> WriteOutcome {
     let started = node.now();
     let Put { path, media, body } = node.dialect.set_rollout(order, state);
     node.metrics.store_call(CALL_LABEL);
     let store = node.settings().store.to_string();
-    // A connection of its own: one whose answer was lost says nothing further.
+    // A new connection per write: after a lost answer, an old one would not answer this one either.
     let client = Client::new(STORE_CONNECT);
     let result = client.put(&store, &path, media, body, TIMEOUT).await;
     let outcome = WriteOutcome::from_result(&result);
@@ -93,7 +93,7 @@
     outcome
 }
 
-/// Has peers write, until one of them knows what became of it.
+/// Asks peers to write, until one of them knows the outcome.
 async fn write_via_peers(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
     let key = report::ranking_key(&order.service);
     let candidates: Vec<PeerNode> = node
@@ -104,7 +104,7 @@
         match peers::ask(node, peer.entry, ROLLOUT_STATE, &message, PEER_TIMEOUT).await {
             Ok(Some(applied)) => return applied,
             Ok(None) => {}
-            Err(e) => log::debug!("rollout: {e}"),
+            Err(e) => log::debug!("rollout: write via a peer failed: {e}"),
         }
     }
     false
