--- a/crates/forward/src/events/gate.rs
+++ b/crates/forward/src/events/gate.rs
@@ -1,11 +1,10 @@
-//! How many lines a second are written: those of failures and beliefs have a
-//! larger allowance than those of what went well.
+//! Rate limits of log lines: failures and state changes have a higher limit than routine lines.
 
-/// Lines a second of what went well.
+/// Lines per second on successes and other routine events.
 const ROUTINE_RATE: f64 = 150.0;
-/// Lines a second of failures and beliefs.
+/// Lines per second on failures and state changes.
 const IMPORTANT_RATE: f64 = 600.0;
-/// Seconds whose allowance may be used at once.
+/// Capacity of a bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
 #[derive(Debug)]
@@ -29,7 +28,7 @@
     }
 }
 
-/// Lets lines through up to a rate.
+/// Limits the rates of important and routine lines separately.
 #[derive(Debug)]
 pub struct RateLimiter {
     routine: Bucket,
@@ -52,7 +51,7 @@
     pub fn allow(&mut self, important: bool, now_ms: u64) -> bool {
         let seconds = now_ms.saturating_sub(self.last_ms) as f64 / 1000.0;
         self.last_ms = now_ms;
-        // Time passes for both.
+        // The elapsed time refills both buckets.
         let (used, other) = if important {
             (&mut self.important, &mut self.routine)
         } else {
--- a/crates/forward/src/events/kinds.rs
+++ b/crates/forward/src/events/kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds of lines and their fields.
+//! Kinds of log lines and their fields.
 
 use std::time::Duration;
 
@@ -6,32 +6,33 @@
 use model::Name;
 use serde::Serialize;
 
-/// What happened. Times are in milliseconds, ages too.
+/// Event of a log line. Times and ages are in milliseconds.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
     /// The process starts.
     Start { domain: &'a str, callers: &'a str },
-    /// The process was told to stop.
+    /// The process was asked to stop, with `open` requests in progress.
     Stop { open: usize },
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reload { accepted: bool, why: &'a str },
-    /// The machine was suspended for that long.
+    /// The machine resumed after being suspended.
     Resumed { suspended_ms: u64 },
     /// A set of rules came into force.
     Rules { version: u64, from: &'a str, routes: usize },
-    /// Rules name regions that no failure domain lies in: `count` routes and workspaces
-    /// are served nowhere for it, `names` are the first of them.
+    /// Rules name regions without any failure domain (`unknown`), so that `count` routes and
+    /// workspaces are served nowhere; `names` lists the first of them.
     Unserved { version: u64, count: usize, names: &'a [Name], unknown: &'a [Name] },
-    /// The store was lost or regained.
+    /// The store became unreachable or reachable again.
     Store { kind: &'a str, reachable: bool, why: &'a str },
-    /// An entry of the store cannot be read, or for another reason than before; `untold` further
-    /// such lines were not written.
+    /// An entry of the store became unreadable, or unreadable for another reason; `untold` further
+    /// such lines were omitted.
     Unreadable { kind: &'a str, place: &'a str, why: &'a str, untold: u64 },
-    /// What is known of a kind has become old, or is no longer: the store's last word on it.
+    /// What is known of a kind of object became stale, since the store last confirmed it `age_ms`
+    /// ago, or is fresh again; `longest_ms` is the maximum age seen.
     Known { kind: &'a str, old: bool, age_ms: u64, longest_ms: u64 },
-    /// The store was heard to be in a later epoch, since it came back from an older copy, or in any;
-    /// `at` is the revision up to which the targets were known.
+    /// The store's epoch became known or rose, as after a restore from an older copy; `at` is the
+    /// revision up to which the targets were known.
     Epoch {
         epoch: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
@@ -39,19 +40,20 @@
         from: &'a str,
         at: u64,
     },
-    /// A peer that is followed knows the targets up to an earlier revision than this node.
+    /// A followed peer knows the targets only up to an earlier revision than this node.
     Behind { peer: &'a str, at: u64, known_at: u64 },
-    /// The targets are followed through another source from now on.
+    /// The node switched to another source of targets.
     Source { from: &'a str, age_ms: u64 },
-    /// Which peers are up changed: how many are now, and what became of others.
+    /// The set of live peers changed: `up` peers are up now, the other numbers count the peers that
+    /// became alive, suspected or dead, or left; `names` lists some of these.
     View { up: usize, alive: usize, suspected: usize, dead: usize, left: usize, names: &'a [Name] },
-    /// A target came, changed or went.
+    /// A target was added, changed or removed.
     Target { target: &'a str, service: &'a str, state: &'a str },
-    /// The operator evacuates a failure domain, or has taken that back: `revision` of the list
-    /// that told of it, and the age of what is known.
+    /// The operator started or cancelled the evacuation of a failure domain: `revision` of the list
+    /// that contained it, and the age of that information.
     Evacuation { domain: &'a str, state: &'a str, revision: u64, from: &'a str, age_ms: u64 },
-    /// An operator's order to move a service to a version came, changed or went: `what` it was,
-    /// where it stands at a revision, and the age of what is known.
+    /// An operator's order to move a service to a version was added, changed or removed (`what`):
+    /// its state at a revision, and the age of that information.
     Rollout {
         service: &'a str,
         version: &'a str,
@@ -62,7 +64,7 @@
         from: &'a str,
         age_ms: u64,
     },
-    /// The version on trial gets this share of the requests from now on; the age is the order's.
+    /// The trial version gets this share of requests from now on; the age is the order's.
     RolloutPhase {
         service: &'a str,
         version: &'a str,
@@ -71,8 +73,8 @@
         why: &'a str,
         age_ms: u64,
     },
-    /// The version on trial was judged bad, by the requests of `whom`: requests and bad ones
-    /// of the route that told, of both versions; the age is the order's.
+    /// The trial version was judged bad by the requests of `whom`: requests and failed ones of both
+    /// versions on the deciding route; the age is the order's.
     RolloutJudged {
         service: &'a str,
         version: &'a str,
@@ -85,7 +87,7 @@
         serving_bad: u64,
         age_ms: u64,
     },
-    /// A write of an order's state ended.
+    /// A write of an order's state completed or failed.
     RolloutWrite {
         service: &'a str,
         version: &'a str,
@@ -95,10 +97,10 @@
         why: &'a str,
         took_ms: u64,
     },
-    /// A target is left out for its failures.
+    /// A target was ejected for its failures.
     Ejected { target: &'a str, why: &'a str },
-    /// A target names a limit in its answers, another one, none any more, or one that cannot be
-    /// read: requests a second from all nodes together.
+    /// The limit stated in a target's answers appeared, changed, disappeared or became unreadable:
+    /// requests per second from all nodes together.
     Limit {
         target: &'a str,
         service: &'a str,
@@ -107,8 +109,8 @@
         per_s: Option<f64>,
         from: &'a str,
     },
-    /// A target says that it leaves, wants nothing of this node for a while, or for a time that
-    /// cannot be read.
+    /// A target announced that it is draining, or asked this node to back off for a time, which may
+    /// be unreadable.
     Notice {
         target: &'a str,
         service: &'a str,
@@ -116,11 +118,11 @@
         #[serde(skip_serializing_if = "Option::is_none")]
         for_ms: Option<u64>,
     },
-    /// A target tells a load that cannot be read, for the first time or again.
+    /// A target reported an unreadable load, for the first time or again.
     BadLoad { target: &'a str, service: &'a str },
-    /// A permit was asked for, to send a request, or so many pieces of a call, to a target that
-    /// names a limit: of its keeper, of this node itself where that is empty. It may be asked for
-    /// again `after_ms` later if it was not granted.
+    /// A permit was requested for a request, or for `count` pieces of a call, to a target with a
+    /// limit. `keeper` is the permit issuer, empty for this node itself. If refused, the permit may
+    /// be requested again after `after_ms`.
     Permit {
         id: &'a str,
         target: &'a str,
@@ -133,23 +135,23 @@
         after_ms: Option<u64>,
         took_ms: u64,
     },
-    /// The budget for repeats of a service granted none.
+    /// The repeat budget of a service was exhausted.
     NoRepeat { service: &'a str, nodes: usize },
-    /// A service's batch coordinator was lost, or stops.
+    /// A service's batch coordinator was lost or is stopping.
     Coordinator { service: &'a str, coordinator: &'a str, why: &'a str },
-    /// A peer's build does not know messages at a path, and is sent none of them.
+    /// A peer's build does not support messages at a path; no more are sent to it.
     Stranger { peer: &'a str, what: &'a str },
-    /// Connections to a peer have fallen silent: it answered over a new one only.
+    /// Connections to a peer hang: it answered only over a new one.
     Hung { peer: &'a str },
-    /// A scheduler of prompts did not answer; it is done without for a moment.
+    /// A prompt scheduler did not answer and is bypassed for a short time.
     Scheduler { service: &'a str, domain: &'a str, scheduler: &'a str, why: &'a str },
-    /// A peer's order went on to the node that comes first.
+    /// A peer's order was forwarded to the node that is ranked first.
     PassedOn { id: &'a str, service: &'a str, to: &'a str },
-    /// An order that another region was to make is made here after all.
+    /// Spilling an order to another region failed; it is executed here.
     NotSpilled { id: &'a str, service: &'a str, region: &'a str, why: &'a str },
-    /// Lines that were not written since the last such line.
+    /// Number of lines dropped since the last such line.
     Dropped { lines: u64 },
-    /// A request was refused at the door, since its first event was expected too late.
+    /// A request was refused at admission because its first event was expected too late.
     Door {
         id: &'a str,
         route: &'a str,
@@ -161,12 +163,11 @@
         objective_ms: u64,
         come_back_ms: u64,
     },
-    /// A target was chosen for a request; it has `ahead` prompt tokens to read before. Those of
-    /// the `evacuated` failure domains were left out, and those outside of the regions that
-    /// are `allowed`, if any are named. While its service moves to another version `side` tells
-    /// which one it is for, or that it has left the one on trial, and `share` the part of
-    /// requests that goes to that. `limit` is the one that the target names, if it
-    /// does; `notice` is what it said of further requests that still holds.
+    /// A target was chosen for a request, with `ahead` prompt tokens queued before it. Targets in
+    /// the `evacuated` failure domains were excluded, and those outside the `allowed` regions, if
+    /// any are named. During a rollout, `side` is the version that the request is for, or says that
+    /// it has left the trial version, and `share` is the trial version's share of requests. `limit`
+    /// is the target's stated limit, if any; `notice` is its draining or backoff notice in force.
     Chosen {
         id: &'a str,
         target: &'a str,
@@ -188,7 +189,7 @@
         left_ms: u64,
         targets_age_ms: u64,
     },
-    /// A send brought no answer to pass on; `same` is alike for all requests that are the same.
+    /// A send brought no usable answer; `same` is equal for identical requests.
     Attempt {
         id: &'a str,
         same: &'a str,
@@ -197,8 +198,8 @@
         why: &'a str,
         after_ms: u64,
     },
-    /// A target ended, without having said so, under requests of this node: how that shows, and
-    /// the first of them by what makes them the same.
+    /// A target crashed under requests of this node: `how` it was detected, and the fingerprints of
+    /// the first of those requests.
     Ended {
         target: &'a str,
         service: &'a str,
@@ -207,8 +208,8 @@
         same: &'a [String],
         after_ms: u64,
     },
-    /// A request is held back from now on, or for longer: the targets that ran it ended, the
-    /// first of them by name. `left_ms` is missing if only an operator lets it go again.
+    /// A request is held from now on, or for longer, because targets that ran it crashed; `targets`
+    /// names the first of them. `left_ms` is missing if only an operator can release it.
     Held {
         same: &'a str,
         from: &'a str,
@@ -217,13 +218,13 @@
         #[serde(skip_serializing_if = "Option::is_none")]
         left_ms: Option<u64>,
     },
-    /// A request is held back no more, and why.
+    /// A held request was released.
     Released { same: &'a str, from: &'a str, why: &'a str },
-    /// The store was told that a request is held or released; `why` if it was not.
+    /// A hold or release was written to the store; `why` is the error if that failed.
     Recorded { same: &'a str, what: &'a str, why: &'a str },
-    /// A request that was held is sent once, and held on until that has ended well.
+    /// A held request is sent once; it stays held until that attempt succeeds.
     LetThrough { id: &'a str, same: &'a str },
-    /// A batch call ended at its maker; the age is that of the targets when it was sent.
+    /// A batch call ended; the age is that of the targets when it was sent.
     Call {
         service: &'a str,
         number: u64,
@@ -235,7 +236,7 @@
         targets_age_ms: u64,
         why: &'a str,
     },
-    /// A batch call is later than nearly all: `again` of its pieces are asked for once more.
+    /// A batch call is overdue, later than nearly all others; `again` of its pieces were requeued.
     Overdue {
         service: &'a str,
         number: u64,
@@ -244,14 +245,14 @@
         age_ms: u64,
         limit_ms: u64,
     },
-    /// An input of a stage was gone; the stages that it came from are made again.
+    /// An input of a stage was no longer stored; the `again` stages that it came from are rerun.
     Remade { id: &'a str, stage: usize, again: usize },
-    /// Stages are made once more, since other regions are allowed by now.
+    /// Stages are rerun because the allowed regions have changed.
     Moved { id: &'a str, version: u64 },
-    /// A stream broke off and is taken up at another target; its stages were made again.
+    /// An interrupted stream resumes on another target; its stages were rerun.
     Resuming { id: &'a str, stages: usize, made: bool, left_ms: u64 },
-    /// A stage of a request ended: made in `region`, or in any where that is empty; `spilled` if
-    /// it was ordered in another one.
+    /// A stage of a request ended: run in `region`, or in any region if empty; `spilled` if it was
+    /// ordered in another one.
     Stage {
         id: &'a str,
         stage: usize,
@@ -284,11 +285,11 @@
     },
 }
 
-/// Outcomes of requests that ended as their callers wished.
+/// Outcomes of successful requests.
 const SUCCESSFUL: [&str; 2] = ["answered", "streamed"];
 
 impl<'a> Event<'a> {
-    /// The line of a judgement.
+    /// Builds the line of a verdict on the trial version.
     pub fn rollout_judged(
         service: &'a str,
         version: &'a str,
@@ -313,7 +314,7 @@
 }
 
 impl Event<'_> {
-    /// Whether the line tells of a failure or a change of belief, which are kept first.
+    /// Whether the line reports a failure or a state change; such lines have a higher rate limit.
     pub fn is_important(&self) -> bool {
         match self {
             Event::Request { outcome, .. } => !SUCCESSFUL.contains(outcome),
--- a/crates/forward/src/events/mod.rs
+++ b/crates/forward/src/events/mod.rs
@@ -1,9 +1,8 @@
-//! Structured log lines: one JSON object for each decision that touches a request
-//! or changes a belief. docs/OPERATIONS.md lists them.
+//! Structured log lines: one JSON object for each decision on a request and each change of the
+//! node's state. docs/OPERATIONS.md lists them.
 //!
-//! A line never holds a request up: it goes into a bounded queue that a thread of
-//! its own writes out. What the queue or a kind's rate cannot take is counted, and
-//! the count is a line itself.
+//! Logging never blocks a request: lines go into a bounded queue that a separate thread writes out.
+//! Lines beyond the queue's capacity or a rate limit are dropped, and their count is logged.
 
 mod gate;
 mod kinds;
--- a/crates/forward/src/events/writer.rs
+++ b/crates/forward/src/events/writer.rs
@@ -1,4 +1,4 @@
-//! The queue of lines and the thread that writes them.
+//! Queue of log lines, and the thread that writes them.
 
 use std::cell::RefCell;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -11,9 +11,9 @@
 use super::gate::RateLimiter;
 use super::kinds::Event;
 
-/// Lines that may wait to be written.
+/// Capacity of the queue.
 const QUEUE_LINES: usize = 2048;
-/// Stack of the writer's thread.
+/// Stack size of the writer thread.
 const STACK_BYTES: usize = 128 << 10;
 
 #[derive(Serialize)]
@@ -36,14 +36,14 @@
     static SINK: RefCell<Option<Sink>> = const { RefCell::new(None) };
 }
 
-/// Starts the writer; events of this thread go to it from now on.
+/// Starts the writer thread and sends it the events that are emitted on the calling thread.
 pub fn install(node: Name, clock: Clock) -> anyhow::Result<()> {
     let (lines, receiver) = sync_channel(QUEUE_LINES);
     std::thread::Builder::new()
         .name("log".into())
         .stack_size(STACK_BYTES)
         .spawn(move || write(receiver))
-        .context("could not start the log's thread")?;
+        .context("could not start the log writer thread")?;
     let sink = Sink { node, clock, limiter: RateLimiter::default(), lines, dropped: 0 };
     SINK.with_borrow_mut(|s| *s = Some(sink));
     Ok(())
@@ -56,7 +56,8 @@
 }
 
 impl Event<'_> {
-    /// Queues the line; counts it if there is no room.
+    /// Queues a line; counts it as dropped if a rate limit or the queue is exceeded. Does nothing
+    /// before [`install`].
     pub fn emit(&self) {
         SINK.with_borrow_mut(|sink| {
             if let Some(sink) = sink {
