--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -15,8 +15,8 @@
 use crate::ingress::small;
 use crate::limits;
 use crate::node::Node;
-use crate::rollout::{self, Written};
-use crate::stages::{self, NotMade};
+use crate::rollout::{self, WriteOutcome};
+use crate::stages::{self, OrderError};
 use crate::watch;
 
 /// Path for batch orders.
@@ -122,17 +122,17 @@
 
 async fn rollout(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
     let report = read_message(request, "invalid rollout report").await?;
-    let answer = rollout::judge(node, report);
+    let answer = rollout::handle_report(node, report);
     let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such rollout"))?;
     Ok(rmp(&answer))
 }
 
 async fn rollout_state(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
     let StateWrite { order, state } = read_message(request, "invalid rollout state").await?;
-    let in_force = match rollout::at_store(node, &order, state).await {
-        Written::Stands => Some(true),
-        Written::Not => Some(false),
-        Written::Unknown => None,
+    let in_force = match rollout::write_to_store(node, &order, state).await {
+        WriteOutcome::Applied => Some(true),
+        WriteOutcome::Conflict => Some(false),
+        WriteOutcome::Unknown => None,
     };
     Ok(rmp(&in_force))
 }
@@ -184,12 +184,14 @@
     if node.is_stopping() {
         return Err(stopping());
     }
-    match stages::take(node, order).await {
+    match stages::handle_order(node, order).await {
         Ok(answer) => Ok(rmp(&answer)),
-        Err(NotMade::Moved) if node.is_stopping() => Err(stopping()),
-        Err(NotMade::Moved) => {
+        Err(OrderError::HandedOver) if node.is_stopping() => Err(stopping()),
+        Err(OrderError::HandedOver) => {
             Err(text(StatusCode::CONFLICT, "this node is not the batch coordinator"))
         }
-        Err(NotMade::NoService) => Err(text(StatusCode::NOT_FOUND, "no such stage service")),
+        Err(OrderError::UnknownService) => {
+            Err(text(StatusCode::NOT_FOUND, "no such stage service"))
+        }
     }
 }
--- a/crates/forward/src/rollout/write.rs
+++ b/crates/forward/src/rollout/write.rs
@@ -1,5 +1,5 @@
-//! Writes the state of an order to the store: by this node, or where the store turns it away,
-//! by a peer.
+//! Writes the state of an order to the store, through a peer if the store does not answer this
+//! node.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,96 +15,96 @@
 use crate::peers::{self, ROLLOUT_STATE, StateWrite};
 use crate::watch::STORE_CONNECT_TIMEOUT;
 
-/// Time for the store's answer. One that is slow by 60 times takes 240 ms; without an answer
-/// the watch tells what became of the write.
+/// Timeout of a write. A store 60 times slower than normal answers in 240 ms; if there is no
+/// answer, the watch shows whether the write was applied.
 const TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for a peer that writes in this node's place.
+/// Timeout of a peer that writes on behalf of this node.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Peers asked to write, one after the other. A store that turns some nodes away serves others;
-/// one that is down serves nobody.
-const PEERS: usize = 2;
-/// Status of a write under a condition that does not hold any more.
+/// Maximum number of peers asked, in turn. A store that rejects some nodes may serve others; if it
+/// is down, it serves none.
+const MAX_PEERS: usize = 2;
+/// Status of a write whose precondition failed.
 const CONFLICT: u16 = 409;
-/// Status of a write to what is gone.
+/// Status of a write to a removed order.
 const NOT_FOUND: u16 = 404;
-/// Calls of the store in the node's figures.
-const WHAT: &str = "rollout_state";
+/// Label of these calls in the metric of store calls.
+const CALL_LABEL: &str = "rollout_state";
 
-/// Sets the state of an order unless it has changed since; returns whether it stands.
-pub(super) async fn set(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
-    match at_store(node, order, state).await {
-        Written::Stands => true,
-        Written::Not => false,
-        // It may have been done: the condition keeps it from being done twice.
-        Written::Unknown => through_peers(node, order, state).await,
+/// Sets the state of an order unless the order has changed; returns whether the write was applied.
+pub(super) async fn set_order_state(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
+    match write_to_store(node, order, state).await {
+        WriteOutcome::Applied => true,
+        WriteOutcome::Conflict => false,
+        // It may have been applied; the precondition prevents a second application.
+        WriteOutcome::Unknown => write_via_peers(node, order, state).await,
     }
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Written {
-    /// It was done.
-    Stands,
-    /// Its condition does not hold any more.
-    Not,
-    /// The store could not be reached, turned this node away, or did not answer.
+pub enum WriteOutcome {
+    /// The write was applied.
+    Applied,
+    /// The order has changed or was removed.
+    Conflict,
+    /// The store could not be reached, rejected this node, or did not answer.
     Unknown,
 }
 
-impl Written {
-    fn of(end: &Result<(), CallError>) -> Written {
-        match end {
-            Ok(()) => Written::Stands,
-            Err(e) if matches!(e.status(), Some(CONFLICT | NOT_FOUND)) => Written::Not,
-            Err(_) => Written::Unknown,
+impl WriteOutcome {
+    fn from_result(result: &Result<(), CallError>) -> WriteOutcome {
+        match result {
+            Ok(()) => WriteOutcome::Applied,
+            Err(e) if matches!(e.status(), Some(CONFLICT | NOT_FOUND)) => WriteOutcome::Conflict,
+            Err(_) => WriteOutcome::Unknown,
         }
     }
 
     fn as_str(self) -> &'static str {
         match self {
-            Written::Stands => "written",
-            Written::Not => "changed",
-            Written::Unknown => "unknown",
+            WriteOutcome::Applied => "written",
+            WriteOutcome::Conflict => "changed",
+            WriteOutcome::Unknown => "unknown",
         }
     }
 }
 
-/// Writes by a call of this node's own.
-pub async fn at_store(node: &Node, order: &Rollout, state: RolloutState) -> Written {
-    let begun = node.now();
+/// Writes directly from this node.
+pub async fn write_to_store(node: &Node, order: &Rollout, state: RolloutState) -> WriteOutcome {
+    let started = node.now();
     let Put { path, content_type, body } = node.dialect.set_rollout(order, state);
-    node.metrics.count_store_call(WHAT);
+    node.metrics.count_store_call(CALL_LABEL);
     let store = node.settings().store.to_string();
-    // A connection of its own: one whose answer was lost says nothing further.
+    // A new connection per write: after a lost answer, an old one would not answer this one either.
     let client = Client::new(STORE_CONNECT_TIMEOUT);
-    let end = client.put(&store, &path, content_type, body, TIMEOUT).await;
-    let written = Written::of(&end);
-    let why = end.err().map(|e| e.to_string()).unwrap_or_default();
+    let result = client.put(&store, &path, content_type, body, TIMEOUT).await;
+    let outcome = WriteOutcome::from_result(&result);
+    let why = result.err().map(|e| e.to_string()).unwrap_or_default();
     Event::RolloutWrite {
         service: &order.service,
         version: &order.version,
         state: state.as_str(),
         revision: order.revision,
-        outcome: written.as_str(),
+        outcome: outcome.as_str(),
         why: &why,
-        took_ms: node.now().since(begun).as_millis() as u64,
+        took_ms: node.now().since(started).as_millis() as u64,
     }
     .emit();
-    written
+    outcome
 }
 
-/// Has peers write, until one of them knows what became of it.
-async fn through_peers(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
-    let key = report::key(&order.service);
-    let first: Vec<PeerNode> = node
+/// Asks peers to write, until one of them knows the outcome.
+async fn write_via_peers(node: &Rc<Node>, order: &Rollout, state: RolloutState) -> bool {
+    let key = report::ranking_key(&order.service);
+    let candidates: Vec<PeerNode> = node
         .peers
-        .roster(|r| r.coordinators(key.as_str(), node.now()).flatten().take(PEERS).collect());
+        .roster(|r| r.coordinators(key.as_str(), node.now()).flatten().take(MAX_PEERS).collect());
     let message = StateWrite { order: order.clone(), state };
-    for peer in first {
+    for peer in candidates {
         match peers::call(node, peer.entry, ROLLOUT_STATE, &message, PEER_TIMEOUT).await {
-            Ok(Some(stands)) => return stands,
+            Ok(Some(applied)) => return applied,
             Ok(None) => {}
-            Err(e) => log::debug!("rollout: {e}"),
+            Err(e) => log::debug!("rollout: write via a peer failed: {e}"),
         }
     }
     false
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -73,7 +73,7 @@
         if passed + ENDING_PERIOD >= most {
             node.enter_phase(LifePhase::Ending);
         }
-        let answered = node.open_requests() == 0 && node.pools.open() == 0;
+        let answered = node.open_requests() == 0 && node.pools.open_orders() == 0;
         if passed >= most || (passed >= BALANCER_LAG && answered) {
             break;
         }
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -14,7 +14,7 @@
 use crate::prefill::{self, Prompt, PromptGuard};
 use crate::quarantine::HELD_REASON;
 use crate::rollout;
-use crate::stages::Made;
+use crate::stages::RequestResults;
 
 /// Maximum number of permit requests that may delay one request; after that, targets with a limit
 /// are excluded.
@@ -122,9 +122,9 @@
     }
 
     /// Whether all results are stored in allowed regions.
-    pub(super) fn is_result_allowed(&self, made: &Made) -> bool {
+    pub(super) fn is_result_allowed(&self, made: &RequestResults) -> bool {
         let allowed = self.allowed_regions();
-        self.node.fleet(|f| made.makers().all(|worker| f.is_in_allowed_region(worker, &allowed)))
+        self.node.fleet(|f| made.workers().all(|worker| f.is_in_allowed_region(worker, &allowed)))
     }
 
     /// The first service that the request needs and that has no target in the allowed regions;
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -19,7 +19,7 @@
 use crate::limits::AT_LIMIT;
 use crate::node::{Node, OpenGuard};
 use crate::phase::LifePhase;
-use crate::stages::{self, Job, Made, StageError};
+use crate::stages::{self, Job, RequestResults, StageError};
 
 /// Part of the caller's deadline that is reserved for returning the response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(30);
@@ -206,7 +206,7 @@
     async fn try_targets(
         self: Rc<Self>,
         mut chosen: Option<Target>,
-        mut results: Option<Made>,
+        mut results: Option<RequestResults>,
     ) -> Result<Response<Body>, Response<Body>> {
         loop {
             let first = chosen.take().filter(|t| self.is_near_inputs(t));
@@ -241,13 +241,13 @@
         }
     }
 
-    async fn run_stages(&self, chosen: Option<&Target>) -> Result<Made, Response<Body>> {
+    async fn run_stages(&self, chosen: Option<&Target>) -> Result<RequestResults, Response<Body>> {
         self.run_stages_within(self.slack(), chosen).await.map_err(|_| self.end_unanswered())
     }
 
     /// Reruns the stages of a stream that resumes at `target`. Its first event was sent long ago;
     /// what matters is the pause that its caller tolerates, about one objective.
-    pub async fn rerun_stages(&self, target: &Target) -> Result<Made, StageError> {
+    pub async fn rerun_stages(&self, target: &Target) -> Result<RequestResults, StageError> {
         let objective = Duration::from_millis(self.route.objective_ms);
         let results = self.run_stages_within(objective, Some(target)).await;
         let left_ms = self.time_left().as_millis() as u64;
@@ -260,13 +260,13 @@
         &self,
         slack: Duration,
         target: Option<&Target>,
-    ) -> Result<Made, StageError> {
+    ) -> Result<RequestResults, StageError> {
         let started = self.node.now();
         let results = self.run_allowed_stages(started + slack, target).await;
         let took = self.node.now().since(started);
         self.progress(|p| p.stage_time += took);
         let map = self.node.peers.roster(|r| r.map());
-        let input_region = results.as_ref().ok().and_then(Made::lies_at).map(|d| map.region_of(d));
+        let input_region = results.as_ref().ok().and_then(RequestResults::inputs_domain).map(|d| map.region_of(d));
         self.progress(|p| p.input_region = input_region);
         results.inspect_err(|e| {
             let is_unserved = self.unserved_service().is_some();
@@ -281,11 +281,11 @@
         &self,
         due: Time,
         target: Option<&Target>,
-    ) -> Result<Made, StageError> {
+    ) -> Result<RequestResults, StageError> {
         let mut rounds = MAX_STAGE_ROUNDS;
         while rounds > 0 {
             if self.unserved_service().is_some() {
-                return Err(StageError::Barred);
+                return Err(StageError::NoAllowedTarget);
             }
             let allowed = self.allowed_regions();
             let near = target.filter(|t| self.is_target_allowed(&t.id)).map(|t| t.domain.clone());
@@ -299,15 +299,15 @@
                 rank: if self.node.settings().policy.ranks { self.rank } else { Rank::default() },
             };
             tokio::select! {
-                results = stages::make(&self.node, job) => match results {
-                    Err(StageError::Outside) => rounds -= 1,
+                results = stages::run_all(&self.node, job) => match results {
+                    Err(StageError::WrongRegion) => rounds -= 1,
                     end => return end,
                 },
                 () = self.wait_allowed_changed(&allowed) => {}
             }
             Event::Moved { id: &self.head.id, version: self.node.table().rules.version }.emit();
         }
-        Err(StageError::Barred)
+        Err(StageError::NoAllowedTarget)
     }
 
     /// Records that the request was interrupted at a target that may have started it.
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -21,8 +21,8 @@
 use crate::node::Node;
 use crate::prefill::PromptGuard;
 use crate::quarantine::HELD_REASON;
-use crate::rollout::{self, Sent};
-use crate::stages::Made;
+use crate::rollout::{self, TrackedSend};
+use crate::stages::RequestResults;
 use crate::upstream::{self, Answer};
 
 /// Maximum size of a response that is read completely before it is forwarded.
@@ -46,7 +46,7 @@
     pub(super) target: Target,
     unread_tokens: u64,
     prompt_guard: Option<PromptGuard>,
-    sent: Option<Sent>,
+    sent: Option<TrackedSend>,
 }
 
 impl InFlightGuard {
@@ -64,14 +64,14 @@
     /// Reports a good response, after this time, as evidence of the target's version.
     fn report_success(&self, took: Duration) {
         if let Some(sent) = &self.sent {
-            sent.good(took);
+            sent.record_success(took);
         }
     }
 
     /// Reports a failed or late response as evidence against the target's version.
     pub(super) fn report_failure(&self) {
         if let Some(sent) = &self.sent {
-            sent.bad();
+            sent.record_failure();
         }
     }
 
@@ -100,7 +100,7 @@
 pub async fn send(
     exchange: &Rc<Exchange>,
     choice: Choice,
-    results: Option<&Made>,
+    results: Option<&RequestResults>,
     resume_after: Option<u64>,
 ) -> Outcome {
     let Choice { target, prompt_guard, permit } = choice;
@@ -133,12 +133,13 @@
     }
     exchange.progress(|p| p.attempts.connected());
     heard::record_send(&exchange.node, target);
-    let sent = rollout::sent(&exchange.node, target, &exchange.route.name, 1, exchange.deadline);
+    let sent =
+        rollout::track_send(&exchange.node, target, &exchange.route.name, 1, exchange.deadline);
     in_flight.sent.clone_from(&sent);
     let request = build_request(exchange, target, results, resume_after);
     let crossing = RegionTraffic::to_target(&exchange.node, MessageKind::Request, &target.id);
     if let Some(results) = results {
-        crossed::count_inputs(&exchange.node, &target.id, results.fetched());
+        crossed::count_inputs(&exchange.node, &target.id, results.input_sources());
     }
     let work = async {
         match upstream::send_over(socket, target.address, request, crossing).await {
@@ -150,7 +151,7 @@
         return outcome;
     }
     if let Some(sent) = sent {
-        sent.bad();
+        sent.record_failure();
     }
     attempt.interrupted("target was silent for too long".into())
 }
@@ -158,7 +159,7 @@
 fn build_request(
     exchange: &Exchange,
     target: &Target,
-    results: Option<&Made>,
+    results: Option<&RequestResults>,
     resume_after: Option<u64>,
 ) -> hyper::Request<Full<Bytes>> {
     let onward = ForwardContext {
@@ -166,7 +167,7 @@
         target: &target.id,
         workspace: exchange.workspace.as_ref(),
         rank: (!exchange.head.prompt.is_empty()).then_some(exchange.rank.level()),
-        inputs: results.map_or(&[], Made::inputs),
+        inputs: results.map_or(&[], RequestResults::inputs),
         resume_after: resume_after.or(exchange.head.last_event),
     };
     let received = &exchange.request;
--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -14,7 +14,7 @@
 use super::exchange::Exchange;
 use super::reply::Body;
 use super::send::{InFlightGuard, Outcome, send};
-use crate::stages::{Made, StageError};
+use crate::stages::{RequestResults, StageError};
 use crate::upstream::Connection;
 
 const MAX_EVENT_BYTES: usize = 1 << 20;
@@ -104,7 +104,7 @@
     first_event: Option<Bytes>,
     last_event: Option<u64>,
     /// Results that are kept until the end of the stream if they are not freed early.
-    _results: Option<Made>,
+    _results: Option<RequestResults>,
     in_flight: InFlightGuard,
     is_finished: bool,
 }
@@ -113,7 +113,7 @@
 pub fn response(
     exchange: Rc<Exchange>,
     started: StartedStream,
-    results: Option<Made>,
+    results: Option<RequestResults>,
 ) -> Response<Body> {
     let StartedStream { status, headers, reader, first_event, in_flight } = started;
     let now = exchange.node.now();
--- a/crates/forward/src/stages/free.rs
+++ b/crates/forward/src/stages/free.rs
@@ -1,5 +1,5 @@
-//! Frees results: through the coordinator that made them, which so knows what
-//! room its makers have, or straight at their makers if it is gone.
+//! Frees results, through the coordinator that ordered them so that it knows how much room its
+//! workers have, or directly at the workers if that coordinator does not answer.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,89 +16,89 @@
 use crate::node::Node;
 use crate::peers::{self, FREE, FreeRequest};
 
-/// Time during which results of one maker or coordinator are gathered into one call.
-const GATHER: Duration = Duration::from_millis(10);
-/// Time for the call; a result that is not freed runs out by itself.
+/// Delay in which results for one worker or coordinator are batched into one request.
+const FLUSH_DELAY: Duration = Duration::from_millis(10);
+/// Timeout of a request. A result that is not freed expires at its worker.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest answer that is read.
-const ANSWER_MAX: usize = 64 << 10;
+/// Maximum size of the body of an answer.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Where results are freed.
+/// Recipient of a request to free results.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Place {
-    Maker(TargetId, PoolId),
+enum Destination {
+    Worker(TargetId, PoolId),
     Coordinator(SocketAddr, PoolId),
 }
 
-/// Results to be freed.
+/// Results to free, batched by recipient.
 #[derive(Default)]
-pub struct Freer(RefCell<HashMap<Place, Vec<Handle>>>);
+pub struct FreeQueue(RefCell<HashMap<Destination, Vec<Handle>>>);
 
-impl Freer {
-    /// Frees results of a pool at their makers soon.
-    pub fn at_makers(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
+impl FreeQueue {
+    /// Queues results of a pool to be freed at their workers.
+    pub fn free_at_workers(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
         for handle in handles {
-            let place = Place::Maker(handle.maker.clone(), pool.clone());
-            self.push(node, place, vec![handle]);
+            let destination = Destination::Worker(handle.maker.clone(), pool.clone());
+            self.push(node, destination, vec![handle]);
         }
     }
 
-    /// Frees results through the coordinator of a pool at a peer soon.
-    pub fn at_peer(&self, node: &Rc<Node>, peer: SocketAddr, pool: &PoolId, h: Vec<Handle>) {
-        self.push(node, Place::Coordinator(peer, pool.clone()), h);
+    /// Queues results to be freed through the pool's coordinator on a peer.
+    pub fn free_via_peer(&self, node: &Rc<Node>, peer: SocketAddr, pool: &PoolId, h: Vec<Handle>) {
+        self.push(node, Destination::Coordinator(peer, pool.clone()), h);
     }
 
-    fn push(&self, node: &Rc<Node>, place: Place, handles: Vec<Handle>) {
-        let mut waiting = self.0.borrow_mut();
-        if !waiting.contains_key(&place) {
-            tokio::task::spawn_local(flush(node.clone(), place.clone()));
+    fn push(&self, node: &Rc<Node>, destination: Destination, handles: Vec<Handle>) {
+        let mut pending = self.0.borrow_mut();
+        if !pending.contains_key(&destination) {
+            tokio::task::spawn_local(flush(node.clone(), destination.clone()));
         }
-        waiting.entry(place).or_default().extend(handles);
+        pending.entry(destination).or_default().extend(handles);
     }
 
-    fn take(&self, place: &Place) -> Vec<Handle> {
-        self.0.borrow_mut().remove(place).unwrap_or_default()
+    fn drain(&self, destination: &Destination) -> Vec<Handle> {
+        self.0.borrow_mut().remove(destination).unwrap_or_default()
     }
 }
 
-async fn flush(node: Rc<Node>, place: Place) {
-    tokio::time::sleep(GATHER).await;
-    let handles = node.pools.freer.take(&place);
-    match place {
-        Place::Maker(maker, pool) => {
-            free_at_maker(&node, &maker, &handles).await;
-            node.pools.freed(&node, &pool, handles);
+async fn flush(node: Rc<Node>, destination: Destination) {
+    tokio::time::sleep(FLUSH_DELAY).await;
+    let handles = node.pools.free_queue.drain(&destination);
+    match destination {
+        Destination::Worker(worker, pool) => {
+            free_at_worker(&node, &worker, &handles).await;
+            node.pools.note_freed(&node, &pool, handles);
         }
-        Place::Coordinator(peer, pool) => {
+        Destination::Coordinator(peer, pool) => {
             let message = FreeRequest { pool, handles };
             if peers::call::<_, ()>(&node, peer, FREE, &message, TIMEOUT).await.is_err() {
-                node.pools.freer.at_makers(&node, &message.pool, message.handles);
+                node.pools.free_queue.free_at_workers(&node, &message.pool, message.handles);
             }
         }
     }
 }
 
-async fn free_at_maker(node: &Rc<Node>, maker: &TargetId, handles: &[Handle]) {
-    // It wants nothing meanwhile, and what is not freed runs out there.
-    while let Some(until) = node.fleet(|f| f.notices().backoff_until(maker, node.now())) {
+async fn free_at_worker(node: &Rc<Node>, worker: &TargetId, handles: &[Handle]) {
+    // A worker that asked for backoff gets no requests; results expire there in the meantime.
+    while let Some(until) = node.fleet(|f| f.notices().backoff_until(worker, node.now())) {
         node.clock.sleep_until(until).await;
     }
-    let Some(target) = node.fleet(|f| f.get(maker).map(|b| b.target.clone())) else {
+    let Some(target) = node.fleet(|f| f.get(worker).map(|b| b.target.clone())) else {
         return;
     };
     let address = target.address;
     let post = node.dialect.stage_free(handles);
     let sent = post.body.len();
-    let mut request = call::request(node, maker, address, post);
+    let mut request = call::request(node, worker, address, post);
     let peer = address.to_string();
     let Ok(uri) = format!("http://{peer}{}", request.uri()).parse() else {
         return;
     };
     *request.uri_mut() = uri;
-    // On a kept connection, unlike all else that goes to a target: nobody looks at the
-    // answer, so a late one can do no harm, and a new connection would take a maker's time.
-    let crossing = RegionTraffic::to_target(node, MessageKind::Free, maker);
+    // Unlike all other requests to targets, this one uses a pooled connection: the answer's body is
+    // ignored, so a late one is harmless, and a new connection would cost the worker time.
+    let crossing = RegionTraffic::to_target(node, MessageKind::Free, worker);
     if let Some(crossing) = &crossing {
         crossing.sent(sent);
     }
@@ -107,16 +107,16 @@
             return;
         };
         let (head, body) = answer.into_parts();
-        let said = node.dialect.read_answer(&head);
-        if !said.misdirected {
-            heard::record_notice(node, &target, said.notice);
+        let answer_head = node.dialect.read_answer(&head);
+        if !answer_head.misdirected {
+            heard::record_notice(node, &target, answer_head.notice);
         }
-        // Read to its end, so that the connection can be used again.
-        let read = Limited::new(body, ANSWER_MAX).collect().await;
+        // Reads the body to its end so that the connection can be reused.
+        let read = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         if let (Some(crossing), Ok(body)) = (&crossing, read) {
             crossing.received(body.to_bytes().len());
         }
     };
-    // What is not freed runs out at its maker by itself.
+    // Results that are not freed expire at the worker.
     let _ = tokio::time::timeout(TIMEOUT, freed).await;
 }
