--- a/crates/forward/src/border.rs
+++ b/crates/forward/src/border.rs
@@ -1,8 +1,7 @@
-//! The border to the system that the node runs in.
+//! Interface to the platform that the node runs on.
 //!
-//! A [`Dialect`] only translates messages: it reads heads and bodies of that
-//! system into this product's types, and writes them. It does no I/O, decides
-//! nothing and remembers nothing.
+//! A [`Dialect`] only translates between the platform's messages and this crate's types. It
+//! does no I/O, makes no decisions and keeps no state.
 
 use hyper::HeaderMap;
 use hyper::http::{request, response};
@@ -12,64 +11,64 @@
     ReportedLoad, Rollout, RolloutState, Rules, Target, TargetId,
 };
 
-/// A message that could not be understood.
+/// A message that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 #[displaydoc("{place}: {reason}")]
 pub struct Malformed {
-    /// Header, field or message.
+    /// Header, field or message in which the error is.
     pub place: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub reason: String,
 }
 
 impl Malformed {
-    /// Names a place and what is wrong there.
-    pub fn new(place: impl Into<String>, why: impl Into<String>) -> Self {
-        Malformed { place: place.into(), reason: why.into() }
+    /// An error at `place`, described by `reason`.
+    pub fn new(place: impl Into<String>, reason: impl Into<String>) -> Self {
+        Malformed { place: place.into(), reason: reason.into() }
     }
 }
 
-/// What a request is sent on with.
+/// Values that this node adds to a request that it forwards.
 #[derive(Debug, Clone)]
 pub struct ForwardContext<'a> {
-    /// Milliseconds that the target has.
+    /// Milliseconds until the target must have answered.
     pub left_ms: u64,
-    /// The only start of a target that may run it.
+    /// The target, and its start: no other instance may run the request.
     pub target: &'a TargetId,
-    /// Workspace of the caller's key.
+    /// Workspace that the caller's key belongs to.
     pub workspace: Option<&'a Name>,
-    /// Rank among the target's requests; 0 is the most urgent.
+    /// Priority among the target's requests; 0 is the most urgent.
     pub rank: Option<u8>,
-    /// Handles of the stages' results.
+    /// Handles of the stage results that the request takes as inputs.
     pub inputs: &'a [String],
-    /// Event after which a stream is to go on.
+    /// Number of the event after which an interrupted stream resumes.
     pub resume_after: Option<u64>,
 }
 
-/// What a target's answer head says.
+/// Parsed head of a target's answer.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct AnswerHead {
-    /// Attempt that it answers.
+    /// Id of the attempt that it answers.
     pub id: Option<String>,
-    /// The target states that it did not run the request.
+    /// Whether the target states that it did not run the request.
     pub not_run: bool,
-    /// The target is another one than was meant.
+    /// Whether another instance than the addressed one answered.
     pub misdirected: bool,
-    /// An input of the request is gone.
+    /// Whether an input of the request no longer exists.
     pub input_gone: bool,
-    /// It carries the target's signature.
+    /// Whether the answer carries the target's signature.
     pub is_signed: bool,
-    /// The body is a stream of events.
+    /// Whether the body is an event stream.
     pub is_event_stream: bool,
-    /// Requests that the target takes.
+    /// Requests per second that the target accepts from all nodes together.
     pub limit: NamedLimit,
-    /// Load of the target.
+    /// Load that the target reports.
     pub load: ReportedLoad,
-    /// What it says of further requests.
+    /// Whether, and when, the target accepts further requests.
     pub notice: Notice,
 }
 
-/// A call with a body.
+/// A POST request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Post {
     /// Path.
@@ -80,7 +79,7 @@
     pub body: Vec<u8>,
 }
 
-/// A replacement of an object, or of its state, that only a given revision allows.
+/// A PUT request that replaces an object, or its status, only at a given revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Put {
     /// Path.
@@ -91,18 +90,18 @@
     pub body: Vec<u8>,
 }
 
-/// Kind of object that the node follows in the store.
+/// Kind of store object that the node watches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObjectKind {
-    /// The rules.
+    /// Routes, services, workspaces and limits.
     Rules,
-    /// The targets.
+    /// Targets that requests are sent to.
     Targets,
-    /// Failure domains whose targets are to get nothing new.
+    /// Failure domains whose targets get no new requests.
     Evacuations,
-    /// Roll-outs that the operator ordered.
+    /// Rollouts ordered by operators.
     Rollouts,
-    /// Requests that are held back.
+    /// Held requests.
     Quarantine,
 }
 
@@ -115,7 +114,7 @@
         ObjectKind::Rollouts,
         ObjectKind::Quarantine,
     ];
-    /// Kinds on which choices rest, so that it is told how old what is known of them is.
+    /// Kinds that routing decisions depend on; metrics report the age of their data.
     pub const AGE_TRACKED: [ObjectKind; 4] =
         [ObjectKind::Rules, ObjectKind::Targets, ObjectKind::Evacuations, ObjectKind::Rollouts];
 
@@ -131,27 +130,27 @@
     }
 }
 
-/// One object of the store, read.
+/// Change of one object of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// Rules as they are now.
+    /// Current rules.
     Rules(Box<Rules>),
-    /// A target as it is now.
+    /// Current entry of a target.
     Target(Target),
-    /// A failure domain is evacuated.
+    /// A failure domain that is evacuated.
     Evacuated(Name),
-    /// A roll-out as it is now.
+    /// Current state of a rollout.
     Rollout(Rollout),
-    /// A request is held back.
+    /// A held request.
     Held(HeldRecord),
-    /// The entry of this name is there but cannot be read.
+    /// The entry of this name exists but could not be parsed.
     Unreadable(Name),
-    /// The entry of this name is gone.
+    /// The entry of this name was removed.
     Removed(Name),
 }
 
 impl Change {
-    /// Name of the entry, unless that cannot be read.
+    /// Name of a target, evacuation or rollout whose entry could be parsed or was removed.
     pub fn entry_name(&self) -> Option<&Name> {
         match self {
             Change::Target(target) => Some(&target.id.name),
@@ -162,93 +161,94 @@
     }
 }
 
-/// An entry of the store that cannot be read.
+/// An entry of the store that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BadEntry {
-    /// Its name, if that can be read.
+    /// Its name, if that could be parsed.
     pub name: Option<Name>,
-    /// Its name, else its position in the answer, and what of it cannot be read.
+    /// Its name, or else its position in the answer, and the field in which the error is.
     pub place: String,
-    /// What is wrong there.
+    /// Description of the error.
     pub reason: String,
 }
 
-/// Most characters that are told of a place or of what is wrong there: other writers put
-/// what they like into their entries.
+/// Maximum length of the place and of the reason, in characters: other writers control the text
+/// of their entries.
 const MAX_ERROR_CHARS: usize = 160;
 
 impl BadEntry {
-    /// An entry that cannot be read at a place.
-    pub fn new(name: Option<Name>, place: impl Into<String>, why: impl Into<String>) -> Self {
-        let told = |text: String| text.chars().take(MAX_ERROR_CHARS).collect();
-        BadEntry { name, place: told(place.into()), reason: told(why.into()) }
+    /// An entry with an error at `place`; truncates both texts.
+    pub fn new(name: Option<Name>, place: impl Into<String>, reason: impl Into<String>) -> Self {
+        let truncate = |text: String| text.chars().take(MAX_ERROR_CHARS).collect();
+        BadEntry { name, place: truncate(place.into()), reason: truncate(reason.into()) }
     }
 }
 
-/// Part of a list, or the events since a revision.
+/// One page of a list, or the events since a revision.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Page {
-    /// Objects and what became of them, oldest first.
+    /// Changes, oldest first.
     pub changes: Vec<Change>,
-    /// Objects that could not be understood; those with a name are among the changes too.
+    /// Entries that could not be parsed; those with a name are also among the changes.
     pub malformed: Vec<BadEntry>,
-    /// Name to continue a list after, if it is not whole.
+    /// Name after which the next page of the list starts, if there is one.
     pub continue_after: Option<Name>,
-    /// More follows, but nothing tells after which name to continue.
+    /// Whether more entries follow, but no name to continue after could be parsed.
     pub truncated: bool,
-    /// Revision to watch from.
+    /// Revision from which to watch.
     pub revision: u64,
 }
 
 impl Page {
-    /// Adds an entry that cannot be read.
+    /// Adds an entry that could not be parsed.
     pub fn add_bad(&mut self, entry: BadEntry) {
         self.changes.extend(entry.name.clone().map(Change::Unreadable));
         self.malformed.push(entry);
     }
 }
 
-/// Translates between this product and the system that it runs in.
+/// Translates between this crate's types and the platform's messages.
 pub trait Dialect {
-    /// Reads a caller's request head.
+    /// Parses the head of a caller's request.
     fn read_caller(&self, head: &request::Parts) -> Result<CallerHead, Malformed>;
-    /// Headers with which a request goes on to a target.
-    fn forward_headers(&self, head: &HeaderMap, onward: &ForwardContext<'_>) -> HeaderMap;
-    /// Reads a target's answer head.
+    /// Headers of a request that is forwarded to a target.
+    fn forward_headers(&self, head: &HeaderMap, context: &ForwardContext<'_>) -> HeaderMap;
+    /// Parses the head of a target's answer.
     fn read_answer(&self, head: &response::Parts) -> AnswerHead;
-    /// Headers with which a target's answer goes on to the caller.
+    /// Headers of a target's answer that is returned to the caller.
     fn return_headers(&self, head: &HeaderMap) -> HeaderMap;
-    /// Headers of an answer of this node's own; `come_back_ms` tells when to try again.
-    fn local_headers(&self, id: Option<&str>, come_back_ms: Option<u64>) -> HeaderMap;
-    /// Number of a stream's event, if it has one.
+    /// Headers of an answer that this node generates; `retry_after_ms` is the time after which the
+    /// caller may retry.
+    fn local_headers(&self, id: Option<&str>, retry_after_ms: Option<u64>) -> HeaderMap;
+    /// Number of a stream event, if it has one.
     fn event_number(&self, event: &[u8]) -> Option<u64>;
-    /// A call that makes pieces.
+    /// Call that runs pieces of a stage.
     fn stage_call(&self, pieces: &[PieceOrder]) -> Post;
-    /// Headers of a call that only one start of a target may take.
+    /// Headers of a call that only this instance of a target may run.
     fn instance_headers(&self, target: &TargetId) -> HeaderMap;
-    /// Reads the answer to a call that makes pieces.
+    /// Parses the answer to a stage call; `maker` is the worker that ran it.
     fn stage_answer(&self, maker: &TargetId, body: &[u8]) -> Result<Vec<PieceResult>, Malformed>;
-    /// A call that frees results at their maker.
+    /// Call that frees results at the worker that holds them.
     fn stage_free(&self, handles: &[Handle]) -> Post;
-    /// How often the store has come back from an older copy, as the head of each of its answers
-    /// tells; `None` if this one does not, or it cannot be read.
+    /// Epoch of the store, from the head of one of its answers: the number of times that it was
+    /// restored from an older copy. `None` if the head has none or it cannot be parsed.
     fn epoch(&self, head: &HeaderMap) -> Option<u64>;
-    /// Path of a list of objects.
+    /// Path of a list of objects, from the start or after a name.
     fn list_path(&self, kind: ObjectKind, after: Option<&Name>) -> String;
-    /// The same, cheaper, and possibly some seconds old.
+    /// Path of a list that costs the store less and may be some seconds stale.
     fn stale_list_path(&self, kind: ObjectKind, after: Option<&Name>) -> String;
-    /// Creates the object of a request that is held.
+    /// Call that creates the object of a held request.
     fn create_hold(&self, record: &HeldRecord) -> Post;
-    /// Path of that object.
+    /// Path of the object of a held request.
     fn hold_path(&self, request: Fingerprint) -> String;
-    /// Path of a watch from a revision on.
-    fn watch_path(&self, kind: ObjectKind, at: u64, wait_ms: u64) -> String;
-    /// Reads a list.
+    /// Path of a watch for changes after a revision.
+    fn watch_path(&self, kind: ObjectKind, revision: u64, wait_ms: u64) -> String;
+    /// Parses one page of a list.
     fn read_page(&self, kind: ObjectKind, body: &[u8]) -> Result<Page, Malformed>;
-    /// Reads the answer to a watch.
+    /// Parses the answer to a watch.
     fn read_changes(&self, kind: ObjectKind, body: &[u8]) -> Result<Page, Malformed>;
-    /// Sets the state of a roll-out in the store, unless the order has changed since `order`.
+    /// Call that sets the state of a rollout, unless its revision has changed since `order`.
     fn set_rollout(&self, order: &Rollout, state: RolloutState) -> Put;
-    /// Path that a balancer asks for readiness at.
+    /// Path at which a load balancer asks for readiness.
     fn ready_path(&self) -> &str;
 }
--- a/crates/forward/src/crossed.rs
+++ b/crates/forward/src/crossed.rs
@@ -1,8 +1,8 @@
-//! Bytes that cross between regions, by kind of message.
+//! Counts bytes between regions, by kind of message.
 //!
-//! Each byte is counted once, by the node that asks: what goes out, and what comes back in
+//! Each byte is counted once, by the node that sends the request: the request itself and its
 //! answer. Connections to targets are counted as they are read and written; messages between
-//! nodes, and calls on kept connections, by their bodies and what their heads usually take.
+//! nodes, and calls on pooled connections, by the size of their bodies plus a typical head.
 
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
@@ -16,39 +16,39 @@
 
 use crate::node::Node;
 
-/// Bytes of the head of a request between nodes, or of its answer: method and path or status,
-/// host, media type, length and date.
+/// Typical size of the head of a request between nodes, or of its answer, in bytes: method and path
+/// or status, host, media type, length and date.
 const HEAD_BYTES: u64 = 112;
 
-/// What crosses.
+/// Kind of message that is sent to another region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
     /// A request to a target, and its answer.
     Request,
-    /// A stage call to a maker, and its answer.
+    /// A stage call to a worker, and its answer.
     Call,
-    /// Results to be freed.
+    /// A call that frees stage results.
     Free,
-    /// A stage order to a coordinator, or a question for its waits.
+    /// A stage order to a batch coordinator, or a query for its queueing times.
     Order,
-    /// Results that a maker or an engine fetches as inputs, by the sizes that rules tell.
+    /// Stage results that a worker or an engine fetches as inputs, by the sizes in the rules.
     Input,
-    /// A question to a scheduler of prompts, or the end of a prompt.
+    /// A query to a prompt scheduler, or the report that a prompt has ended.
     Prompt,
-    /// News of targets, evacuations and orders of roll-outs, and rules.
+    /// Updates of targets, evacuations, rollouts and rules.
     Updates,
-    /// A datagram of membership.
+    /// A membership datagram.
     Membership,
-    /// A sign of life that is asked of a peer.
+    /// A liveness probe of a peer.
     Ping,
-    /// A report on a version on trial, or a state that a peer writes.
+    /// A report on a trial version, or a rollout state for a peer to write.
     Rollout,
-    /// Permits, and news of limits that targets name.
+    /// Permits, and announcements of limits that targets name.
     Limit,
 }
 
 impl MessageKind {
-    /// Name in metrics.
+    /// Value of the metric label `kind`.
     pub fn as_str(self) -> &'static str {
         match self {
             MessageKind::Request => "request",
@@ -66,7 +66,7 @@
     }
 }
 
-/// Counters of one way to another region and back.
+/// Counters of the bytes to another region and from it.
 #[derive(Debug, Clone)]
 pub struct RegionTraffic {
     outbound: Counter,
@@ -74,18 +74,20 @@
 }
 
 impl RegionTraffic {
-    /// To a failure domain; `None` if it is in this node's region, or of none that is known.
+    /// Traffic to a failure domain; `None` if it is in this node's region or in no known region.
     fn to_domain(node: &Node, kind: MessageKind, domain: &Name) -> Option<RegionTraffic> {
-        let (own, there) = node.fleet(|f| {
+        let (local, remote) = node.fleet(|f| {
             let regions = f.regions();
             Some((regions.of(&node.settings().domain)?.clone(), regions.of(domain)?.clone()))
         })?;
         let count = |from, to| node.metrics.crossed_bytes(kind.as_str(), from, to);
-        (own != there)
-            .then(|| RegionTraffic { outbound: count(&own, &there), inbound: count(&there, &own) })
+        (local != remote).then(|| RegionTraffic {
+            outbound: count(&local, &remote),
+            inbound: count(&remote, &local),
+        })
     }
 
-    /// To a target.
+    /// Traffic to a target; `None` if it stays in this node's region.
     pub fn to_target(node: &Node, kind: MessageKind, id: &TargetId) -> Option<RegionTraffic> {
         if !is_multi_region(node) {
             return None;
@@ -94,7 +96,7 @@
         RegionTraffic::to_domain(node, kind, &domain)
     }
 
-    /// To a peer that is up.
+    /// Traffic to a peer that is up; `None` if it stays in this node's region.
     pub fn to_peer(node: &Node, kind: MessageKind, address: SocketAddr) -> Option<RegionTraffic> {
         if !is_multi_region(node) {
             return None;
@@ -103,28 +105,28 @@
         RegionTraffic::to_domain(node, kind, &domain)
     }
 
-    /// A message of this many bytes went there.
+    /// Counts a message with a body of this many bytes to the other region.
     pub fn sent(&self, bytes: usize) {
         self.outbound.inc_by(bytes as u64 + HEAD_BYTES);
     }
 
-    /// A message of this many bytes came back.
+    /// Counts an answer with a body of this many bytes.
     pub fn received(&self, bytes: usize) {
         self.inbound.inc_by(bytes as u64 + HEAD_BYTES);
     }
 
-    /// A datagram went there.
+    /// Counts a datagram of this many bytes; it has no head.
     pub fn sent_datagram(&self, bytes: usize) {
         self.outbound.inc_by(bytes as u64);
     }
 }
 
-/// Whether there is another region: where there is none, messages are not looked at.
+/// Whether there are several regions; with one, nothing is looked up per message.
 fn is_multi_region(node: &Node) -> bool {
     node.fleet(|f| f.regions().is_multi_region())
 }
 
-/// Targets fetch results that rest at others.
+/// Counts stage results that `by` fetches as inputs from targets in other regions.
 pub fn count_inputs(node: &Node, by: &TargetId, inputs: impl Iterator<Item = (TargetId, u64)>) {
     if !is_multi_region(node) {
         return;
@@ -141,22 +143,22 @@
     }
 }
 
-/// A connection whose bytes are counted, if it crosses.
+/// A connection whose bytes are counted if it leads to another region.
 #[derive(Debug)]
 pub struct Metered<T> {
     io: T,
-    crossing: Option<RegionTraffic>,
+    traffic: Option<RegionTraffic>,
 }
 
 impl<T> Metered<T> {
-    /// Counts from now on.
-    pub fn new(io: T, crossing: Option<RegionTraffic>) -> Self {
-        Metered { io, crossing }
+    /// Counts the bytes of `io` in `traffic`.
+    pub fn new(io: T, traffic: Option<RegionTraffic>) -> Self {
+        Metered { io, traffic }
     }
 
     fn count_written(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let (Some(crossing), Poll::Ready(Ok(bytes))) = (&self.crossing, &done) {
-            crossing.outbound.inc_by(*bytes as u64);
+        if let (Some(traffic), Poll::Ready(Ok(bytes))) = (&self.traffic, &done) {
+            traffic.outbound.inc_by(*bytes as u64);
         }
         done
     }
@@ -170,8 +172,8 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let done = Pin::new(&mut self.io).poll_read(cx, buffer);
-        if let Some(crossing) = &self.crossing {
-            crossing.inbound.inc_by((buffer.filled().len() - before) as u64);
+        if let Some(traffic) = &self.traffic {
+            traffic.inbound.inc_by((buffer.filled().len() - before) as u64);
         }
         done
     }
--- a/crates/forward/src/heard.rs
+++ b/crates/forward/src/heard.rs
@@ -1,5 +1,5 @@
-//! What answers tell of their targets, besides what they answer: every path that reads the head of
-//! a target's own answer brings it here.
+//! Records what the head of an answer says about its target: limit, load, notices and acceptance.
+//! Every path that reads the head of a target's answer calls this module.
 
 use std::rc::Rc;
 
@@ -12,20 +12,20 @@
 use crate::limits;
 use crate::node::Node;
 
-/// Takes what the head of a target's answer says, whose request was sent at `sent`.
-pub fn record_answer(node: &Rc<Node>, target: &Target, said: &AnswerHead, sent: Time) {
-    limits::hear(node, target, said.limit, sent);
-    node.record_load(target, said.load);
-    record_notice(node, target, said.notice);
-    if !said.not_run {
+/// Records the head of a target's answer to a request sent at `sent`.
+pub fn record_answer(node: &Rc<Node>, target: &Target, head: &AnswerHead, sent: Time) {
+    limits::hear(node, target, head.limit, sent);
+    node.record_load(target, head.load);
+    record_notice(node, target, head.notice);
+    if !head.not_run {
         node.fleet(|f| f.note_accepted(&target.id, sent));
     }
 }
 
-/// Takes what a target's answer says of further requests.
-pub fn record_notice(node: &Node, target: &Target, said: Notice) {
+/// Records whether, and when, a target accepts further requests.
+pub fn record_notice(node: &Node, target: &Target, notice: Notice) {
     let now = node.now();
-    for change in node.fleet(|f| f.record_notice(&target.id, said, now)) {
+    for change in node.fleet(|f| f.record_notice(&target.id, notice, now)) {
         log_notice(target, change);
     }
 }
@@ -39,23 +39,24 @@
     Event::Notice { target: &target.id.name, service: &target.service, what, for_ms }.emit();
 }
 
-/// A request, or a call, goes to a target.
+/// Records that a request or a call is sent to a target, and counts it if the target had named a
+/// limit, is draining or has asked for backoff.
 pub fn record_send(node: &Node, target: &Target) {
     let (now, id) = (node.now(), &target.id);
-    let (limited, leaves, rests) = node.fleet(|f| {
+    let (is_limited, is_draining, is_backing_off) = node.fleet(|f| {
         let notices = f.notices();
-        let rests = notices.backoff_until(id, now).is_some();
-        let told = (f.limits().get(id).is_some(), notices.is_draining(id), rests);
+        let is_backing_off = notices.backoff_until(id, now).is_some();
+        let state = (f.limits().get(id).is_some(), notices.is_draining(id), is_backing_off);
         f.note_attempt(id, now);
-        told
+        state
     });
-    if limited {
+    if is_limited {
         node.metrics.sent_at_limit(&target.service);
     }
-    if leaves {
+    if is_draining {
         node.metrics.sent_against_notice(&target.service, "leaving");
     }
-    if rests {
+    if is_backing_off {
         node.metrics.sent_against_notice(&target.service, "retry_after");
     }
 }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,12 +1,13 @@
-//! The forwarding node: callers in, targets out, with batched stages between.
+//! Forwarding node: accepts callers' requests, runs their stages in batches and forwards them to
+//! targets.
 //!
-//! A request is matched to a route of the rules in force, its stages are made
-//! in batches shared with other nodes, and one target's answer goes back byte for
-//! byte. What another system speaks is hidden behind [`border::Dialect`].
+//! A request is matched to a route of the rules in force, its stages run in batches shared with
+//! other nodes, and one target's answer is returned byte for byte. [`border::Dialect`] hides the
+//! platform's protocol.
 //!
-//! One thread runs everything, so the state is shared by `Rc` and `RefCell`; no
-//! borrow is held over an await. Whether something may be sent, repeated, batched
-//! or believed is decided by the machines in [`decide`].
+//! Everything runs on one thread, so state is shared through `Rc` and `RefCell`, and no borrow is
+//! held across an await. The state machines in [`decide`] decide what may be sent, repeated,
+//! batched or trusted.
 
 pub mod border;
 mod crossed;
--- a/crates/forward/src/phase.rs
+++ b/crates/forward/src/phase.rs
@@ -1,14 +1,14 @@
-//! Phases of a node's life, in their order.
+//! Lifecycle phases of a node, in order.
 
-/// How far a node's life has come.
+/// Lifecycle phase of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LifePhase {
-    /// It wants callers.
+    /// The node is available to callers.
     Serving,
-    /// A planned stop has begun; callers may still come.
+    /// A graceful stop has begun; new callers are still served.
     Stopping,
-    /// The balancer brings no caller any more: connections are closed.
+    /// The load balancer no longer sends callers; connections are closed.
     Closing,
-    /// The stop is nearly over: what is still open gets this node's own answer.
+    /// The stop is nearly over; this node itself answers requests that are still open.
     Ending,
 }
--- a/crates/forward/src/reload.rs
+++ b/crates/forward/src/reload.rs
@@ -1,8 +1,8 @@
-//! Reads the settings again, at SIGHUP and whenever the file has changed.
+//! Reloads the settings on SIGHUP and whenever the file changes.
 //!
-//! What can change while the node runs is the budget for repeats, the seeds, the
-//! time for a stop and the store's address. A file that is wrong, or that would
-//! make this another node, changes nothing.
+//! The repeat budget, the seeds, the stop time and the store's address can change while the node
+//! runs. A file that is invalid, or that changes a field which is fixed for the life of the
+//! process, is rejected as a whole.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -15,24 +15,24 @@
 use crate::node::Node;
 use crate::settings::Settings;
 
-/// Time between looks at whether the file has changed.
+/// Interval at which the file is checked for changes.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts to follow the settings file. SIGHUP ends a process that does not.
+/// Starts to watch the settings file. Without a handler SIGHUP would end the process.
 pub fn start(node: &Rc<Node>, path: PathBuf) -> anyhow::Result<()> {
     let mut hangups = signal(SignalKind::hangup()).context("could not wait for SIGHUP")?;
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        let mut known = std::fs::read(&path).ok();
+        let mut last_read = std::fs::read(&path).ok();
         loop {
-            let asked = tokio::select! {
+            let is_requested = tokio::select! {
                 _ = hangups.recv() => true,
                 () = tokio::time::sleep(POLL_INTERVAL) => false,
             };
             let text = std::fs::read(&path).ok();
-            if asked || (text.is_some() && text != known) {
+            if is_requested || (text.is_some() && text != last_read) {
                 reload(&node, &path);
-                known = text;
+                last_read = text;
             }
         }
     });
--- a/crates/forward/src/rules.rs
+++ b/crates/forward/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules in force, indexed for look-ups.
+//! The rules in force, indexed for lookups.
 
 use std::cell::OnceCell;
 use std::collections::HashMap;
@@ -7,10 +7,10 @@
 use model::forward::{Allowed, CallerHead, Route, Rules, Service, Workspace};
 use model::{Name, hash};
 
-/// A set of rules and the indexes over it.
+/// A set of rules with lookup indexes.
 #[derive(Debug, Default)]
 pub struct RuleTable {
-    /// The rules.
+    /// The indexed rules; version 0 if none are known.
     pub rules: Rules,
     routes_by_host: HashMap<String, Vec<usize>>,
     workspaces_by_key: HashMap<String, usize>,
@@ -28,10 +28,10 @@
         for routes in routes_by_host.values_mut() {
             routes.sort_by_key(|i| std::cmp::Reverse(rules.routes[*i].path_prefix.len()));
         }
-        let owned = |(i, w): (usize, &Workspace)| {
+        let keys_of = |(i, w): (usize, &Workspace)| {
             w.keys.iter().map(move |k| (k.clone(), i)).collect::<Vec<_>>()
         };
-        let workspaces_by_key = rules.workspaces.iter().enumerate().flat_map(owned).collect();
+        let workspaces_by_key = rules.workspaces.iter().enumerate().flat_map(keys_of).collect();
         let services = rules.services.iter().enumerate();
         let services_by_name = services.map(|(i, s)| (s.name.clone(), i)).collect();
         RuleTable {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The rules as peers take them, encoded once for all that ask.
+    /// The rules in the encoding that peers receive; encoded once and shared.
     pub fn encoded(&self) -> Bytes {
         let encode = || rmp_serde::to_vec(&self.rules).expect("rules encode").into();
         self.encoded.get_or_init(encode).clone()
@@ -54,45 +54,45 @@
         self.rules.version > 0
     }
 
-    /// The route of a host with the longest prefix that begins the path.
+    /// The route of a host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.routes_by_host.get(host)?.iter().map(|i| &self.rules.routes[*i]);
         routes.into_iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
-    /// The workspace that holds a key.
+    /// The workspace that an API key belongs to.
     pub fn workspace(&self, key: &str) -> Option<&Workspace> {
         self.workspaces_by_key.get(key).map(|i| &self.rules.workspaces[*i])
     }
 
-    /// Regions in which a request may be served. Without a route nothing is ruled out.
+    /// Regions in which a request may be served; without a route, all that its workspace allows.
     pub fn allowed_regions(&self, head: &CallerHead) -> Allowed {
         self.allowed_on_route(self.route(&head.host, &head.path), head)
     }
 
-    /// The same of a request whose route is found: what that allows and the workspace of its
-    /// key does, on an open route too.
+    /// Regions in which a request on a known route may be served: those that both the route and
+    /// the workspace of its key allow, even if the route is open to anonymous callers.
     pub fn allowed_on_route(&self, route: Option<&Route>, head: &CallerHead) -> Allowed {
         let workspace = head.key.as_deref().and_then(|key| self.workspace(key));
-        let of_route = route.map_or(&Allowed::ANY, |r| &r.allowed);
-        let of_workspace = workspace.map_or(&Allowed::ANY, |w| &w.allowed);
-        of_route.and(of_workspace)
+        let by_route = route.map_or(&Allowed::ANY, |r| &r.allowed);
+        let by_workspace = workspace.map_or(&Allowed::ANY, |w| &w.allowed);
+        by_route.and(by_workspace)
     }
 
-    /// Names of routes and workspaces that name regions, and what they allow.
+    /// Routes and workspaces that restrict regions, with the regions that they allow.
     pub fn region_restricted(&self) -> impl Iterator<Item = (&Name, &Allowed)> {
         let routes = self.rules.routes.iter().map(|r| (&r.name, &r.allowed));
         let workspaces = self.rules.workspaces.iter().map(|w| (&w.name, &w.allowed));
         routes.chain(workspaces).filter(|(_, allowed)| !allowed.is_any())
     }
 
-    /// A service.
+    /// The service of a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services_by_name.get(name).map(|i| &self.rules.services[*i])
     }
 }
 
-/// The service that a request goes to: by weight, and always the same for one attempt.
+/// Chooses the service of a request by weight; the same `attempt` id always yields the same one.
 pub fn choose_service<'a>(route: &'a Route, attempt: &str) -> Option<&'a Name> {
     let total: u64 = route.split.iter().map(|s| u64::from(s.weight)).sum();
     if total == 0 {
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of a node.
+//! Start and graceful stop of a node.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -14,17 +14,17 @@
 use crate::settings::Settings;
 use crate::{ingress, peers, reload, watch};
 
-/// Time during which the balancer may still bring callers to a stopping node.
+/// Time for which the load balancer may still send callers to a stopping node.
 const BALANCER_LAG: Duration = Duration::from_millis(2500);
-/// Part of the stop's time kept for the end of the process itself.
+/// Part of the stop time reserved for the exit of the process itself.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
-/// Part of the stop's time before that in which requests that are still open are answered
-/// by this node, so that none of them ends without an answer.
+/// Part of the stop time, before [`STOP_MARGIN`], in which this node itself answers requests that
+/// are still open, so that none ends without an answer.
 const ENDING_PERIOD: Duration = Duration::from_millis(200);
-/// Time between looks at whether all is answered.
+/// Interval at which a stopping node checks whether all requests are answered.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a node on this thread until SIGTERM; `path` is where its settings were read.
+/// Runs a node on this thread until SIGTERM; `path` is the settings file, for reloads.
 pub fn run(settings: Settings, path: PathBuf, dialect: Box<dyn Dialect>) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -45,8 +45,8 @@
     let readiness = ingress::listen(s.readiness)?;
     tokio::task::spawn_local(ingress::serve_readiness(node.clone(), readiness));
     if let Some(address) = s.metrics {
-        let figures = ingress::listen(address)?;
-        tokio::task::spawn_local(ingress::serve_readiness(node.clone(), figures));
+        let metrics = ingress::listen(address)?;
+        tokio::task::spawn_local(ingress::serve_readiness(node.clone(), metrics));
     }
     tokio::task::spawn_local(ingress::serve_callers(node.clone(), callers));
     util::stop::signal().await.context("could not wait for signals")?;
@@ -54,27 +54,28 @@
     Ok(())
 }
 
-/// Unready at once; goes on serving what still comes; ends when all is answered.
+/// Reports unready at once, keeps serving requests that still arrive, and returns when all are
+/// answered or the stop time is over.
 async fn stop(node: &Rc<Node>) {
-    let begun = node.now();
+    let started = node.now();
     Event::Stop { open: node.open_requests() }.emit();
     node.enter_phase(LifePhase::Stopping);
     node.peers.roster(|r| r.stop());
-    // Peers turn to others at once; what they have placed here is still made.
+    // Peers choose other nodes from now on; orders that they have placed here still run.
     node.peers.leave();
     node.feed.wake();
     node.pools.hand_over(node);
-    let most = Duration::from_millis(node.settings().stop_ms).saturating_sub(STOP_MARGIN);
+    let stop_time = Duration::from_millis(node.settings().stop_ms).saturating_sub(STOP_MARGIN);
     loop {
-        let passed = node.now().since(begun);
-        if passed >= BALANCER_LAG {
+        let elapsed = node.now().since(started);
+        if elapsed >= BALANCER_LAG {
             node.enter_phase(LifePhase::Closing);
         }
-        if passed + ENDING_PERIOD >= most {
+        if elapsed + ENDING_PERIOD >= stop_time {
             node.enter_phase(LifePhase::Ending);
         }
-        let answered = node.open_requests() == 0 && node.pools.open() == 0;
-        if passed >= most || (passed >= BALANCER_LAG && answered) {
+        let all_answered = node.open_requests() == 0 && node.pools.open() == 0;
+        if elapsed >= stop_time || (elapsed >= BALANCER_LAG && all_answered) {
             break;
         }
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -1,7 +1,7 @@
-//! One request to one target over a connection of its own.
+//! Sends one request to one target over a new connection.
 //!
-//! A fresh connection makes two things certain: a failure before it is up means
-//! that nothing was sent, and no byte of an earlier answer can be taken for this one.
+//! With a new connection, a failure to connect proves that nothing was sent, and no byte of an
+//! earlier answer can be mistaken for this one.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,25 +20,25 @@
 
 use crate::crossed::{Metered, RegionTraffic};
 
-/// Time to connect; a target that is up answers within a round trip.
+/// Timeout of a connection attempt; a target that is up accepts within a round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Largest head of a target's answer.
+/// Maximum size of the head of a target's answer, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Why no answer head came.
+/// Why no answer head was received.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum SendError {
     /// could not connect to {0}: {1}
     Connect(SocketAddr, io::Error),
-    /// {0} took no connection in time
+    /// connecting to {0} timed out
     ConnectTimeout(SocketAddr),
-    /// connection to {0} broke: {1}
+    /// connection to {0} was lost: {1}
     ConnectionLost(SocketAddr, hyper::Error),
 }
 
 impl SendError {
-    /// Whether nobody listens there. That a connection could not be made may as well be this
-    /// host's fault, which has used up its descriptors, or that of the way.
+    /// Whether the target refused the connection, so that no process listens there. Other connect
+    /// errors may also stem from this host, which has used up its descriptors, or from the network.
     pub fn is_refused(&self) -> bool {
         let SendError::Connect(_, e) = self else {
             return false;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Ends the connection when it goes.
+/// Aborts the connection when dropped.
 pub struct Connection(AbortHandle);
 
 impl Drop for Connection {
@@ -56,15 +56,15 @@
     }
 }
 
-/// A target's answer; its connection lives as long as this does.
+/// A target's answer; dropping it ends its connection.
 pub struct Answer {
-    /// Head and body.
+    /// Head, and body as it arrives.
     pub response: Response<Incoming>,
-    /// The connection.
+    /// Keeps the connection open.
     pub connection: Connection,
 }
 
-/// Sets what makes a dead or cut-off peer show within seconds.
+/// Sets keepalive and user timeout, so that a dead or unreachable peer is detected within seconds.
 pub fn configure_socket(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
     let socket = SockRef::from(socket);
@@ -82,25 +82,25 @@
     }
 }
 
-/// Sends a request over a new connection and waits for the answer's head.
-/// Dropping the future ends the connection.
+/// Sends a request over a new connection and returns when the answer's head has arrived. Dropping
+/// the future closes the connection.
 pub async fn send_over(
     socket: TcpStream,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    crossing: Option<RegionTraffic>,
+    traffic: Option<RegionTraffic>,
 ) -> Result<Answer, SendError> {
     configure_socket(&socket);
-    let broke = |e| SendError::ConnectionLost(address, e);
+    let lost = |e| SendError::ConnectionLost(address, e);
     let handshake = http1::Builder::new()
         .max_buf_size(MAX_HEAD_BYTES)
-        .handshake::<_, Full<Bytes>>(TokioIo::new(Metered::new(socket, crossing)));
-    let (mut sender, connection) = handshake.await.map_err(broke)?;
+        .handshake::<_, Full<Bytes>>(TokioIo::new(Metered::new(socket, traffic)));
+    let (mut sender, connection) = handshake.await.map_err(lost)?;
     let task = tokio::task::spawn_local(async move {
-        // Its errors reach the sender or the body.
+        // Errors are reported by the sender or the body.
         let _ = connection.await;
     });
     let connection = Connection(task.abort_handle());
-    let response = sender.send_request(request).await.map_err(broke)?;
+    let response = sender.send_request(request).await.map_err(lost)?;
     Ok(Answer { response, connection })
 }
