--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -266,7 +266,8 @@
         let took = self.node.now().since(started);
         self.progress(|p| p.stage_time += took);
         let map = self.node.peers.roster(|r| r.map());
-        let input_region = results.as_ref().ok().and_then(RequestResults::inputs_domain).map(|d| map.region_of(d));
+        let input_region =
+            results.as_ref().ok().and_then(RequestResults::inputs_domain).map(|d| map.region_of(d));
         self.progress(|p| p.input_region = input_region);
         results.inspect_err(|e| {
             let is_unserved = self.unserved_service().is_some();
