--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of the node in the OpenMetrics text format.
+//! Metrics of the node, in the OpenMetrics text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,16 +16,16 @@
 use crate::border::ObjectKind;
 use crate::watch::Age;
 
-/// Most names of routes, versions and regions that labels tell apart, further ones are counted
-/// as one; and most series of times, further ones are not told.
+/// Maximum number of distinct label values (routes, services, versions, regions), beyond which all
+/// share [`OVERFLOW_LABEL`], and of time series, beyond which times are not recorded.
 const MAX_SERIES: usize = 64;
-/// Name of what is beyond that.
+/// Label value of all names beyond [`MAX_SERIES`].
 const OVERFLOW_LABEL: &str = "others";
-/// Longest time told apart, in milliseconds.
+/// Maximum recorded time, in milliseconds; longer ones count as this.
 const MAX_TIME_MS: u64 = 120_000;
-/// Significant digits of times.
+/// Significant decimal digits of recorded times.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Quantiles that are told.
+/// Reported quantiles.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -80,7 +80,7 @@
 
 type Times = RefCell<BTreeMap<(&'static str, Name), Histogram<u32>>>;
 
-/// Counters and times of one node.
+/// Metrics of one node.
 pub struct Metrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
@@ -123,34 +123,34 @@
     label_values: RefCell<std::collections::BTreeSet<String>>,
 }
 
-/// Gauges that are read when the figures are asked for.
+/// Values of gauges at the time of a scrape.
 #[derive(Debug, Clone, Copy)]
 pub struct Gauges<'a> {
-    /// Requests that are open.
+    /// Open requests.
     pub open: usize,
-    /// Stage orders that are open at the coordinators of this node.
+    /// Open stage orders at the batch coordinators of this node.
     pub orders: usize,
     /// Version of the rules in force.
     pub rules: u64,
-    /// Routes and workspaces that allow no region in which a failure domain lies.
+    /// Routes and workspaces that allow no region with a failure domain.
     pub unserved: usize,
     /// Nodes up, this one included.
     pub peers: usize,
-    /// Targets known.
+    /// Known targets.
     pub targets: usize,
-    /// Targets whose entries cannot be read.
+    /// Targets whose entries could not be parsed.
     pub targets_unreadable: usize,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains.
     pub evacuated: usize,
-    /// Targets whose entries say that they are cold.
+    /// Targets that are cold according to their entries.
     pub cold: usize,
-    /// Requests that are held back.
+    /// Held requests.
     pub quarantined: usize,
     /// Targets that name a limit.
     pub limited: usize,
-    /// Services that move to another version, that version, and its share of the requests.
+    /// Running rollouts: service, trial version and its share of the requests.
     pub rollouts: &'a [(Name, Name, f64)],
-    /// Ages of what is known, by kind; `None` if nothing is.
+    /// Age of the known state, by kind; `None` if nothing is known.
     pub ages: [(ObjectKind, Option<Age>); ObjectKind::AGE_TRACKED.len()],
 }
 
@@ -289,7 +289,7 @@
         registry.register("known_age_longest", help, self.longest_known_ages.clone());
     }
 
-    /// A request got its final answer.
+    /// Counts a final answer to a request.
     pub fn count_answer(&self, route: &str, outcome: &str, status: u16) {
         let labels = RequestLabels {
             route: self.bounded_label(route),
@@ -299,7 +299,7 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Something took this long: a request, its first event (its end if it had none), a stage.
+    /// Records the time of a request, to its first event (or its end without one), or of a stage.
     pub fn record_time(&self, kind: &'static str, name: &Name, ms: u64) {
         let mut times = self.times.borrow_mut();
         if times.len() >= MAX_SERIES && !times.contains_key(&(kind, name.clone())) {
@@ -311,91 +311,92 @@
         times.saturating_record(ms.min(MAX_TIME_MS));
     }
 
-    /// A batch call of a service ended, whatever it brought.
+    /// Counts a completed batch call of a service, whatever its outcome.
     pub fn count_batch(&self, service: &Name, pieces: usize) {
         let labels = NameLabel { name: service.to_string() };
         self.batch_calls.get_or_create(&labels).inc();
         self.batch_pieces.get_or_create(&labels).inc_by(pieces as u64);
     }
 
-    /// The store was called.
+    /// Counts a call to the store.
     pub fn count_store_call(&self, what: &str) {
         self.store_calls.get_or_create(&NameLabel { name: what.to_string() }).inc();
     }
 
-    /// So many entries of a kind could not be read when this node last asked the store for it.
+    /// Sets the number of entries of a kind that could not be parsed at the last read of the store.
     pub fn set_unreadable(&self, kind: &str, count: usize) {
         self.unreadable_entries
             .get_or_create(&NameLabel { name: kind.to_string() })
             .set(count as i64);
     }
 
-    /// An answer came that says this of its target's load.
-    pub fn count_load(&self, said: ReportedLoad) {
-        match said {
+    /// Counts an answer by whether it reports its target's load and the report could be parsed.
+    pub fn count_load(&self, load: ReportedLoad) {
+        match load {
             ReportedLoad::None => {}
             ReportedLoad::Load(_) => _ = self.loads_told.inc(),
             ReportedLoad::Unreadable => _ = self.loads_unreadable.inc(),
         }
     }
 
-    /// A request was sent to a further target.
+    /// Counts a send of a request to a further target.
     pub fn count_repeat(&self, service: &Name) {
         self.repeats.get_or_create(&NameLabel { name: service.to_string() }).inc();
     }
 
-    /// A request was refused since no target is in a region that is allowed.
+    /// Counts a request that was refused because no target is in an allowed region.
     pub fn count_region_refusal(&self, route: &str) {
         self.refused_for_region.get_or_create(&NameLabel { name: self.bounded_label(route) }).inc();
     }
 
-    /// A request was refused for a stage: at the door, or since it could not be made.
+    /// Counts a request that was refused for a stage: at admission, or because the stage failed.
     pub fn count_stage_refusal(&self, service: &str, cause: &'static str) {
         let labels = RefusalLabels { service: self.bounded_label(service), cause };
         self.stage_refusals.get_or_create(&labels).inc();
     }
 
-    /// A target of a service ended under requests of this node.
+    /// Counts a target that crashed while it ran requests of this node.
     pub fn count_crash(&self, service: &str) {
         self.targets_ended.get_or_create(&NameLabel { name: self.bounded_label(service) }).inc();
     }
 
-    /// A request, or a call, went to a target of a service that names a limit.
+    /// Counts a request or call to a target that has named a limit.
     pub fn sent_at_limit(&self, service: &str) {
         self.sent_at_limit.get_or_create(&NameLabel { name: self.bounded_label(service) }).inc();
     }
 
-    /// A request, or a call, went to a target of a service although it had said not to.
+    /// Counts a request or call to a target that is draining or has asked for backoff.
     pub fn sent_against_notice(&self, service: &str, notice: &'static str) {
         let labels = NoticeLabels { service: self.bounded_label(service), notice };
         self.sent_against_notice.get_or_create(&labels).inc();
     }
 
-    /// A request was refused since all its targets were at the limits that they name.
+    /// Counts a request that was refused because all its targets were at the limits they had named.
     pub fn refused_at_limit(&self, route: &str) {
         self.refused_at_limit.get_or_create(&NameLabel { name: self.bounded_label(route) }).inc();
     }
 
-    /// A request was held back.
+    /// Counts a refusal, or a send that was not made, of a held request.
     pub fn count_quarantine_refusal(&self, route: &str) {
         self.quarantine_refusals
             .get_or_create(&NameLabel { name: self.bounded_label(route) })
             .inc();
     }
 
-    /// Requests, or pieces of a call, went to a version of a service that moves to another one.
+    /// Counts requests, or pieces of a call, sent to a version of a service during a rollout.
     pub fn rollout_sent(&self, service: &Name, version: &Name, count: usize) {
         let labels = self.version_labels(service, version);
         self.rollout_requests.get_or_create(&labels).inc_by(count as u64);
     }
 
-    /// They were failures of the version.
+    /// Counts failures of the version; a call with failed pieces counts as that many.
     pub fn rollout_bad(&self, service: &Name, version: &Name, count: usize) {
         let labels = self.version_labels(service, version);
         self.rollout_bad.get_or_create(&labels).inc_by(count as u64);
     }
 
-    /// A request, or a call, was answered well by the version after this time.
+    /// Counts an answer of the version to a request or call, also one with some failed pieces, and
+    /// adds the time that it took.
     pub fn rollout_good(&self, service: &Name, version: &Name, took: Duration) {
         let labels = self.version_labels(service, version);
         self.rollout_answers.get_or_create(&labels).inc();
@@ -406,13 +407,13 @@
         VersionLabels { service: self.bounded_label(service), version: self.bounded_label(version) }
     }
 
-    /// A stage order was passed on to another region.
+    /// Counts a stage order that was spilled to another region.
     pub fn spilled(&self, from: &str, to: &str) {
         let labels = RegionLabels { from: self.bounded_label(from), to: self.bounded_label(to) };
         self.spilled_orders.get_or_create(&labels).inc();
     }
 
-    /// Bytes of a kind of message from one region to another.
+    /// Counter of the bytes of a kind of message from one region to another.
     pub fn crossed_bytes(&self, kind: &'static str, from: &str, to: &str) -> Counter {
         let labels =
             TrafficLabels { kind, from: self.bounded_label(from), to: self.bounded_label(to) };
@@ -437,7 +438,7 @@
         name.to_string()
     }
 
-    /// The figures as text.
+    /// All metrics as text, with the given values of the gauges.
     pub fn render(&self, now: Gauges<'_>) -> String {
         self.open_requests.set(now.open as i64);
         self.open_orders.set(now.orders as i64);
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that the tasks of a node share.
+//! State shared by the tasks of a node.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -30,38 +30,38 @@
 use crate::stages::Pools;
 use crate::watch::Feed;
 
-/// Names of routes, workspaces or regions in one log line, at most.
+/// Maximum number of route, workspace or region names in one log line.
 const MAX_LOGGED_NAMES: usize = 16;
-/// Time after which a node that heard of no peer takes it that it is alone.
+/// Time after which a node that has found no peer assumes that it is the only one.
 const PEER_WAIT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time between looks at whether rules and targets are known.
+/// Interval at which waiting requests check whether the initial state is known.
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time between looks at whether the store answers again.
+/// Interval at which tasks check whether the store answers again.
 const STORE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// State that the tasks of a node share.
+/// State shared by the tasks of a node.
 pub struct Node {
-    /// Translator at the border.
+    /// Translator of the platform's messages.
     pub dialect: Box<dyn Dialect>,
-    /// Steady clock.
+    /// Monotonic clock that also counts suspension.
     pub clock: Clock,
-    /// Client for peers and the store.
+    /// HTTP client for peers and the store.
     pub client: Client,
-    /// Counters and times.
+    /// Metrics that this node reports.
     pub metrics: Metrics,
-    /// Peers and the coordinators among them.
+    /// Known peers, and the batch coordinators among them.
     pub peers: Peers,
-    /// Coordinators of stage services at this node.
+    /// Batch coordinators that run on this node.
     pub pools: Pools,
-    /// Schedulers of prompts at this node.
+    /// Prompt schedulers that run on this node.
     pub schedulers: Schedulers,
-    /// Requests under which targets ended.
+    /// Requests under which targets crashed.
     pub quarantine: LocalQuarantine,
     /// Limits that targets name.
     pub limits: LocalLimits,
-    /// Versions on trial: what was seen of them, and their judging.
+    /// Observations and judgements of trial versions.
     pub rollouts: LocalRollouts,
-    /// The targets' state, for peers that follow it.
+    /// Target state, relayed to peers that follow this node.
     pub feed: Feed,
     settings: RefCell<Rc<Settings>>,
     table: RefCell<Rc<RuleTable>>,
@@ -71,7 +71,7 @@
     rng: RefCell<Rng>,
     outage_grace: RefCell<OutageGrace>,
     targets_known: Cell<bool>,
-    /// Latest epoch of the store that was heard of.
+    /// Latest known epoch of the store.
     epoch: Cell<Option<u64>>,
     version: watch::Sender<u64>,
     phase: watch::Sender<LifePhase>,
@@ -79,7 +79,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// A node without rules, targets or peers.
     pub fn new(settings: Settings, dialect: Box<dyn Dialect>) -> Self {
         let regions = Regions::new(settings.regions.clone());
         let mut fleet = Fleet::default();
@@ -116,17 +116,17 @@
         }
     }
 
-    /// Time on the steady clock.
+    /// Time since the start of the node.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// The settings as they are now.
+    /// Current settings; a reload replaces them.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// Takes settings that were read again.
+    /// Applies reloaded settings.
     pub fn set_settings(&self, settings: Settings) {
         let tuning = settings.repeats.tuning();
         self.budgets.borrow_mut().values_mut().for_each(|b| b.set_tuning(tuning));
@@ -139,7 +139,7 @@
         self.table.borrow().clone()
     }
 
-    /// Puts rules in force if they are newer; returns whether they were.
+    /// Puts rules in force if they are newer than the current ones; returns whether they are.
     pub fn adopt_rules(&self, rules: Rules, from: &str) -> bool {
         if rules.version <= self.table.borrow().rules.version {
             return false;
@@ -153,17 +153,18 @@
         true
     }
 
-    /// Routes and workspaces that are served nowhere: no failure domain lies in a region that
-    /// they allow.
+    /// Routes and workspaces that cannot be served: no failure domain is in a region that they
+    /// allow.
     fn unserved_names(&self) -> Vec<Name> {
         let fleet = self.fleet.borrow();
         let table = self.table.borrow();
-        let lost =
+        let unserved =
             table.region_restricted().filter(|(_, allowed)| !fleet.regions().any_allowed(allowed));
-        lost.map(|(name, _)| name.clone()).collect()
+        unserved.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Tells, once for a set of rules, which regions that they name are not known.
+    /// Logs, once per set of rules, routes and workspaces that cannot be served, and regions that
+    /// the rules name but no failure domain is in.
     fn log_unserved(&self) {
         let names = self.unserved_names();
         let unknown: BTreeSet<Name> = {
@@ -181,77 +182,77 @@
         Event::Unserved { version, count: names.len(), names: first, unknown: &unknown }.emit();
     }
 
-    /// Tells the version of the rules whenever it rises.
+    /// Receives the version of the rules whenever new ones come into force.
     pub fn subscribe_version(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// What cold targets of a service bear, if less than others.
+    /// Limit on requests to cold targets of a service; `None` if they are treated like others.
     pub fn cold_limit(&self, service: &str) -> Option<ColdLimit> {
         let cold = self.table.borrow().service(service)?.cold?;
         ColdLimit::of(&cold, self.settings.borrow().cold.bounds())
     }
 
-    /// Uses the fleet for a moment.
+    /// Calls `f` with the fleet, which stays borrowed until it returns.
     pub fn fleet<T>(&self, f: impl FnOnce(&mut Fleet) -> T) -> T {
         f(&mut self.fleet.borrow_mut())
     }
 
-    /// A coordinator told what the next orders in a queue would wait.
+    /// Records the waits that a batch coordinator announced for the next orders in a queue.
     pub fn record_waits(&self, queue: QueueId, waits: Waits) {
         let now = self.now();
         self.forecast.borrow_mut().record(queue, waits, now);
     }
 
-    /// A target of a service came, or tells something new of itself.
+    /// Notes that a target of a service was added or its entry changed.
     pub fn worker_added(&self, service: &Name) {
         self.forecast.borrow_mut().worker_added(service);
     }
 
-    /// Uses the forecast for a moment.
+    /// Calls `f` with the queueing forecast, which stays borrowed until it returns.
     pub fn forecast<T>(&self, f: impl FnOnce(&Forecast) -> T) -> T {
         f(&self.forecast.borrow())
     }
 
-    /// Uses the random generator for a moment.
+    /// Calls `f` with the random generator, which stays borrowed until it returns.
     pub fn rng<T>(&self, f: impl FnOnce(&mut Rng) -> T) -> T {
         f(&mut self.rng.borrow_mut())
     }
 
-    /// Tells the fleet what a send brought.
-    pub fn observe(&self, target: &TargetId, what: Observation, why: &str) {
+    /// Records the outcome of a send; failures only if ejection is enabled.
+    pub fn observe(&self, target: &TargetId, observation: Observation, why: &str) {
         let now = self.now();
-        let answered = matches!(what, Observation::Answered(_));
+        let answered = matches!(observation, Observation::Answered(_));
         if !answered && !self.settings().policy.ejection {
             return;
         }
-        if self.fleet(|f| f.observe(target, what, now)) {
+        if self.fleet(|f| f.observe(target, observation, now)) {
             Event::Ejected { target: &target.name, why }.emit();
         }
     }
 
-    /// Takes what an answer says of its target's load.
-    pub fn record_load(&self, target: &Target, said: ReportedLoad) {
-        self.metrics.count_load(said);
+    /// Records the load that a target reported in an answer.
+    pub fn record_load(&self, target: &Target, load: ReportedLoad) {
+        self.metrics.count_load(load);
         let now = self.now();
-        if self.fleet(|f| f.record_load(&target.id, said, now)) {
+        if self.fleet(|f| f.record_load(&target.id, load, now)) {
             Event::BadLoad { target: &target.id.name, service: &target.service }.emit();
         }
     }
 
-    /// Counts a first send to a service.
+    /// Counts the first send of a request to a service, which the repeat budget is based on.
     pub fn count_request(&self, service: &Name) {
         let now = self.now();
         self.budget(service, |b| b.record_request(now));
     }
 
-    /// Whether a repeat for a service would be granted now.
+    /// Whether the repeat budget of a service currently permits a repeat.
     pub fn permits_repeat(&self, service: &Name) -> bool {
         let (now, nodes) = (self.now(), self.peers.roster(|r| r.max_seen()));
         self.budget(service, |b| b.permits(now, nodes))
     }
 
-    /// Takes a repeat for a service out of this node's part of the budget.
+    /// Takes one repeat from this node's share of the service's repeat budget, if permitted.
     pub fn take_repeat(&self, service: &Name) -> bool {
         let (now, nodes) = (self.now(), self.peers.roster(|r| r.max_seen()));
         let granted = self.budget(service, |b| b.take(now, nodes));
@@ -272,8 +273,8 @@
         f(budgets.entry(service.clone()).or_insert_with(fresh))
     }
 
-    /// The store, or a peer, told an epoch of the store. A later one than was known means that the
-    /// store came back from an older copy meanwhile.
+    /// Records an epoch of the store, received from the store or a peer. An epoch later than the
+    /// known one means that the store was restored from an older copy in the meantime.
     pub fn observe_epoch(&self, epoch: u64, from: &str) {
         let before = self.epoch.get();
         if before.is_some_and(|before| epoch <= before) {
@@ -289,42 +290,42 @@
         }
     }
 
-    /// Whether what is of an epoch, if it tells one, is of the latest that was heard of.
+    /// Whether data is of the latest known epoch; data that names no epoch counts as such.
     pub fn is_current_epoch(&self, epoch: Option<u64>) -> bool {
         epoch.is_none() || epoch >= self.epoch.get()
     }
 
-    /// The store answered.
+    /// Records that the store answered a call.
     pub fn store_answered(&self) {
         let now = self.now();
         self.outage_grace(|d| d.store_answered(now));
     }
 
-    /// Returns once the store answers this node, as far as the last call of any kind tells.
+    /// Waits until the store answers this node, judged by the last call of any kind.
     pub async fn wait_for_store(&self) {
         while self.outage_grace(|d| d.is_store_down()) {
             tokio::time::sleep(STORE_POLL_INTERVAL).await;
         }
     }
 
-    /// The store did not answer.
+    /// Records that a call to the store got no answer.
     pub fn store_failed(&self) {
         self.outage_grace(OutageGrace::store_failed);
     }
 
-    /// Uses what is known of outages of the store for a moment.
+    /// Calls `f` with the record of store outages, which stays borrowed until it returns.
     pub fn outage_grace<T>(&self, f: impl FnOnce(&mut OutageGrace) -> T) -> T {
         f(&mut self.outage_grace.borrow_mut())
     }
 
-    /// Milliseconds since the store last confirmed the targets; since the start if it never did.
+    /// Milliseconds since the store last confirmed the targets, or else since the node started.
     pub fn targets_age_ms(&self) -> u64 {
         let now = self.now();
         let age = self.feed.age_of(ObjectKind::Targets, now).map(|age| age.now);
         age.unwrap_or(now.since(Time::ZERO)).as_millis() as u64
     }
 
-    /// The node's figures as text.
+    /// Current metrics in the OpenMetrics text format.
     pub fn metrics_text(&self) -> String {
         self.metrics.render(Gauges {
             open: self.open_requests(),
@@ -343,7 +344,7 @@
         })
     }
 
-    /// Orders that run, and the share of requests that each version on trial gets.
+    /// Running rollouts: service, trial version and its share of the requests.
     fn running_rollouts(&self) -> Vec<(Name, Name, f64)> {
         let fleet = self.fleet.borrow();
         let versions = fleet.versions();
@@ -353,24 +354,24 @@
         versions.running().map(line).collect()
     }
 
-    /// Whether the rules may be older than the store's: it did not confirm them for long.
+    /// Whether the rules may be stale: the store has not confirmed them for longer than `within`.
     pub fn rules_may_be_stale(&self, within: Duration) -> bool {
         self.feed.age_of(ObjectKind::Rules, self.now()).is_none_or(|age| age.now > within)
     }
 
-    /// The targets have been read once.
+    /// Notes that the list of targets has been received at least once.
     pub fn mark_targets_known(&self) {
         self.targets_known.set(true);
     }
 
-    /// Whether rules, targets, evacuations and orders of roll-outs are known.
+    /// Whether rules, targets, evacuations and rollouts are known.
     fn knows_state(&self) -> bool {
         let fleet = self.fleet.borrow();
         let knows_lists = fleet.evacuated().is_known() && fleet.versions().is_known();
         self.table.borrow().is_known() && self.targets_known.get() && knows_lists
     }
 
-    /// Returns once rules and targets are known, or are not to be waited for.
+    /// Waits until the initial state is known, but no longer than a starting node may.
     pub async fn wait_for_state(&self) {
         let limit = self.now() + relay::startup_wait(self.now().since(Time::ZERO));
         while !self.knows_state() && self.now() < limit {
@@ -378,25 +379,25 @@
         }
     }
 
-    /// Whether this node wants callers.
+    /// Whether this node is ready for callers.
     pub fn is_ready(&self) -> bool {
         let knows_peers = self.peers.roster(|r| r.count()) > 1
             || self.now().since(Time::ZERO) >= PEER_WAIT_TIMEOUT;
         self.knows_state() && knows_peers && !self.is_stopping()
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful stop has begun.
     pub fn is_stopping(&self) -> bool {
         *self.phase.borrow() >= LifePhase::Stopping
     }
 
-    /// Returns once the node's life has come this far.
+    /// Waits until the node is in this phase or a later one.
     pub async fn wait_for_phase(&self, phase: LifePhase) {
         let mut phases = self.phase.subscribe();
         let _ = phases.wait_for(|p| *p >= phase).await;
     }
 
-    /// Goes on to a phase, if it was not reached before.
+    /// Advances to a phase; has no effect if the node is in it or in a later one.
     pub fn enter_phase(&self, phase: LifePhase) {
         self.phase.send_if_modified(|p| {
             let later = phase > *p;
@@ -405,19 +406,19 @@
         });
     }
 
-    /// Requests that are open.
+    /// Number of requests without a complete answer.
     pub fn open_requests(&self) -> usize {
         self.open.get()
     }
 
-    /// Counts a request as open until the guard goes.
+    /// Counts a request as open until the guard is dropped.
     pub fn track_request(self: &Rc<Self>) -> OpenGuard {
         self.open.set(self.open.get() + 1);
         OpenGuard(self.clone())
     }
 }
 
-/// Counts one open request.
+/// Counts one open request while it lives.
 pub struct OpenGuard(Rc<Node>);
 
 impl Drop for OpenGuard {
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -11,82 +11,83 @@
 use serde::Deserialize;
 use util::settings::{BadValue, Check, Logs};
 
-/// Share of a core of a host that bears no work for others first.
+/// CPU share, in cores, of the smallest hosts, the last to get work for other nodes.
 const MIN_CPU_SHARE: f64 = 0.125;
-/// Bandwidth of such a host, in Mbit/s.
+/// Bandwidth of the smallest hosts, in Mbit/s.
 const MIN_LINK_MBPS: f64 = 10.0;
 
 /// Settings file of `pumicevale-node`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the node.
+    /// Name of the node, as peers and log lines show it.
     pub name: Name,
-    /// Failure domain.
+    /// Failure domain that the host is in.
     pub domain: Name,
     /// Address at which peers reach the host.
     pub address: IpAddr,
-    /// Address at which the node listens for peers, where a forwarder stands before it;
-    /// otherwise `address`.
+    /// Address on which the node listens for peers, if traffic to `address` is forwarded to it;
+    /// default `address`.
     #[serde(default)]
     pub bind: Option<IpAddr>,
-    /// Where callers connect.
+    /// Address on which the node listens for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks for readiness.
+    /// Address on which the load balancer checks readiness; also serves metrics.
     pub readiness: SocketAddr,
-    /// Where figures are told, besides at `readiness`.
+    /// Additional address that serves metrics.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Port, TCP and UDP, that every node keeps for its peers.
+    /// TCP and UDP port for peers, the same on every node.
     pub peer_port: u16,
-    /// Addresses of some nodes; only the hosts are used.
+    /// Addresses of some nodes, to join through; their ports are ignored.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The store that holds rules and targets.
+    /// Address of the store that holds rules and targets.
     pub store: SocketAddr,
-    /// Milliseconds within which a stop must be over.
+    /// Maximum duration of a graceful stop, in milliseconds.
     pub stop_ms: u64,
-    /// Repeats of requests.
+    /// Repeat budget.
     pub repeats: Repeats,
-    /// Whether operators evacuate failure domains through the store. Then nothing is sent
-    /// before the node knows which.
+    /// Whether operators evacuate failure domains through the store. If so, the node sends no
+    /// requests until it knows the evacuated domains.
     #[serde(default)]
     pub evacuations: bool,
-    /// What cold targets may get beyond what they bear.
+    /// Requests that cold targets may get beyond their rate.
     #[serde(default)]
     pub cold: Cold,
-    /// Region of each failure domain. Where none is named all lie in one, and requests that
-    /// name regions are served nowhere.
+    /// Region of each failure domain. If empty, all are in one region without a name, and requests
+    /// that are restricted to regions cannot be served.
     #[serde(default)]
     pub regions: BTreeMap<Name, Name>,
-    /// Whether operators roll versions of services out through the store, and within which
-    /// bounds. Then nothing is sent before the node knows of all orders.
+    /// Bounds of rollouts, if operators roll out versions of services through the store. If set,
+    /// the node sends no requests until it knows all rollouts.
     #[serde(default)]
     pub rollouts: Option<Rollouts>,
-    /// What the host gives the process.
+    /// Resources of the host that the process may use.
     #[serde(default)]
     pub host: Host,
-    /// Whether all nodes start for the first time, together.
+    /// Whether all nodes start together for the first time, so that no earlier process has used
+    /// the repeat budget.
     #[serde(default)]
     pub first_start: bool,
-    /// Connections held by one process, callers' and targets' together.
+    /// Number of connections, of callers and to targets together, that the process can hold.
     #[serde(default = "descriptors")]
     pub descriptors: usize,
-    /// Mechanisms that are on.
+    /// Mechanisms that are enabled.
     #[serde(default)]
     pub policy: Policy,
-    /// Logging.
+    /// Log level and format.
     #[serde(default)]
     pub logs: Logs,
 }
 
-/// What the host gives the process.
+/// Resources of the host that the process may use.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
-    /// Share of a core.
+    /// CPU share, in cores.
     pub cpu_share: f64,
-    /// Bandwidth of its link, in Mbit/s.
+    /// Bandwidth of the link, in Mbit/s.
     pub link_mbps: f64,
 }
 
@@ -97,34 +98,35 @@
 }
 
 impl Host {
-    /// How much work for other nodes it can bear, as powers of two of the smallest hosts.
+    /// Capacity for work on behalf of other nodes: binary logarithm of the ratio to the smallest
+    /// hosts.
     pub fn capacity(&self) -> u8 {
-        let processor = self.cpu_share / MIN_CPU_SHARE;
+        let cpu = self.cpu_share / MIN_CPU_SHARE;
         let link = self.link_mbps / MIN_LINK_MBPS;
-        processor.min(link).max(1.0).log2() as u8
+        cpu.min(link).max(1.0).log2() as u8
     }
 }
 
-/// The budget that all nodes share for repeats of one service.
+/// Repeat budget of one service, shared by all nodes.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Repeats {
-    /// Repeats for each request.
+    /// Repeats allowed per request, from 0 to 1.
     pub ratio: f64,
-    /// Window, in seconds.
+    /// Length of the sliding window, in seconds.
     pub window_s: f64,
-    /// Repeats that all nodes together may add.
+    /// Additional repeats that all nodes together may send in a window.
     pub slack: f64,
 }
 
-/// What cold targets of a service may get, all nodes together, beyond the requests a second
-/// that its rules say they bear.
+/// Requests that cold targets of a service may get from all nodes together, beyond the rate in its
+/// rules.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cold {
-    /// Factor.
+    /// Multiplier of the rate.
     pub overrun: f64,
-    /// Requests in a second on top.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
@@ -136,21 +138,21 @@
 }
 
 impl Cold {
-    /// As the limits of services take it.
+    /// The same bounds in the type that [`decide`] takes.
     pub fn bounds(&self) -> ColdBounds {
         ColdBounds { overrun: self.overrun, slack: self.slack }
     }
 }
 
-/// Bounds on what a version on trial gets before it is known to be good.
+/// Bounds on the requests that a trial version gets before it has proved good.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollouts {
-    /// Share of the requests to its service, over all nodes and the order's whole time.
+    /// Maximum share of the requests to its service, over all nodes and the whole rollout.
     pub share: f64,
-    /// Requests on top.
+    /// Additional requests beyond the share.
     pub slack: f64,
-    /// Milliseconds after which a version that proved bad gets nothing more.
+    /// Milliseconds after which a version that has proved bad gets no more requests.
     pub back_ms: u64,
 }
 
@@ -159,7 +161,7 @@
 }
 
 impl Repeats {
-    /// As the budget machine takes it.
+    /// The same budget in the type that [`decide`] takes.
     pub fn tuning(&self) -> BudgetTuning {
         BudgetTuning {
             ratio: self.ratio,
@@ -170,17 +172,17 @@
 }
 
 impl Settings {
-    /// Where peers reach this node, UDP and TCP.
+    /// UDP and TCP address at which peers reach this node.
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.address, self.peer_port)
     }
 
-    /// Where this node listens for peers, UDP and TCP.
+    /// UDP and TCP address on which this node listens for peers.
     pub fn bind_address(&self) -> SocketAddr {
         SocketAddr::new(self.bind.unwrap_or(self.address), self.peer_port)
     }
 
-    /// The first field that cannot change while a node runs, and does.
+    /// First field that differs from the running settings although it is fixed while a node runs.
     pub fn changed_fixed_field(&self, running: &Settings) -> Option<&'static str> {
         let fields = [
             ("name", self.name == running.name),
@@ -198,7 +200,7 @@
         fields.into_iter().find(|(_, same)| !same).map(|(field, _)| field)
     }
 
-    /// Where the seeds are reached.
+    /// Peer addresses of the seeds, without this node's own.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let hosts = self.seeds.iter().map(|s| SocketAddr::new(s.ip(), self.peer_port));
         hosts.filter(|s| s.ip() != self.address).collect()
@@ -220,7 +222,7 @@
             return Err(BadValue::new("repeats.ratio", "is not within 0 to 1"));
         }
         if !self.repeats.window_s.is_finite() || self.repeats.window_s <= 0.0 {
-            return Err(BadValue::new("repeats.window_s", "is not a time above 0"));
+            return Err(BadValue::new("repeats.window_s", "is not a positive number of seconds"));
         }
         if !self.repeats.slack.is_finite() || self.repeats.slack < 0.0 {
             return Err(BadValue::new("repeats.slack", "is below 0"));
--- a/crates/forward/tests/settings.rs
+++ b/crates/forward/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: what is on by default, and errors that name the place.
+//! Node settings: mechanisms are on by default, and errors name the field and line.
 
 use std::path::Path;
 
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn every_mechanism_is_on_unless_its_name_says_otherwise() {
+fn mechanisms_are_on_by_default() {
     assert_eq!(policy(""), Ok(Policy::default()));
     let off = Policy { pooling: false, early_free: false, ..Policy::default() };
     assert_eq!(policy("policy: { pooling: false, early_free: false }"), Ok(off));
 }
 
 #[test]
-fn a_mechanism_that_does_not_exist_is_named_with_its_line() {
+fn unknown_mechanism_is_reported_with_its_line() {
     let error = policy("policy: { poling: false }").expect_err("no such mechanism");
     assert!(error.contains("poling") && error.contains("11"), "{error}");
 }
