--- a/crates/bench/src/cmd/overhead.rs
+++ b/crates/bench/src/cmd/overhead.rs
@@ -32,7 +32,7 @@
 impl Overhead {
     /// Bare and through the entry node in turn, so that both see the same machine.
     pub async fn run(self) -> anyhow::Result<()> {
-        let (_stopper, stop) = stop::pair();
+        let (_stopper, stop) = stop::channel();
         let mut targets = Vec::new();
         for i in 0..STEPS {
             let spec = TargetSpec {
--- a/crates/bench/src/experiment/cell.rs
+++ b/crates/bench/src/experiment/cell.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
 use model::answer::Answer;
-use model::outcome::{Final, Outcome};
+use model::outcome::{Outcome, RequestReport};
 use tokio::time::Instant;
 use util::http::Client;
 
@@ -161,7 +161,7 @@
         let bytes = body.to_bytes();
         let end = serde_json::from_slice::<Answer>(&bytes)
             .map(|a| a.end)
-            .or_else(|_| serde_json::from_slice::<Final>(&bytes));
+            .or_else(|_| serde_json::from_slice::<RequestReport>(&bytes));
         if let Ok(end) = end {
             done.outcome = Some(end.outcome);
             done.timely = end.timely;
--- a/crates/bench/src/experiment/fleet.rs
+++ b/crates/bench/src/experiment/fleet.rs
@@ -7,7 +7,7 @@
 
 use decide::config::Change;
 use model::Name;
-use model::load::TargetNews;
+use model::load::TargetStatus;
 use model::object::{Model, Pipeline, Pool, Priority, Role, Spec, Stage, Target, Workspace};
 use standin::engine::EngineSpec;
 use standin::faults::TargetFaults;
@@ -51,7 +51,7 @@
 impl Fleet {
     /// Starts everything cold.
     pub async fn start(plan: &Plan, cell: &Cell, policy: &PolicyPlan) -> anyhow::Result<Fleet> {
-        let (stopper, stop) = stop::pair();
+        let (stopper, stop) = stop::channel();
         let mut tasks = Vec::new();
         let mut change = Change { number: 1, upserts: Vec::new(), removed: Vec::new() };
         let mut servers: Vec<Vec<Arc<TargetServer>>> = Vec::new();
@@ -96,7 +96,7 @@
             for t in self.engines.iter().chain(&self.encoders) {
                 let mut report = t.report().await;
                 report.seq = seq;
-                let news = TargetNews { report, seq, ready: true, polled: true };
+                let news = TargetStatus { report, seq, ready: true, polled: true };
                 for e in &self.entries {
                     e.fleet().hear(e.now(), &news);
                 }
--- a/crates/bench/src/experiment/plan.rs
+++ b/crates/bench/src/experiment/plan.rs
@@ -158,7 +158,7 @@
     pub fn id(&self) -> String {
         let fixed = Plan { policies: Vec::new(), ..self.clone() };
         let text = format!("{fixed:?}");
-        format!("{}-{:08x}", self.name, model::hash::of(text.as_bytes()) as u32)
+        format!("{}-{:08x}", self.name, model::hash::hash64(text.as_bytes()) as u32)
     }
 }
 
--- a/crates/bench/src/slopes/claims.rs
+++ b/crates/bench/src/slopes/claims.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use decide::claim::{Action, Committer, Event, ReadOutcome, WriteOutcome};
-use model::claim::{ClaimAsk, Claims};
+use model::claim::{ClaimRequest, Claims};
 use model::key::Key;
 use model::{Name, Time};
 
@@ -61,7 +61,7 @@
         let at = Time(i * 1_000_000 / rate);
         let unix_ms = UNIX_MS + at.0 / 1000;
         let key = Key::new(unix_ms, u128::from(i) * 0x9e37_79b9_7f4a_7c15);
-        let ask = ClaimAsk { key, request: format!("hall-a-1-0a1b2c3d-{i}").into() };
+        let ask = ClaimRequest { key, request: format!("hall-a-1-0a1b2c3d-{i}").into() };
         let expires = at + Duration::from_secs(2);
         todo.insert((at, i), Event::Claim { ask, ticket: i, unix_ms, expires });
     }
--- a/crates/cli/src/declare.rs
+++ b/crates/cli/src/declare.rs
@@ -5,9 +5,9 @@
 
 use anyhow::Context;
 use model::Name;
-use model::object::{self, Drain, KINDS, Model, Pipeline, Pool, Set, Spec, Workspace};
+use model::object::{self, Drain, KINDS, Model, ObjectSet, Pipeline, Pool, Spec, Workspace};
 use serde::{Deserialize, de::DeserializeOwned};
-use util::settings::form_error;
+use util::settings::syntax_error;
 
 /// One declared object and where it stands.
 #[derive(Debug, Clone, PartialEq)]
@@ -84,7 +84,7 @@
             continue;
         }
         let head: Head =
-            serde_saphyr::from_str(&part).map_err(|e| form_error(path, skipped, &e))?;
+            serde_saphyr::from_str(&part).map_err(|e| syntax_error(path, skipped, &e))?;
         let (name, spec) = match head.kind.as_str() {
             "Pipeline" => read(path, skipped, &part, Spec::Pipeline as fn(Pipeline) -> Spec)?,
             "Workspace" => read(path, skipped, &part, Spec::Workspace as fn(Workspace) -> Spec)?,
@@ -110,7 +110,7 @@
     make: fn(S) -> Spec,
 ) -> anyhow::Result<(Name, Spec)> {
     let document: Document<S> =
-        serde_saphyr::from_str(part).map_err(|e| form_error(path, skipped, &e))?;
+        serde_saphyr::from_str(part).map_err(|e| syntax_error(path, skipped, &e))?;
     Ok((document.name, make(document.spec)))
 }
 
@@ -130,7 +130,7 @@
 
 /// Checks declarations as a whole set.
 pub fn check(all: &[Declaration]) -> anyhow::Result<()> {
-    let mut set = Set::default();
+    let mut set = ObjectSet::default();
     let mut seen = std::collections::BTreeMap::new();
     for d in all {
         if let Some(first) = seen.insert(d.key(), d) {
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -66,7 +66,7 @@
         match self.store.put(kind, name, expect, value).await {
             Ok(version) => Ok(Put::Done(version)),
             Err(e) if e.kind == ErrorKind::Conflict => self.conflict(kind, name, expect).await,
-            Err(e) if e.is_doubtful() => self.settle(kind, name, expect, nonce, e).await,
+            Err(e) if e.may_be_applied() => self.settle(kind, name, expect, nonce, e).await,
             Err(e) => Err(e).with_context(|| format!("could not write {kind}/{name}")),
         }
     }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -31,7 +31,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn apply_diff_get_and_drain_work_and_a_lost_answer_is_read_back() {
-    let (_stopper, stop) = util::stop::pair();
+    let (_stopper, stop) = util::stop::channel();
     let (at, api, _) = standin::run::start_api("127.0.0.1:0", stop).await.expect("started");
     let store = at.to_string();
     let f = file("good", "kind: Workspace\nname: w\nspec: {deadline: 100}\n");
@@ -68,7 +68,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_write_after_somebody_elses_says_who_changed_what() {
-    let (_stopper, stop) = util::stop::pair();
+    let (_stopper, stop) = util::stop::channel();
     let (at, _, _) = standin::run::start_api("127.0.0.1:0", stop).await.expect("started");
     let remote = cli::Remote::new(&at.to_string()).expect("an address");
     let spec = |host: &str| {
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -12,7 +12,7 @@
 use kameo::message::{Context, Message};
 use model::Name;
 use model::manifest::Delta;
-use model::view::{Chunks, ChunksAsk, DeltaAsk};
+use model::view::{Chunks, ChunksRequest, DeltaRequest};
 
 use crate::membership::{self, Membership};
 use crate::shared::{Accepted, Shared};
@@ -53,10 +53,10 @@
 pub struct Meet(pub ActorRef<Membership>);
 
 /// Asks for what a neighbour at a manifest lacks.
-pub struct GetDelta(pub DeltaAsk);
+pub struct GetDelta(pub DeltaRequest);
 
 /// Asks for chunks.
-pub struct GetChunks(pub ChunksAsk);
+pub struct GetChunks(pub ChunksRequest);
 
 /// Delta as a reply.
 #[derive(kameo::Reply)]
--- a/crates/control/src/domain.rs
+++ b/crates/control/src/domain.rs
@@ -9,7 +9,7 @@
 use hyper::Method;
 use kameo::actor::ActorRef;
 use model::Name;
-use model::load::TargetNews;
+use model::load::TargetStatus;
 use model::order::{Order, Reply};
 use model::status::Fleet;
 use model::store::kind;
@@ -41,7 +41,7 @@
 
 async fn order(shared: &Arc<Shared>, lease: &ActorRef<Lease>, placer: &mut Placer, epoch: u64) {
     let accepted = shared.accepted.load_full();
-    let news: BTreeMap<Name, TargetNews> = {
+    let news: BTreeMap<Name, TargetStatus> = {
         let board = shared.board();
         board.reports().map(|n| (n.report.target.clone(), n.clone())).collect()
     };
@@ -63,7 +63,7 @@
     }
 }
 
-async fn send(shared: &Shared, set: &model::object::Set, order: Order) {
+async fn send(shared: &Shared, set: &model::object::ObjectSet, order: Order) {
     let targets = set.pools.values().flat_map(|p| &p.targets);
     let Some(address) = targets.clone().find(|t| t.name == order.target).map(|t| &t.address) else {
         return;
@@ -97,7 +97,7 @@
         return;
     }
     let name = format!("fleet-{}", shared.settings.domain);
-    let store = shared.store.with(Reason::Status);
+    let store = shared.store.for_reason(Reason::Status);
     let Ok(old) = store.get(kind::STATUS, &name).await else {
         return;
     };
@@ -118,7 +118,7 @@
     if addresses == registry.0 || (!registry.0.is_empty() && now.since(registry.1) < REGISTRY) {
         return;
     }
-    let store = shared.store.with(Reason::Status);
+    let store = shared.store.for_reason(Reason::Status);
     let Ok(old) = store.get(kind::REGISTRY, &shared.settings.domain).await else {
         return;
     };
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -131,7 +131,7 @@
 }
 
 async fn perform(shared: &Shared, name: &str, action: Action) -> Event {
-    let store = shared.store.with(Reason::Lease);
+    let store = shared.store.for_reason(Reason::Lease);
     match action {
         Action::Read => match store.get(kind::LEASE, name).await {
             Ok(s) => {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -10,7 +10,7 @@
 use kameo::actor::{ActorRef, Spawn};
 use model::Name;
 use model::member::{Node, NodeId};
-use store::{Budgeted, HttpHosts, HttpStore};
+use store::{BudgetedStore, HttpHosts, HttpStore};
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -74,7 +74,7 @@
         let http = HttpStore::new(client.clone(), store.clone());
         let shared = Arc::new(Shared {
             clock: Clock::default(),
-            store: Arc::new(Budgeted::new(Box::new(http), settings.store_rate)),
+            store: Arc::new(BudgetedStore::new(Box::new(http), settings.store_rate)),
             hosts: Box::new(HttpHosts::new(client.clone(), store)),
             client,
             members: ArcSwap::default(),
@@ -133,7 +133,7 @@
         let side =
             Side { shared: shared.clone(), config: config.clone(), membership: membership.clone() };
         let address = server.address();
-        let (stopper, stopped) = stop::pair();
+        let (stopper, stopped) = stop::channel();
         let tasks = vec![
             tokio::spawn(server.run(Arc::new(side), stopped)),
             tokio::spawn(relay::watch(shared.clone(), config.clone())),
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -8,7 +8,7 @@
 use decide::member::Event as MemberEvent;
 use hyper::Method;
 use kameo::actor::ActorRef;
-use model::load::Report;
+use model::load::TargetReport;
 use model::{Name, Time};
 
 use crate::membership::{self, Membership};
@@ -46,7 +46,7 @@
 }
 
 async fn poll(shared: Arc<Shared>, membership: ActorRef<Membership>, target: Name, address: Name) {
-    let call = shared.client.json::<(), Report>(&address, Method::GET, "/load", None, WAIT);
+    let call = shared.client.json::<(), TargetReport>(&address, Method::GET, "/load", None, WAIT);
     let result = call.await;
     let rumor = match result {
         Ok(report) if report.target == target => shared.board().record_poll(report),
--- a/crates/control/src/publish.rs
+++ b/crates/control/src/publish.rs
@@ -15,7 +15,7 @@
 use model::object::{Envelope, KINDS, Spec};
 use model::status::Status;
 use model::store::{Listing, Stored, kind};
-use model::view::ChunksAsk;
+use model::view::ChunksRequest;
 use store::{ErrorKind, Reason, Store, StoreError};
 use tokio::sync::{mpsc, watch};
 
@@ -124,7 +124,7 @@
 async fn follow_kind(shared: Arc<Shared>, kind: &'static str, out: mpsc::Sender<Vec<Declared>>) {
     let mut revision = None;
     loop {
-        let store = shared.store.with(Reason::Config);
+        let store = shared.store.for_reason(Reason::Config);
         let listing = match revision {
             None => store.list(kind).await,
             Some(r) => store.watch(kind, r, WATCH).await,
@@ -179,7 +179,7 @@
     let listed: std::collections::BTreeSet<_> = listing.objects.iter().map(|o| &o.name).collect();
     let mut out = Vec::new();
     for name in names.into_iter().filter(|n| !listed.contains(n)) {
-        let stored = shared.store.with(Reason::Config).get(kind, name).await;
+        let stored = shared.store.for_reason(Reason::Config).get(kind, name).await;
         let Some(gone) = stored.ok().filter(|s| s.value.is_none()) else {
             continue;
         };
@@ -209,7 +209,7 @@
             PublisherAction::PutManifest { expect, manifest } => {
                 let nonce = manifest.nonce;
                 let value = serde_json::to_value(&manifest).expect("manifests encode");
-                let store = self.shared.store.with(Reason::Config);
+                let store = self.shared.store.for_reason(Reason::Config);
                 let end = put_end(store.put(kind::MANIFEST, NAME, expect, Some(value)).await);
                 log::info!("publish: manifest {}: {end:?}.", manifest.number);
                 Some(PublisherEvent::Manifest(nonce, end))
@@ -225,7 +225,7 @@
         let Some((version, manifest)) = read_manifest(&self.shared.store).await else {
             return PublisherEvent::BaseFailed;
         };
-        let ask = GetChunks(ChunksAsk { hashes: manifest.slots.clone() });
+        let ask = GetChunks(ChunksRequest { hashes: manifest.slots.clone() });
         let known = self.config.ask(ask).await.map(|r| r.0.texts).unwrap_or_default();
         let mut chunks = Vec::new();
         for (i, hash) in manifest.slots.iter().enumerate() {
@@ -244,7 +244,7 @@
     }
 
     async fn read_statuses(&mut self) {
-        if let Ok(listing) = self.shared.store.with(Reason::Status).list(kind::STATUS).await {
+        if let Ok(listing) = self.shared.store.for_reason(Reason::Status).list(kind::STATUS).await {
             let values = listing.objects.into_iter().filter_map(|o| o.value);
             let list = values.filter_map(|v| serde_json::from_value(v).ok()).collect();
             self.step(PublisherEvent::Statuses(list)).await;
@@ -286,7 +286,7 @@
 
 /// Writes a content-addressed chunk; one that is already there is as good.
 async fn put_chunk(shared: &Shared, hash: &str, text: &str) -> PutOutcome {
-    let store = shared.store.with(Reason::Config);
+    let store = shared.store.for_reason(Reason::Config);
     let Ok(old) = store.get(kind::CHUNK, hash).await else {
         return PutOutcome::Lost;
     };
@@ -299,7 +299,7 @@
 async fn put_status(shared: &Shared, status: &Status) -> Option<()> {
     let name = status.object.replace('/', ".");
     let value = serde_json::to_value(status).expect("statuses encode");
-    let store = shared.store.with(Reason::Status);
+    let store = shared.store.for_reason(Reason::Status);
     let old = store.get(kind::STATUS, &name).await.ok()?;
     let known = old.value.as_ref().and_then(|v| serde_json::from_value::<Status>(v.clone()).ok());
     // A former holder may have told of a newer version already.
@@ -312,7 +312,7 @@
 
 /// Raises the floor; a higher one stays.
 async fn raise(shared: &Shared, floor: &Floor) -> Option<()> {
-    let store = shared.store.with(Reason::Sweep);
+    let store = shared.store.for_reason(Reason::Sweep);
     let old = store.get(kind::CLAIM, FLOOR).await.ok()?;
     let known = old.value.and_then(|v| serde_json::from_value::<Floor>(v).ok()).unwrap_or_default();
     if known.bucket >= floor.bucket {
@@ -324,7 +324,7 @@
 }
 
 async fn delete_below(shared: &Shared, bucket: u64) {
-    let store = shared.store.with(Reason::Sweep);
+    let store = shared.store.for_reason(Reason::Sweep);
     let Ok(listing) = store.list(kind::CLAIM).await else {
         return;
     };
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -11,7 +11,7 @@
 use decide::rng::Rng;
 use kameo::actor::ActorRef;
 use model::Name;
-use model::load::Report;
+use model::load::TargetReport;
 use model::manifest::Manifest;
 use model::store::{Listing, kind};
 use store::{Reason, Store};
@@ -37,7 +37,7 @@
             tokio::time::sleep(LOOK / 4).await;
             continue;
         }
-        let store = shared.store.with(Reason::Config);
+        let store = shared.store.for_reason(Reason::Config);
         let listing = match revision {
             None => store.list(kind::MANIFEST).await,
             Some(r) => store.watch(kind::MANIFEST, r, WATCH).await,
@@ -106,7 +106,7 @@
         if report.leaving {
             return;
         }
-        report = Report { target: target.clone(), leaving: true, seq, ..report };
+        report = TargetReport { target: target.clone(), leaving: true, seq, ..report };
         board.record_poll(report)
     };
     if let Some(rumor) = rumor {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -5,7 +5,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use kameo::actor::ActorRef;
-use model::view::{ChunksAsk, DeltaAsk, Refusal, View, ViewAsk, path};
+use model::view::{ChunksRequest, DeltaRequest, Refusal, View, ViewRequest, path};
 use serde_json::json;
 use store::Reason;
 use util::http::{Body, Handler, json as json_body, read_rmp, rmp, text};
@@ -39,18 +39,18 @@
 impl Handler for Side {
     async fn call(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         match request.uri().path() {
-            path::VIEW => match read_rmp::<ViewAsk>(request, MESSAGE_MAX).await {
+            path::VIEW => match read_rmp::<ViewRequest>(request, MESSAGE_MAX).await {
                 Some(ask) => rmp(&self.view(ask)),
                 None => not_understood(),
             },
-            path::DELTA => match read_rmp::<DeltaAsk>(request, MESSAGE_MAX).await {
+            path::DELTA => match read_rmp::<DeltaRequest>(request, MESSAGE_MAX).await {
                 Some(ask) => match self.config.ask(GetDelta(ask)).await {
                     Ok(reply) => rmp(&reply.0),
                     Err(_) => busy(),
                 },
                 None => not_understood(),
             },
-            path::CHUNKS => match read_rmp::<ChunksAsk>(request, MESSAGE_MAX).await {
+            path::CHUNKS => match read_rmp::<ChunksRequest>(request, MESSAGE_MAX).await {
                 Some(ask) => match self.config.ask(GetChunks(ask)).await {
                     Ok(reply) => rmp(&reply.0),
                     Err(_) => busy(),
@@ -73,7 +73,7 @@
 }
 
 impl Side {
-    fn view(&self, ask: ViewAsk) -> View {
+    fn view(&self, ask: ViewRequest) -> View {
         let members = self.shared.members.load();
         let board = self.shared.board();
         View {
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -7,8 +7,8 @@
 use decide::load::LoadTable;
 use model::Name;
 use model::member::Node;
-use model::object::Set;
-use store::{Budgeted, HostList};
+use model::object::ObjectSet;
+use store::{BudgetedStore, HostList};
 use util::clock::Clock;
 use util::http::Client;
 
@@ -20,7 +20,7 @@
     /// Manifest in force.
     pub number: u64,
     /// Objects.
-    pub set: Set,
+    pub set: ObjectSet,
 }
 
 /// What membership last said.
@@ -43,7 +43,7 @@
     /// HTTP client.
     pub client: Client,
     /// Object API.
-    pub store: Arc<Budgeted>,
+    pub store: Arc<BudgetedStore>,
     /// Host list.
     pub hosts: Box<dyn HostList>,
     /// Membership.
--- a/crates/decide/src/claim/committer.rs
+++ b/crates/decide/src/claim/committer.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use model::claim::{ClaimAsk, ClaimEnd, Claims};
+use model::claim::{ClaimOutcome, ClaimRequest, Claims};
 use model::key::{BUCKET_MS, Key};
 use model::{Name, Time};
 
@@ -55,7 +55,7 @@
     /// A request claims a key.
     Claim {
         /// Key and request.
-        ask: ClaimAsk,
+        ask: ClaimRequest,
         /// Correlation id, returned in [`Action::Answer`].
         ticket: u64,
         /// The node's wall clock, in milliseconds.
@@ -104,13 +104,13 @@
         /// Correlation id from [`Event::Claim`].
         ticket: u64,
         /// Result of the claim.
-        end: ClaimEnd,
+        end: ClaimOutcome,
     },
 }
 
 #[derive(Debug)]
 struct PendingClaim {
-    ask: ClaimAsk,
+    ask: ClaimRequest,
     ticket: u64,
     expires: Time,
     /// A write that contained the key may have been applied.
@@ -176,7 +176,7 @@
     fn enqueue(
         &mut self,
         now: Time,
-        ask: ClaimAsk,
+        ask: ClaimRequest,
         ticket: u64,
         unix_ms: u64,
         expires: Time,
@@ -184,12 +184,12 @@
     ) {
         let at = ask.key.unix_ms();
         if at + CLAIM_WINDOW_MS < unix_ms {
-            return out.push(Action::Answer { ticket, end: ClaimEnd::Old });
+            return out.push(Action::Answer { ticket, end: ClaimOutcome::Old });
         }
         if at > unix_ms + MAX_CLOCK_ERROR_MS {
-            return out.push(Action::Answer { ticket, end: ClaimEnd::Future });
+            return out.push(Action::Answer { ticket, end: ClaimOutcome::Future });
         }
-        let shard = self.shards.entry(ask.key.object()).or_insert_with(|| Shard {
+        let shard = self.shards.entry(ask.key.claim_object()).or_insert_with(|| Shard {
             bucket: ask.key.bucket(),
             cached: None,
             pending: Vec::new(),
@@ -213,7 +213,7 @@
                 s.answer_cached(out);
             }
             ReadOutcome::NeverWritten => s.cached = Some((0, Claims::default())),
-            ReadOutcome::Deleted => s.answer_all(&ClaimEnd::Old, out),
+            ReadOutcome::Deleted => s.answer_all(&ClaimOutcome::Old, out),
             ReadOutcome::Failed => s.next_call = s.next_call.max(now + RETRY_DELAY),
         }
     }
@@ -273,7 +273,7 @@
                         continue;
                     }
                     Some(f) if s.bucket < f => {
-                        s.answer_all(&ClaimEnd::Old, out);
+                        s.answer_all(&ClaimOutcome::Old, out);
                         continue;
                     }
                     Some(_) => {}
@@ -313,13 +313,13 @@
                 return true;
             };
             let won = *holder == w.ask.request;
-            let end = if won { ClaimEnd::Won } else { ClaimEnd::Lost(holder.clone()) };
+            let end = if won { ClaimOutcome::Won } else { ClaimOutcome::Lost(holder.clone()) };
             out.push(Action::Answer { ticket: w.ticket, end });
             false
         });
     }
 
-    fn answer_all(&mut self, end: &ClaimEnd, out: &mut Vec<Action>) {
+    fn answer_all(&mut self, end: &ClaimOutcome, out: &mut Vec<Action>) {
         for w in self.pending.drain(..) {
             out.push(Action::Answer { ticket: w.ticket, end: end.clone() });
         }
@@ -333,7 +333,7 @@
                 return true;
             }
             let maybe_written = w.maybe_written || in_flight.contains(&w.ask.key);
-            let end = if maybe_written { ClaimEnd::Doubt } else { ClaimEnd::Failed };
+            let end = if maybe_written { ClaimOutcome::Doubt } else { ClaimOutcome::Failed };
             out.push(Action::Answer { ticket: w.ticket, end });
             false
         });
--- a/crates/decide/src/config/accept.rs
+++ b/crates/decide/src/config/accept.rs
@@ -4,7 +4,7 @@
 
 use model::Name;
 use model::manifest::Item;
-use model::object::{self, Set};
+use model::object::{self, ObjectSet};
 
 use super::publisher::Declared;
 
@@ -58,8 +58,8 @@
     }
 }
 
-fn to_set(items: &BTreeMap<Name, Item>) -> Set {
-    let mut set = Set::default();
+fn to_set(items: &BTreeMap<Name, Item>) -> ObjectSet {
+    let mut set = ObjectSet::default();
     for item in items.values() {
         if let Some(spec) = &item.spec {
             set.insert_key(&item.key, spec.clone());
--- a/crates/decide/src/config/chunks.rs
+++ b/crates/decide/src/config/chunks.rs
@@ -28,7 +28,7 @@
     let mut texts = BTreeMap::new();
     let slots = chunks.iter().map(|c| {
         let text = serde_json::to_string(c).expect("items have string keys");
-        let hash: Name = hash::address(text.as_bytes()).into();
+        let hash: Name = hash::content_address(text.as_bytes()).into();
         texts.insert(hash.clone(), text.into());
         hash
     });
--- a/crates/decide/src/config/follower.rs
+++ b/crates/decide/src/config/follower.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use model::manifest::{Chunk, Delta, Manifest, SlotRef};
-use model::object::{Set, Spec};
+use model::object::{ObjectSet, Spec};
 use model::{Name, Time, hash};
 
 /// Number of past manifests kept, so that peers can be answered with a delta.
@@ -88,7 +88,7 @@
 
 impl Change {
     /// Updates `set` from the previous manifest to this one.
-    pub fn apply_to(self, set: &mut Set) {
+    pub fn apply_to(self, set: &mut ObjectSet) {
         for key in &self.removed {
             set.remove_key(key);
         }
@@ -137,8 +137,8 @@
     }
 
     /// All objects of the current manifest.
-    pub fn set(&self) -> Set {
-        let mut set = Set::default();
+    pub fn set(&self) -> ObjectSet {
+        let mut set = ObjectSet::default();
         for (key, spec) in &self.items {
             set.insert_key(key, spec.clone());
         }
@@ -249,7 +249,7 @@
             return;
         };
         let parses = serde_json::from_str::<Chunk>(&text).is_ok();
-        if hash::address(text.as_bytes()) != **hash || !parses {
+        if hash::content_address(text.as_bytes()) != **hash || !parses {
             let from = p.from.clone();
             return self.handle_failure(&from);
         }
--- a/crates/decide/src/fleet/pick.rs
+++ b/crates/decide/src/fleet/pick.rs
@@ -160,7 +160,7 @@
     home: Home,
 ) -> Vec<&'a TargetState> {
     let score = |t: &'a TargetState| {
-        let hash = hash::mix(home.key, hash::of(t.target.id.name.as_bytes()));
+        let hash = hash::mix(home.key, hash::hash64(t.target.id.name.as_bytes()));
         (distance(hash, criteria.weight_of(&t.target.domain)), t)
     };
     let mut order: Vec<(f64, &TargetState)> = targets.map(score).collect();
--- a/crates/decide/src/fleet/targets.rs
+++ b/crates/decide/src/fleet/targets.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use model::forward::{
-    Allowed, Evacuations, NamedLimit, Notice, ReportedLoad, RetryAfter, Target, TargetId,
+    Allowed, Evacuations, Notice, ReportedLimit, ReportedLoad, RetryAfter, Target, TargetId,
     TargetList,
 };
 use model::{Name, Time};
@@ -254,7 +254,7 @@
     pub fn record_limit(
         &mut self,
         id: &TargetId,
-        report: NamedLimit,
+        report: ReportedLimit,
         sent_at: Time,
         now: Time,
     ) -> Option<LimitChange> {
--- a/crates/decide/src/forecast/mod.rs
+++ b/crates/decide/src/forecast/mod.rs
@@ -79,8 +79,10 @@
     /// queue in which orders wait at most as long.
     fn newest_bound(&self, queue: &QueueId, rank: Rank, now: Time) -> Option<&ReportedWaits> {
         let since = self.0.get(queue).map_or(Time::ZERO, |known| known.received_at);
-        let reported =
-            self.0.iter().filter(|(q, reported)| q.bounds(queue) && reported.received_at >= since);
+        let reported = self
+            .0
+            .iter()
+            .filter(|(q, reported)| q.waits_no_longer_than(queue) && reported.received_at >= since);
         reported.map(|(_, reported)| reported).max_by_key(|reported| reported.wait(rank, now))
     }
 
--- a/crates/decide/src/load/mod.rs
+++ b/crates/decide/src/load/mod.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use model::load::{Report, TargetNews};
+use model::load::{TargetReport, TargetStatus};
 use model::member::LoadRumor;
 use model::{Name, hash};
 
@@ -24,7 +24,7 @@
 }
 
 /// Encodes a target's state for gossip.
-pub fn to_rumor(state: &TargetNews) -> LoadRumor {
+pub fn to_rumor(state: &TargetStatus) -> LoadRumor {
     LoadRumor {
         target: key(&state.report.target),
         wait: quantize_wait(state.report.wait),
@@ -35,7 +35,7 @@
 
 /// Gossip key of a target's name.
 pub fn key(target: &str) -> u32 {
-    (hash::of(target.as_bytes()) >> 32) as u32
+    (hash::hash64(target.as_bytes()) >> 32) as u32
 }
 
 /// Rounds a wait so that two within about a quarter of each other are equal.
@@ -55,7 +55,7 @@
 
 #[derive(Debug, Clone)]
 struct Entry {
-    state: TargetNews,
+    state: TargetStatus,
     change: u64,
 }
 
@@ -73,30 +73,30 @@
     }
 
     /// Known state of all targets.
-    pub fn reports(&self) -> impl Iterator<Item = &TargetNews> {
+    pub fn reports(&self) -> impl Iterator<Item = &TargetStatus> {
         self.reports.values().map(|e| &e.state)
     }
 
     /// Known state of one target.
-    pub fn get(&self, target: &str) -> Option<&TargetNews> {
+    pub fn get(&self, target: &str) -> Option<&TargetStatus> {
         self.reports.get(target).map(|e| &e.state)
     }
 
     /// States changed after change number `since`.
-    pub fn since(&self, since: u64) -> impl Iterator<Item = &TargetNews> {
+    pub fn since(&self, since: u64) -> impl Iterator<Item = &TargetStatus> {
         self.reports.values().filter(move |e| e.change > since).map(|e| &e.state)
     }
 
-    fn put(&mut self, name: Name, state: TargetNews) {
+    fn put(&mut self, name: Name, state: TargetStatus) {
         self.changes += 1;
         self.reports.insert(name, Entry { state, change: self.changes });
     }
 
     /// Records a successful poll by this node; returns a rumor if the change is worth gossiping.
-    pub fn record_poll(&mut self, report: Report) -> Option<LoadRumor> {
+    pub fn record_poll(&mut self, report: TargetReport) -> Option<LoadRumor> {
         let seq = report.seq;
         let name = report.target.clone();
-        let state = TargetNews { report, seq, ready: true, polled: true };
+        let state = TargetStatus { report, seq, ready: true, polled: true };
         let rumor = to_rumor(&state);
         let old = self.reports.get(&name).map(|e| to_rumor(&e.state));
         self.put(name, state);
@@ -108,8 +108,8 @@
     pub fn record_unreachable(&mut self, target: &Name) -> Option<LoadRumor> {
         let old = self.reports.get(target).map(|e| e.state.clone());
         let was_ready = old.as_ref().is_none_or(|n| n.ready);
-        let mut state = old.unwrap_or_else(|| TargetNews {
-            report: Report { target: target.clone(), ..Report::default() },
+        let mut state = old.unwrap_or_else(|| TargetStatus {
+            report: TargetReport { target: target.clone(), ..TargetReport::default() },
             seq: 0,
             ready: true,
             polled: true,
@@ -137,7 +137,7 @@
         report.wait = u32::from(rumor.wait);
         report.leaving = rumor.flags & LEAVING != 0;
         let ready = rumor.flags & READY != 0;
-        self.put(name, TargetNews { report, seq: base, ready, polled: false });
+        self.put(name, TargetStatus { report, seq: base, ready, polled: false });
         Some(rumor)
     }
 }
--- a/crates/decide/src/member/peers.rs
+++ b/crates/decide/src/member/peers.rs
@@ -88,7 +88,7 @@
 
 /// Contribution of one node to a digest of nodes.
 pub fn digest_of(id: &NodeId) -> u32 {
-    hash::mix(hash::of(id.name.as_bytes()), id.start) as u32
+    hash::mix(hash::hash64(id.name.as_bytes()), id.start) as u32
 }
 
 impl Peers {
--- a/crates/decide/src/permit/limits.rs
+++ b/crates/decide/src/permit/limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use model::Time;
-use model::forward::{NamedLimit, TargetId};
+use model::forward::{ReportedLimit, TargetId};
 
 use super::LimitObservation;
 
@@ -96,16 +96,16 @@
     pub fn record(
         &mut self,
         id: &TargetId,
-        report: NamedLimit,
+        report: ReportedLimit,
         sent_at: Time,
         now: Time,
     ) -> Option<LimitChange> {
         let per_s = match report {
-            NamedLimit::Unreadable => {
+            ReportedLimit::Unreadable => {
                 return self.unreadable.insert(id.clone()).then_some(LimitChange::Unreadable);
             }
-            NamedLimit::None => None,
-            NamedLimit::PerSecond(per_s) => Some(per_s),
+            ReportedLimit::None => None,
+            ReportedLimit::PerSecond(per_s) => Some(per_s),
         };
         self.unreadable.remove(id);
         self.merge(id, LimitObservation { per_s, sent_at, received_at: now })
--- a/crates/decide/src/permit/observation.rs
+++ b/crates/decide/src/permit/observation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use model::Time;
-use model::forward::LimitWord;
+use model::forward::LimitReport;
 
 /// Maximum transit time of a peer's observation, which may be older than it says by this much.
 /// Equal to the time that nodes wait for the response to a message.
@@ -25,7 +25,7 @@
 
 impl LimitObservation {
     /// Converts an observation received from a peer.
-    pub fn from_peer(limit: &LimitWord, now: Time) -> LimitObservation {
+    pub fn from_peer(limit: &LimitReport, now: Time) -> LimitObservation {
         let ago = |ms: u64| now - Duration::from_millis(ms);
         LimitObservation {
             per_s: limit.per_s,
@@ -35,9 +35,13 @@
     }
 
     /// Converts the observation into the form sent to peers.
-    pub fn to_peer(&self, now: Time) -> LimitWord {
+    pub fn to_peer(&self, now: Time) -> LimitReport {
         let age = |at: Time| now.since(at).as_millis() as u64;
-        LimitWord { per_s: self.per_s, sent_ms: age(self.sent_at), came_ms: age(self.received_at) }
+        LimitReport {
+            per_s: self.per_s,
+            sent_ms: age(self.sent_at),
+            came_ms: age(self.received_at),
+        }
     }
 
     /// Merges two observations: the later one wins, or the lower limit if their order is unknown.
--- a/crates/decide/src/place/mod.rs
+++ b/crates/decide/src/place/mod.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use model::load::TargetNews;
-use model::object::{Pool, Set};
+use model::load::TargetStatus;
+use model::object::{ObjectSet, Pool};
 use model::order::{Order, Task};
 use model::{Name, Time, hash};
 
@@ -31,13 +31,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// Accepted configuration.
-    pub set: &'a Set,
+    pub set: &'a ObjectSet,
     /// Manifest number of the configuration.
     pub number: u64,
     /// Failure domain whose targets are placed.
     pub domain: &'a Name,
     /// Latest report of each target.
-    pub reports: &'a BTreeMap<Name, TargetNews>,
+    pub reports: &'a BTreeMap<Name, TargetStatus>,
     /// Hosts marked as leaving in the host list.
     pub leaving: &'a BTreeSet<Name>,
 }
--- a/crates/decide/src/quarantine/gossip.rs
+++ b/crates/decide/src/quarantine/gossip.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use model::forward::{Fingerprint, SuspectNews};
+use model::forward::{Fingerprint, SuspectReport};
 use model::member::{Node, NodeId};
 use model::{Name, Time, hash};
 
@@ -95,7 +95,7 @@
     /// Recipient.
     pub peer: Node,
     /// Reports of requests.
-    pub news: Vec<SuspectNews>,
+    pub news: Vec<SuspectReport>,
     /// Versions to pass to [`Quarantine::acknowledge`] once the peer has answered.
     pub versions: SentVersions,
 }
@@ -170,7 +170,7 @@
     }
 
     /// Reports on those of a peer's requests of which this node knows more than the peer.
-    pub fn missing_from(&self, news: &[SuspectNews], now: Time) -> Vec<SuspectNews> {
+    pub fn missing_from(&self, news: &[SuspectReport], now: Time) -> Vec<SuspectReport> {
         let known = news.iter().filter_map(|n| Some((n, self.suspects.get(&n.request)?)));
         let newer = known.filter(|(n, suspect)| suspect.is_ahead_of(n));
         newer.map(|(n, suspect)| suspect.to_news(n.request, now)).collect()
@@ -212,7 +212,7 @@
     me: &Name,
     peers: &'a [Node],
 ) -> Vec<Option<&'a Node>> {
-    let score = |name: &Name| hash::mix(request.low, hash::of(name.as_bytes()));
+    let score = |name: &Name| hash::mix(request.low, hash::hash64(name.as_bytes()));
     let mut all: Vec<(u64, Option<&Node>)> =
         peers.iter().map(|p| (score(&p.id.name), Some(p))).collect();
     all.push((score(me), None));
@@ -223,6 +223,6 @@
 
 /// Digest of a set of peers, used to detect changes.
 fn digest(peers: &[Node]) -> u64 {
-    let of = |p: &Node| hash::mix(hash::of(p.id.name.as_bytes()), p.id.start);
+    let of = |p: &Node| hash::mix(hash::hash64(p.id.name.as_bytes()), p.id.start);
     peers.iter().map(of).fold(0, |all, one| all ^ one)
 }
--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -19,7 +19,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use model::forward::{Fingerprint, SuspectNews, TargetId};
+use model::forward::{Fingerprint, SuspectReport, TargetId};
 use model::member::NodeId;
 use model::{Name, Time};
 
@@ -142,7 +142,7 @@
     }
 
     /// Merges reports of another node, or of the store if `from` is `None`; returns what changed.
-    pub fn merge(&mut self, from: Option<&NodeId>, news: &[SuspectNews], now: Time) -> Changes {
+    pub fn merge(&mut self, from: Option<&NodeId>, news: &[SuspectReport], now: Time) -> Changes {
         let mut changes = Vec::new();
         let mut updated = Vec::new();
         for report in news {
--- a/crates/decide/src/quarantine/suspect.rs
+++ b/crates/decide/src/quarantine/suspect.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use model::forward::{EndNews, Fingerprint, HeldRecord, SuspectNews, TargetId};
+use model::forward::{CrashReport, Fingerprint, HeldRecord, SuspectReport, TargetId};
 use model::{Name, Time};
 
 use super::HOLD_THRESHOLD;
@@ -171,10 +171,10 @@
     }
 
     /// Merges the report of another node; returns whether anything was new.
-    pub(super) fn merge(&mut self, news: &SuspectNews, now: Time) -> bool {
+    pub(super) fn merge(&mut self, news: &SuspectReport, now: Time) -> bool {
         let ago = |ms: u64| now - Duration::from_millis(ms);
         let mut is_new = false;
-        for end in &news.ends {
+        for end in &news.crashes {
             is_new |= self.add(&end.target, ago(end.age_ms), end.cleared);
         }
         if news.tries > self.trials {
@@ -190,14 +190,17 @@
     }
 
     /// The report of what this node knows of it.
-    pub(super) fn to_news(&self, request: Fingerprint, now: Time) -> SuspectNews {
+    pub(super) fn to_news(&self, request: Fingerprint, now: Time) -> SuspectReport {
         let age = |at: Time| now.since(at).as_millis() as u64;
-        let end =
-            |e: &Crash| EndNews { target: e.target.clone(), age_ms: age(e.at), cleared: e.cleared };
-        SuspectNews {
+        let end = |e: &Crash| CrashReport {
+            target: e.target.clone(),
+            age_ms: age(e.at),
+            cleared: e.cleared,
+        };
+        SuspectReport {
             request,
             service: self.service.clone(),
-            ends: self.crashes.iter().map(end).collect(),
+            crashes: self.crashes.iter().map(end).collect(),
             tries: self.trials,
             tried_ms: age(self.last_trial),
             came_ms: age(self.last_arrival),
@@ -205,9 +208,9 @@
     }
 
     /// Whether this node knows anything that a report lacks.
-    pub(super) fn is_ahead_of(&self, news: &SuspectNews) -> bool {
+    pub(super) fn is_ahead_of(&self, news: &SuspectReport) -> bool {
         let is_missing = |e: &Crash| {
-            let known = news.ends.iter().find(|n| n.target == e.target);
+            let known = news.crashes.iter().find(|n| n.target == e.target);
             known.is_none_or(|n| e.cleared && !n.cleared)
         };
         self.crashes.iter().any(is_missing) || self.trials > news.tries
--- a/crates/decide/src/request/run.rs
+++ b/crates/decide/src/request/run.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use model::answer::Piece;
+use model::answer::ChunkEvent;
 use model::attempt::{Attempt, Frame};
-use model::claim::ClaimEnd;
-use model::outcome::{Final, Outcome, Reason, StepError, StepReport};
+use model::claim::ClaimOutcome;
+use model::outcome::{Outcome, Reason, RequestReport, StepError, StepReport};
 use model::{Name, Time};
 
 use super::assembly::{FrameResult, Reassembler};
@@ -152,18 +152,18 @@
         }
     }
 
-    fn handle_claim(&mut self, now: Time, end: ClaimEnd, out: &mut Vec<Action>) {
+    fn handle_claim(&mut self, now: Time, end: ClaimOutcome, out: &mut Vec<Action>) {
         if self.state != State::Claiming {
             return;
         }
         let (outcome, peer, reason) = match end {
-            ClaimEnd::Won => return self.request_target(false, out),
-            ClaimEnd::Lost(by) => (Outcome::Unknown, Some(by), Reason::Claimed),
-            ClaimEnd::Old => (Outcome::NotRun, None, Reason::OldKey),
-            ClaimEnd::Future => (Outcome::NotRun, None, Reason::FutureKey),
-            ClaimEnd::Failed => (Outcome::NotRun, None, Reason::NoClaim),
+            ClaimOutcome::Won => return self.request_target(false, out),
+            ClaimOutcome::Lost(by) => (Outcome::Unknown, Some(by), Reason::Claimed),
+            ClaimOutcome::Old => (Outcome::NotRun, None, Reason::OldKey),
+            ClaimOutcome::Future => (Outcome::NotRun, None, Reason::FutureKey),
+            ClaimOutcome::Failed => (Outcome::NotRun, None, Reason::NoClaim),
             // No step was sent, so the outcome is "not run"; only the key may be used up.
-            ClaimEnd::Doubt => (Outcome::NotRun, None, Reason::ClaimDoubt),
+            ClaimOutcome::Doubt => (Outcome::NotRun, None, Reason::ClaimDoubt),
         };
         let error = StepError { step: "claim".into(), peer, reason };
         self.finish(now, outcome, Some(error), None, out);
@@ -294,7 +294,7 @@
             let seq = self.pieces;
             self.pieces += 1;
             if self.plan.streamed && self.is_last() {
-                out.push(Action::Emit(Piece { seq, text }));
+                out.push(Action::Emit(ChunkEvent { seq, text }));
             }
         }
     }
@@ -351,7 +351,7 @@
             Outcome::Complete | Outcome::Unknown => None,
             _ => Some(wait.unwrap_or(crate::retry::DEFAULT_RETRY_AFTER).as_millis() as u64),
         };
-        out.push(Action::Finish(Final {
+        out.push(Action::Finish(RequestReport {
             request: self.plan.request.clone(),
             outcome,
             error,
--- a/crates/decide/src/request/types.rs
+++ b/crates/decide/src/request/types.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use model::answer::Piece;
+use model::answer::ChunkEvent;
 use model::attempt::{Attempt, Frame};
-use model::claim::ClaimEnd;
+use model::claim::ClaimOutcome;
 use model::key::Key;
-use model::outcome::{Final, Reason};
+use model::outcome::{Reason, RequestReport};
 use model::{Name, Time};
 
 /// Execution parameters of one step.
@@ -51,7 +51,7 @@
     /// The request was admitted.
     Start,
     /// Result of [`Action::Claim`].
-    Claim(ClaimEnd),
+    Claim(ClaimOutcome),
     /// The router selected a target.
     TargetPicked(Name),
     /// The router has no target available; retry after this time.
@@ -111,11 +111,11 @@
         target: Name,
     },
     /// Stream a piece to the caller.
-    Emit(Piece),
+    Emit(ChunkEvent),
     /// Deliver [`Event::Tick`] at this time.
     WakeAt(Time),
     /// The request has ended.
-    Finish(Final),
+    Finish(RequestReport),
 }
 
 /// Retry budget of each step.
--- a/crates/decide/src/rollout/judge.rs
+++ b/crates/decide/src/rollout/judge.rs
@@ -175,7 +175,7 @@
 
     fn report(&mut self, report: RolloutReport, now: Time, actions: &mut Vec<JudgeAction>) {
         let own = self.id();
-        if !report.order.is_alike(&own) {
+        if !report.order.has_same_version(&own) {
             return;
         }
         // A report on an earlier order is no evidence for this one; it only shows that the node
@@ -198,7 +198,7 @@
             return;
         }
         let is_same = order.version == self.order.version && order.service == self.order.service;
-        if !is_same || order.is_anew(&self.order) {
+        if !is_same || order.is_new_order(&self.order) {
             self.ended = true;
             return;
         }
--- a/crates/decide/src/rollout/versions/list.rs
+++ b/crates/decide/src/rollout/versions/list.rs
@@ -81,7 +81,7 @@
                 }
                 Some(RolloutChange::Replaced { before: was.clone(), order })
             }
-            Some(was) if order.is_anew(was) => {
+            Some(was) if order.is_new_order(was) => {
                 self.begin(&order, now);
                 Some(RolloutChange::Began(order))
             }
--- a/crates/decide/src/rollout/versions/trial.rs
+++ b/crates/decide/src/rollout/versions/trial.rs
@@ -93,6 +93,6 @@
 /// Maps an attempt to a number in 0..1. A hash needs no counters that nodes would share, survives a
 /// restart, and gives repeats of an attempt the same result.
 fn hash_fraction(service: &str, attempt: &str) -> f64 {
-    let drawn = hash::mix(hash::of(attempt.as_bytes()), hash::of(service.as_bytes()));
+    let drawn = hash::mix(hash::hash64(attempt.as_bytes()), hash::hash64(service.as_bytes()));
     (drawn >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/decide/src/roster/ranking.rs
+++ b/crates/decide/src/roster/ranking.rs
@@ -17,7 +17,7 @@
 
 /// Rendezvous score of a node for a service.
 pub(super) fn score(service: &str, name: &Name) -> u64 {
-    hash::mix(hash::of(service.as_bytes()), hash::of(name.as_bytes()))
+    hash::mix(hash::hash64(service.as_bytes()), hash::hash64(name.as_bytes()))
 }
 
 /// A peer in an order, which starts with the hosts of highest capacity.
--- a/crates/decide/src/roster/sources.rs
+++ b/crates/decide/src/roster/sources.rs
@@ -68,7 +68,7 @@
     /// Rotates the relays by a hash of this node's name, which spreads followers over them.
     fn rotated_by_name(&self, mut relays: Vec<Node>) -> Vec<Node> {
         if !relays.is_empty() {
-            let offset = hash::of(self.me.as_bytes()) as usize % relays.len();
+            let offset = hash::hash64(self.me.as_bytes()) as usize % relays.len();
             relays.rotate_left(offset);
         }
         relays
@@ -78,5 +78,5 @@
 /// Whether a node reads the store before it knows its peers: all hosts above the lowest capacity,
 /// and a few of the others.
 fn is_early_reader(name: &Name, capacity: u8) -> bool {
-    capacity > 0 || hash::of(name.as_bytes()).is_multiple_of(EARLY_READER_RATIO)
+    capacity > 0 || hash::hash64(name.as_bytes()).is_multiple_of(EARLY_READER_RATIO)
 }
--- a/crates/decide/src/route/mod.rs
+++ b/crates/decide/src/route/mod.rs
@@ -22,5 +22,5 @@
 /// Hash of a prompt's prefix.
 pub fn prefix(text: &str) -> u64 {
     let bytes = text.as_bytes();
-    model::hash::of(&bytes[..bytes.len().min(PREFIX_BYTES)])
+    model::hash::hash64(&bytes[..bytes.len().min(PREFIX_BYTES)])
 }
--- a/crates/decide/src/route/table.rs
+++ b/crates/decide/src/route/table.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use model::load::TargetNews;
+use model::load::TargetStatus;
 use model::{Name, Time, hash};
 
 use super::health::Health;
@@ -61,7 +61,7 @@
 impl Slot {
     fn new(info: TargetInfo) -> Self {
         Slot {
-            hash: hash::of(info.name.as_bytes()),
+            hash: hash::hash64(info.name.as_bytes()),
             info,
             ready: true,
             leaving: false,
@@ -129,7 +129,7 @@
     }
 
     /// Applies a report about a target; one older than the last is ignored.
-    pub fn update(&mut self, now: Time, news: &TargetNews) {
+    pub fn update(&mut self, now: Time, news: &TargetStatus) {
         let Some(s) = self.slot_mut(&news.report.target) else {
             return;
         };
--- a/crates/decide/tests/allowed.rs
+++ b/crates/decide/tests/allowed.rs
@@ -61,7 +61,7 @@
     let north = allowed(&Some(["north"].into()));
     let south = allowed(&Some(["south"].into()));
     let none = allowed(&Some(BTreeSet::new()));
-    let both = north.and(&south);
+    let both = north.intersection(&south);
     for (rule, region, permits) in [
         (&Allowed::ANY, Some("north"), true),
         (&Allowed::ANY, None, true),
@@ -75,8 +75,8 @@
     ] {
         assert_eq!(rule.permits(region), permits, "{rule:?} in {region:?}");
     }
-    assert_eq!(north.and(&Allowed::ANY), north);
-    assert_eq!(Allowed::ANY.and(&north), north);
+    assert_eq!(north.intersection(&Allowed::ANY), north);
+    assert_eq!(Allowed::ANY.intersection(&north), north);
     assert!(!both.is_any() && !none.is_any());
 }
 
--- a/crates/decide/tests/batch_pool.rs
+++ b/crates/decide/tests/batch_pool.rs
@@ -14,7 +14,7 @@
 use decide::fleet::{ColdLimit, Fleet, Regions, Terms};
 use decide::region::Map;
 use model::Time;
-use model::forward::{Evacuations, NamedLimit, Policy, PoolId, Rollouts, Target, TargetId};
+use model::forward::{Evacuations, Policy, PoolId, ReportedLimit, Rollouts, Target, TargetId};
 use proptest::prelude::*;
 use support::{at, calls, made, order, order_event, pool};
 use targets::target;
@@ -144,7 +144,7 @@
             fleet.versions_mut().apply(list, at(now));
         }
         Change::Limit { which, per_s } => {
-            let said = per_s.map_or(NamedLimit::None, NamedLimit::PerSecond);
+            let said = per_s.map_or(ReportedLimit::None, ReportedLimit::PerSecond);
             let id = id(fleet, which);
             fleet.record_limit(&id, said, at(now), at(now));
         }
--- a/crates/decide/tests/claim.rs
+++ b/crates/decide/tests/claim.rs
@@ -6,7 +6,7 @@
 
 use decide::claim::{Action, Committer, Event, ReadOutcome, WriteOutcome};
 use decide::rng::Rng;
-use model::claim::{ClaimAsk, ClaimEnd, Claims};
+use model::claim::{ClaimOutcome, ClaimRequest, Claims};
 use model::key::{BUCKET_MS, Key};
 use model::{Name, Time};
 use proptest::prelude::*;
@@ -63,8 +63,8 @@
     nodes: Vec<Committer>,
     inbox: Vec<(usize, Event)>,
     delayed_writes: Vec<DelayedWrite>,
-    answers: BTreeMap<u64, ClaimEnd>,
-    asks: BTreeMap<u64, ClaimAsk>,
+    answers: BTreeMap<u64, ClaimOutcome>,
+    asks: BTreeMap<u64, ClaimRequest>,
     now: Time,
     fault_percent: usize,
 }
@@ -88,7 +88,7 @@
 
     fn ask(&mut self, node: usize, key: Key) -> u64 {
         let ticket = self.asks.len() as u64 + 1;
-        let ask = ClaimAsk { key, request: format!("r{ticket}").into() };
+        let ask = ClaimRequest { key, request: format!("r{ticket}").into() };
         self.asks.insert(ticket, ask.clone());
         let expires = self.now + Duration::from_millis(1500);
         self.inbox.push((node, Event::Claim { ask, ticket, unix_ms: UNIX_MS, expires }));
@@ -175,12 +175,12 @@
         let mut winners: BTreeMap<Key, Name> = BTreeMap::new();
         for (ticket, end) in &self.answers {
             let ask = &self.asks[ticket];
-            if *end != ClaimEnd::Won {
+            if *end != ClaimOutcome::Won {
                 continue;
             }
             let other = winners.insert(ask.key, ask.request.clone());
             assert!(other.is_none(), "{} won twice: {other:?}", ask.key);
-            let (_, claims) = self.store.current(&ask.key.object());
+            let (_, claims) = self.store.current(&ask.key.claim_object());
             let held = claims.and_then(|c| c.keys.get(&ask.key).cloned());
             assert_eq!(held.as_ref(), Some(&ask.request), "the store holds the winner");
         }
@@ -214,17 +214,17 @@
     }
     sim.run();
     sim.check();
-    assert!(sim.answers.values().all(|e| *e == ClaimEnd::Won));
+    assert!(sim.answers.values().all(|e| *e == ClaimOutcome::Won));
 }
 
 #[test]
 fn a_lost_response_is_resolved_for_each_key_of_the_batch() {
     let key = |i: u64| Key::new(UNIX_MS, u128::from(i) << 40);
     let mut c = Committer::default();
-    let object = key(0).object();
-    let same: Vec<Key> = (0..200).map(key).filter(|k| k.object() == object).take(3).collect();
+    let object = key(0).claim_object();
+    let same: Vec<Key> = (0..200).map(key).filter(|k| k.claim_object() == object).take(3).collect();
     for (i, k) in same.iter().enumerate() {
-        let ask = ClaimAsk { key: *k, request: format!("r{i}").into() };
+        let ask = ClaimRequest { key: *k, request: format!("r{i}").into() };
         let expires = Time::from_millis(1000);
         c.handle_event(
             Time::ZERO,
@@ -248,7 +248,7 @@
     c.handle_event(t, Event::Tick);
     let found = ReadOutcome::Found { version: 1, claims };
     let out = c.handle_event(t, Event::Read { object, found });
-    let won = out.iter().filter(|a| matches!(a, Action::Answer { end: ClaimEnd::Won, .. }));
+    let won = out.iter().filter(|a| matches!(a, Action::Answer { end: ClaimOutcome::Won, .. }));
     assert_eq!(won.count(), 3);
 }
 
@@ -260,10 +260,10 @@
     let slow_clock = UNIX_MS + 1000;
     for stale in [false, true] {
         let mut store = Store { floor: UNIX_MS / BUCKET_MS + 10, ..Store::default() };
-        store.write(&key.object(), 0, Some(Claims::default()));
-        store.write(&key.object(), 1, None);
+        store.write(&key.claim_object(), 0, Some(Claims::default()));
+        store.write(&key.claim_object(), 1, None);
         let mut c = Committer::default();
-        let ask = ClaimAsk { key, request: "r".into() };
+        let ask = ClaimRequest { key, request: "r".into() };
         let expires = Time::from_millis(5000);
         let mut inbox = vec![Event::Claim { ask, ticket: 1, unix_ms: slow_clock, expires }];
         let mut answer = None;
@@ -289,20 +289,20 @@
                 }
             }
         }
-        assert_eq!(answer, Some(ClaimEnd::Old), "stale read: {stale}");
-        assert_eq!(store.current(&key.object()).1, None, "the object stays deleted");
+        assert_eq!(answer, Some(ClaimOutcome::Old), "stale read: {stale}");
+        assert_eq!(store.current(&key.claim_object()).1, None, "the object stays deleted");
     }
 }
 
 #[test]
 fn keys_outside_the_window_are_refused_without_a_store_call() {
     let cases = [
-        (UNIX_MS - decide::claim::CLAIM_WINDOW_MS - 1, ClaimEnd::Old),
-        (UNIX_MS + decide::claim::MAX_CLOCK_ERROR_MS + 1, ClaimEnd::Future),
+        (UNIX_MS - decide::claim::CLAIM_WINDOW_MS - 1, ClaimOutcome::Old),
+        (UNIX_MS + decide::claim::MAX_CLOCK_ERROR_MS + 1, ClaimOutcome::Future),
     ];
     for (at, want) in cases {
         let mut c = Committer::default();
-        let ask = ClaimAsk { key: Key::new(at, 1), request: "r".into() };
+        let ask = ClaimRequest { key: Key::new(at, 1), request: "r".into() };
         let expires = Time::from_millis(100);
         let out =
             c.handle_event(Time::ZERO, Event::Claim { ask, ticket: 9, unix_ms: UNIX_MS, expires });
@@ -322,7 +322,7 @@
         for i in 0..rate {
             let at = Time(i * 1_000_000 / rate);
             let ms = UNIX_MS + at.0 / 1000;
-            let ask = ClaimAsk {
+            let ask = ClaimRequest {
                 key: Key::new(ms, u128::from(i) * 0x9e37_79b9_7f4a_7c15),
                 request: format!("r{i}").into(),
             };
@@ -335,7 +335,7 @@
             for action in c.handle_event(at, event) {
                 let event = match action {
                     Action::Answer { end, .. } => {
-                        won += u64::from(end == ClaimEnd::Won);
+                        won += u64::from(end == ClaimOutcome::Won);
                         continue;
                     }
                     Action::ReadFloor => Event::Floor(Some(0)),
--- a/crates/decide/tests/config.rs
+++ b/crates/decide/tests/config.rs
@@ -12,7 +12,7 @@
 };
 use decide::rng::Rng;
 use model::manifest::{Chunk, Manifest};
-use model::object::{Pipeline, Pool, Role, Set, Spec, Stage, Workspace};
+use model::object::{ObjectSet, Pipeline, Pool, Role, Spec, Stage, Workspace};
 use model::status::Status;
 use model::{Name, Time};
 use proptest::prelude::*;
@@ -94,8 +94,8 @@
         out
     }
 
-    fn set(&self, number: u64) -> Set {
-        let mut set = Set::default();
+    fn set(&self, number: u64) -> ObjectSet {
+        let mut set = ObjectSet::default();
         for (key, (_, spec)) in self.items(number) {
             if let (Some((_, name)), Some(spec)) = (key.split_once('/'), spec) {
                 set.insert(name.into(), spec);
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -10,7 +10,9 @@
 use decide::fleet::{Fleet, Home, Observation, PickCriteria, Regions, Terms, home_weights};
 use decide::region::Map;
 use decide::rng::Rng;
-use model::forward::{Allowed, NamedLimit, PromptPart, ReportedLoad, Target, TargetId, TargetLoad};
+use model::forward::{
+    Allowed, PromptPart, ReportedLimit, ReportedLoad, Target, TargetId, TargetLoad,
+};
 use support::{at, target, wanted};
 
 fn fleet(n: usize) -> Fleet {
@@ -284,7 +286,7 @@
         fleet.pick_by_wait(wanted(&[]), at(ms), &mut rng).map(|t| t.id.name.to_string())
     };
     assert_eq!(chosen(&fleet, 5_000).as_deref(), Some("t1"), "names no limit");
-    fleet.record_limit(&id, NamedLimit::PerSecond(1.0), at(5_000), at(5_010));
+    fleet.record_limit(&id, ReportedLimit::PerSecond(1.0), at(5_000), at(5_010));
     assert_eq!(chosen(&fleet, 7_000).as_deref(), Some("t1"), "answered a moment ago");
     assert_eq!(chosen(&fleet, 7_010).as_deref(), Some("t0"));
     fleet.limits_mut().request_permit(&id, at(7_010));
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -9,7 +9,7 @@
 use decide::load::{LoadTable, poll_rank};
 use decide::retry::{RetryBudget, backoff};
 use decide::rng::Rng;
-use model::load::Report;
+use model::load::TargetReport;
 use model::object::Priority;
 use model::outcome::Reason;
 use model::{Name, Time};
@@ -282,12 +282,12 @@
 #[test]
 fn only_significant_load_changes_are_gossiped_and_stale_ones_are_dropped() {
     let name: Name = "t1".into();
-    let report = |wait: u32, seq: u64, leaving: bool| Report {
+    let report = |wait: u32, seq: u64, leaving: bool| TargetReport {
         target: name.clone(),
         wait,
         seq,
         leaving,
-        ..Report::default()
+        ..TargetReport::default()
     };
     let mut a = LoadTable::default();
     let mut b = LoadTable::default();
--- a/crates/decide/tests/permit.rs
+++ b/crates/decide/tests/permit.rs
@@ -6,7 +6,7 @@
     Grant, LimitChange, LimitObservation, Limits, PermitIssuer, RetryPacer, issue_rate,
 };
 use model::Time;
-use model::forward::{LimitWord, NamedLimit, TargetId};
+use model::forward::{LimitReport, ReportedLimit, TargetId};
 use proptest::prelude::*;
 
 /// Window over which the platform counts the requests to a target.
@@ -141,7 +141,7 @@
         let change = limits.record(&id, report, at(sent), at(received));
         (change, limits.get(&id))
     };
-    use NamedLimit::{None as Unnamed, PerSecond, Unreadable};
+    use ReportedLimit::{None as Unnamed, PerSecond, Unreadable};
     assert_eq!(record(Unnamed, 0, 10), (None, None));
     assert_eq!(record(PerSecond(2.0), 10, 20), (Some(LimitChange::Named(2.0)), Some(2.0)));
     assert_eq!(record(Unnamed, 15, 30), (None, Some(2.0)), "sent before the limit was observed");
@@ -156,10 +156,10 @@
 #[test]
 fn limit_ends_despite_overlapping_requests() {
     let (mut limits, id) = (Limits::default(), target());
-    limits.record(&id, NamedLimit::PerSecond(50.0), at(0), at(100));
+    limits.record(&id, ReportedLimit::PerSecond(50.0), at(0), at(100));
     let ended = (0..).find(|n| {
         let sent = at(20 * n);
-        limits.record(&id, NamedLimit::None, sent, sent + Duration::from_millis(100));
+        limits.record(&id, ReportedLimit::None, sent, sent + Duration::from_millis(100));
         limits.get(&id).is_none()
     });
     assert_eq!(ended, Some(5), "the first one sent after the limit was observed");
@@ -169,12 +169,12 @@
 fn old_observations_of_peers_have_no_effect() {
     let (mut limits, id) = (Limits::default(), target());
     let from_peer = |per_s, sent_ms, came_ms, now| {
-        LimitObservation::from_peer(&LimitWord { per_s, sent_ms, came_ms }, at(now))
+        LimitObservation::from_peer(&LimitReport { per_s, sent_ms, came_ms }, at(now))
     };
-    limits.record(&id, NamedLimit::PerSecond(1.0), at(1000), at(1100));
-    limits.record(&id, NamedLimit::None, at(2000), at(2100));
+    limits.record(&id, ReportedLimit::PerSecond(1.0), at(1000), at(1100));
+    limits.record(&id, ReportedLimit::None, at(2000), at(2100));
     assert_eq!(limits.merge(&id, from_peer(Some(1.0), 2400, 2300, 3400)), None, "already ended");
-    limits.record(&id, NamedLimit::PerSecond(1.0), at(5000), at(5100));
+    limits.record(&id, ReportedLimit::PerSecond(1.0), at(5000), at(5100));
     // Sent before the limit was named; reported as soon as the answer arrived, but 0.7 s in
     // transit.
     assert_eq!(limits.merge(&id, from_peer(None, 200, 0, 5800)), None, "transit time counts");
--- a/crates/decide/tests/place.rs
+++ b/crates/decide/tests/place.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use decide::place::{Placer, View};
-use model::load::{Report, TargetNews};
-use model::object::{Drain, Model, Pool, Role, Set, Target};
+use model::load::{TargetReport, TargetStatus};
+use model::object::{Drain, Model, ObjectSet, Pool, Role, Target};
 use model::order::{Order, Task};
 use model::{Name, Time};
 
 struct World {
-    set: Set,
-    reports: BTreeMap<Name, TargetNews>,
+    set: ObjectSet,
+    reports: BTreeMap<Name, TargetStatus>,
     leaving: BTreeSet<Name>,
     domain: Name,
     placer: Placer,
@@ -34,15 +34,15 @@
             fenced: true,
             targets: (0..targets).map(target).collect(),
         };
-        let mut set = Set::default();
+        let mut set = ObjectSet::default();
         let model = Model { pool: "engines".into(), version: "v1".into(), replicas };
         set.pools.insert("engines".into(), pool);
         set.models.insert("m".into(), model);
         let report = |i: usize| {
             let target: Name = format!("e{i}").into();
             let models = if held.is_empty() { Vec::new() } else { vec![held.into()] };
-            let report = Report { target: target.clone(), models, ..Report::default() };
-            (target, TargetNews { report, seq: 1, ready: true, polled: true })
+            let report = TargetReport { target: target.clone(), models, ..TargetReport::default() };
+            (target, TargetStatus { report, seq: 1, ready: true, polled: true })
         };
         World {
             set,
@@ -76,7 +76,7 @@
     }
 
     fn serving(&self, any_of: &[&str]) -> usize {
-        let serves = |n: &&TargetNews| {
+        let serves = |n: &&TargetStatus| {
             !n.report.leaving && n.report.models.iter().any(|m| any_of.contains(&&**m))
         };
         self.reports.values().filter(serves).count()
--- a/crates/decide/tests/prefill.rs
+++ b/crates/decide/tests/prefill.rs
@@ -42,7 +42,7 @@
 
 fn order(engines: usize, home: u64) -> Vec<TargetId> {
     let mut order: Vec<TargetId> = (0..engines).map(engine).collect();
-    order.sort_by_key(|e| hash::mix(home, hash::of(e.name.as_bytes())));
+    order.sort_by_key(|e| hash::mix(home, hash::hash64(e.name.as_bytes())));
     order
 }
 
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -147,18 +147,18 @@
     assert!(q.is_empty());
 }
 
-fn empty_report(n: u8) -> model::forward::SuspectNews {
-    model::forward::SuspectNews {
+fn empty_report(n: u8) -> model::forward::SuspectReport {
+    model::forward::SuspectReport {
         request: request(n),
         service: "plain".into(),
-        ends: Vec::new(),
+        crashes: Vec::new(),
         tries: 0,
         tried_ms: 0,
         came_ms: 0,
     }
 }
 
-fn report_of(q: &Quarantine) -> Vec<model::forward::SuspectNews> {
+fn report_of(q: &Quarantine) -> Vec<model::forward::SuspectReport> {
     q.missing_from(&[empty_report(1)], at(2))
 }
 
--- a/crates/decide/tests/region_spill.rs
+++ b/crates/decide/tests/region_spill.rs
@@ -147,12 +147,12 @@
             // The probe gets no answer.
             let region = self.regions[to].name.clone();
             self.regions[i].spill.remove_region(&region);
-            let order = BatchOrder { spilled: true, ..order.later(ms(2 * CROSSING)) };
+            let order = BatchOrder { spilled: true, ..order.with_elapsed(ms(2 * CROSSING)) };
             return self.receive(i, from, due, order);
         }
         if let Some(to) = chosen {
             self.regions[i].spilled_at.push(self.now);
-            let order = BatchOrder { spilled: true, ..order.later(ms(CROSSING)) };
+            let order = BatchOrder { spilled: true, ..order.with_elapsed(ms(CROSSING)) };
             self.messages.push((self.now + CROSSING, to, Message::Order { from, due, order }));
             return;
         }
--- a/crates/decide/tests/request.rs
+++ b/crates/decide/tests/request.rs
@@ -7,10 +7,10 @@
 use decide::request::{Action, Event, Plan, RequestMachine, RetryPolicy, StepPlan};
 use decide::rng::Rng;
 use model::attempt::{Attempt, Frame};
-use model::claim::ClaimEnd;
+use model::claim::ClaimOutcome;
 use model::hash::Digest;
 use model::key::Key;
-use model::outcome::{Final, Outcome, Reason};
+use model::outcome::{Outcome, Reason, RequestReport};
 use model::{Name, Time};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -101,7 +101,7 @@
         self.handle(Event::Tick);
     }
 
-    fn end(&self) -> Option<&Final> {
+    fn end(&self) -> Option<&RequestReport> {
         self.actions.iter().find_map(|a| match a {
             Action::Finish(end) => Some(end),
             _ => None,
@@ -200,7 +200,7 @@
     for (name, event) in cases {
         let mut h = Harness::new(plan(vec![step("pay", false, false)], false));
         h.handle(Event::Start);
-        h.handle(Event::Claim(ClaimEnd::Won));
+        h.handle(Event::Claim(ClaimOutcome::Won));
         h.handle(Event::TargetPicked("p1".into()));
         h.handle(event);
         h.advance(1000);
@@ -210,7 +210,7 @@
     // Certainly not sent, so another target may be tried.
     let mut h = Harness::new(plan(vec![step("pay", false, false)], false));
     h.handle(Event::Start);
-    h.handle(Event::Claim(ClaimEnd::Won));
+    h.handle(Event::Claim(ClaimOutcome::Won));
     h.handle(Event::TargetPicked("p1".into()));
     let reason = Reason::Unreachable("refused".into());
     h.handle(Event::NotSent { attempt: attempt(0, 0), reason });
@@ -223,11 +223,11 @@
 #[test]
 fn a_failed_claim_ends_the_request_without_a_send() {
     let cases = [
-        (ClaimEnd::Lost("r0".into()), Outcome::Unknown),
-        (ClaimEnd::Old, Outcome::NotRun),
-        (ClaimEnd::Future, Outcome::NotRun),
-        (ClaimEnd::Failed, Outcome::NotRun),
-        (ClaimEnd::Doubt, Outcome::NotRun),
+        (ClaimOutcome::Lost("r0".into()), Outcome::Unknown),
+        (ClaimOutcome::Old, Outcome::NotRun),
+        (ClaimOutcome::Future, Outcome::NotRun),
+        (ClaimOutcome::Failed, Outcome::NotRun),
+        (ClaimOutcome::Doubt, Outcome::NotRun),
     ];
     for (end, outcome) in cases {
         let mut h = Harness::new(plan(vec![step("pay", false, false)], false));
@@ -318,7 +318,7 @@
     pending: Vec<Event>,
     run_counts: Vec<usize>,
     emitted: Vec<String>,
-    finals: Vec<Final>,
+    finals: Vec<RequestReport>,
     claimed: bool,
     sent: BTreeSet<Attempt>,
     fault_rate: f64,
@@ -370,10 +370,10 @@
         assert!(self.finals.is_empty(), "action after the end: {action:?}");
         match action {
             Action::Claim(_) => {
-                let ends = [ClaimEnd::Won, ClaimEnd::Lost("x".into()), ClaimEnd::Doubt];
+                let ends = [ClaimOutcome::Won, ClaimOutcome::Lost("x".into()), ClaimOutcome::Doubt];
                 let end = ends[self.rng.below(30).min(2)].clone();
-                let end = if self.rng.below(4) > 0 { ClaimEnd::Won } else { end };
-                self.claimed = end == ClaimEnd::Won;
+                let end = if self.rng.below(4) > 0 { ClaimOutcome::Won } else { end };
+                self.claimed = end == ClaimOutcome::Won;
                 return Some(Event::Claim(end));
             }
             Action::PickTarget { .. } => {
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -5,7 +5,7 @@
 use decide::load::LoadTable;
 use decide::rng::Rng;
 use decide::route::{PolicyKind, PoolTable, RouteQuery, TargetInfo, make_policy};
-use model::load::{Report, TargetNews};
+use model::load::{TargetReport, TargetStatus};
 use model::{Name, Time};
 
 const NOW: Time = Time::from_millis(10_000);
@@ -34,9 +34,9 @@
     Some(t.slots()[i].info.name.clone())
 }
 
-fn report(name: &str, seq: u64) -> TargetNews {
-    let report = Report { target: name.into(), seq, ..Report::default() };
-    TargetNews { report, seq, ready: true, polled: true }
+fn report(name: &str, seq: u64) -> TargetStatus {
+    let report = TargetReport { target: name.into(), seq, ..TargetReport::default() };
+    TargetStatus { report, seq, ready: true, polled: true }
 }
 
 const ALL: [PolicyKind; 7] = [
@@ -77,7 +77,7 @@
     for kind in ALL {
         let mut t = table(4, |_| 0);
         t.mark_leaving("t0");
-        let down = TargetNews { ready: false, ..report("t1", 1) };
+        let down = TargetStatus { ready: false, ..report("t1", 1) };
         t.update(NOW, &down);
         for (name, model) in [("t2", "m@v1"), ("t3", "m@v2")] {
             let mut n = report(name, 1);
@@ -98,7 +98,7 @@
     let (name, wanted) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..query(0) });
     let mut board = LoadTable::default();
     board.set_targets([name.clone()].iter());
-    let polled = Report { target: name.clone(), seq: 1, ..Report::default() };
+    let polled = TargetReport { target: name.clone(), seq: 1, ..TargetReport::default() };
     let rumor = board.record_poll(polled).expect("a new report");
     let holds_none = board.get("t0").expect("polled").clone();
     let mut elsewhere = LoadTable::default();
--- a/crates/dev/src/ask.rs
+++ b/crates/dev/src/ask.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, header};
-use model::answer::Piece;
-use model::outcome::{Final, Outcome};
+use model::answer::ChunkEvent;
+use model::outcome::{Outcome, RequestReport};
 use util::http::{Client, Lines};
 
 use crate::examples::REQUEST;
@@ -51,7 +51,7 @@
             continue;
         };
         if event == "chunk" {
-            let piece: Piece = serde_json::from_str(data)?;
+            let piece: ChunkEvent = serde_json::from_str(data)?;
             print!("{}", piece.text);
             std::io::stdout().flush()?;
         } else {
@@ -61,7 +61,7 @@
     anyhow::bail!("the answer ended without its last event")
 }
 
-fn report(end: Final) -> anyhow::Result<()> {
+fn report(end: RequestReport) -> anyhow::Result<()> {
     println!("\n\n{:<10} {:<14} {:>9} {:>9} {:>12}", "step", "target", "attempts", "ms", "cost");
     for s in &end.steps {
         println!(
--- a/crates/dev/src/stack.rs
+++ b/crates/dev/src/stack.rs
@@ -89,7 +89,7 @@
 impl Stack {
     /// Starts all parts on free loopback ports.
     pub async fn start(options: Options) -> anyhow::Result<Stack> {
-        let (stopper, stop) = stop::pair();
+        let (stopper, stop) = stop::channel();
         let (store, api, task) = standin::run::start_api(ANY, stop.clone()).await?;
         let mut stack = Stack {
             store,
--- a/crates/dev/tests/common/mod.rs
+++ b/crates/dev/tests/common/mod.rs
@@ -11,10 +11,10 @@
 use dev::{Options, Stack};
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, Response, body::Incoming};
-use model::answer::{Answer, Piece};
+use model::answer::{Answer, ChunkEvent};
 use model::claim::Claims;
 use model::key::Key;
-use model::outcome::{Final, Outcome};
+use model::outcome::{Outcome, RequestReport};
 use serde_json::{Value, json};
 use util::http::{Client, Lines};
 
@@ -203,7 +203,7 @@
     if let Ok(answer) = serde_json::from_slice::<Answer>(&bytes) {
         seen.text = answer.text;
         end(seen, answer.end);
-    } else if let Ok(last) = serde_json::from_slice::<Final>(&bytes) {
+    } else if let Ok(last) = serde_json::from_slice::<RequestReport>(&bytes) {
         end(seen, last);
     } else {
         let problem: Value = serde_json::from_slice(&bytes).expect("JSON");
@@ -235,7 +235,7 @@
             continue;
         };
         if event == "chunk" {
-            let piece: Piece = serde_json::from_str(data).expect("a piece");
+            let piece: ChunkEvent = serde_json::from_str(data).expect("a piece");
             assert_eq!(piece.seq, next, "pieces have no gaps");
             next += 1;
             seen.text.push_str(&piece.text);
@@ -245,7 +245,7 @@
     }
 }
 
-fn end(seen: &mut CallRecord, last: Final) {
+fn end(seen: &mut CallRecord, last: RequestReport) {
     seen.request = Some(last.request);
     seen.outcomes.push(last.outcome);
 }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -11,11 +11,11 @@
 use kameo::Actor;
 use kameo::actor::{ActorRef, Spawn};
 use kameo::message::{Context, Message};
-use model::claim::{ClaimAsk, ClaimEnd, Claims, FLOOR, Floor};
+use model::claim::{ClaimOutcome, ClaimRequest, Claims, FLOOR, Floor};
 use model::store::kind;
 use model::view::path;
 use model::{Name, Time, hash};
-use store::{Budgeted, ErrorKind, Reason, Store};
+use store::{BudgetedStore, ErrorKind, Reason, Store};
 use tokio::sync::oneshot;
 use util::clock::{Clock, unix_ms};
 
@@ -32,22 +32,22 @@
 
 impl ClaimDesk {
     /// A desk over a store; without one every claim fails.
-    pub fn new(store: Option<Arc<Budgeted>>, clock: Clock) -> Self {
+    pub fn new(store: Option<Arc<BudgetedStore>>, clock: Clock) -> Self {
         let keeper = store.map(|store| Keeper::spawn(KeeperArgs { store, clock }));
         ClaimDesk { keeper }
     }
 
     /// Claims at the shard's home node, else here.
-    pub async fn claim(&self, core: &Core, ask: ClaimAsk, until: Time) -> ClaimEnd {
-        let object = ask.key.object();
+    pub async fn claim(&self, core: &Core, ask: ClaimRequest, until: Time) -> ClaimOutcome {
+        let object = ask.key.claim_object();
         let members = core.members.load();
         let home = hash::rendezvous(&object, members.iter().map(|m| &m.id.name), 1);
         let home = home.first().filter(|h| **h != core.settings.name);
         if let Some(node) = home.and_then(|h| members.iter().find(|m| m.id.name == *h)) {
             let peer = node.entry.to_string();
-            let call = core.client.rmp::<_, ClaimEnd>(&peer, path::CLAIM, &ask, HOME_WAIT);
+            let call = core.client.rmp::<_, ClaimOutcome>(&peer, path::CLAIM, &ask, HOME_WAIT);
             match call.await {
-                Ok(end) if end != ClaimEnd::Failed => return end,
+                Ok(end) if end != ClaimOutcome::Failed => return end,
                 Ok(_) => {}
                 Err(e) => log::debug!("claim: home did not answer: {e}"),
             }
@@ -56,38 +56,38 @@
     }
 
     /// Claims by this node's own write.
-    pub async fn commit(&self, ask: ClaimAsk, until: Time) -> ClaimEnd {
+    pub async fn commit(&self, ask: ClaimRequest, until: Time) -> ClaimOutcome {
         let Some(keeper) = &self.keeper else {
-            return ClaimEnd::Failed;
+            return ClaimOutcome::Failed;
         };
         let (answer, end) = oneshot::channel();
         if keeper.tell(Want { ask, until, answer }).await.is_err() {
-            return ClaimEnd::Failed;
+            return ClaimOutcome::Failed;
         }
-        end.await.unwrap_or(ClaimEnd::Doubt)
+        end.await.unwrap_or(ClaimOutcome::Doubt)
     }
 }
 
 /// What the keeper starts with.
 pub struct KeeperArgs {
-    store: Arc<Budgeted>,
+    store: Arc<BudgetedStore>,
     clock: Clock,
 }
 
 struct Want {
-    ask: ClaimAsk,
+    ask: ClaimRequest,
     until: Time,
-    answer: oneshot::Sender<ClaimEnd>,
+    answer: oneshot::Sender<ClaimOutcome>,
 }
 
 struct Happened(Event);
 
 /// Wraps the [`Committer`].
 pub struct Keeper {
-    store: Arc<Budgeted>,
+    store: Arc<BudgetedStore>,
     clock: Clock,
     committer: Committer,
-    answers: HashMap<u64, oneshot::Sender<ClaimEnd>>,
+    answers: HashMap<u64, oneshot::Sender<ClaimOutcome>>,
     ticket: u64,
     tick: Option<Time>,
 }
@@ -165,8 +165,8 @@
     }
 }
 
-async fn perform(store: &Budgeted, action: Action) -> Event {
-    let store = store.with(Reason::Claim);
+async fn perform(store: &BudgetedStore, action: Action) -> Event {
+    let store = store.for_reason(Reason::Claim);
     match action {
         Action::Read(object) => {
             let found = read(&store, &object).await;
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -7,12 +7,12 @@
 
 use decide::request::{Action, Event, Plan, RequestMachine, RetryPolicy};
 use decide::route::{RouteQuery, prefix};
-use model::answer::Piece;
+use model::answer::ChunkEvent;
 use model::attempt::{Attempt, Call, Frame};
-use model::claim::{ClaimAsk, ClaimEnd};
+use model::claim::{ClaimOutcome, ClaimRequest};
 use model::key::Key;
 use model::object::{Pipeline, Priority};
-use model::outcome::Final;
+use model::outcome::RequestReport;
 use model::{Name, Time};
 use serde_json::{Map, Value, json};
 use tokio::sync::mpsc;
@@ -56,9 +56,9 @@
 #[derive(Debug)]
 pub enum Out {
     /// A piece of the last step's text.
-    Piece(Piece),
+    Piece(ChunkEvent),
     /// The end, with the whole text where it is complete.
-    End(Box<Final>, String),
+    End(Box<RequestReport>, String),
 }
 
 struct Flight {
@@ -111,7 +111,7 @@
         expires: job.until,
         key: job.key,
         streamed: job.streamed,
-        seed: model::hash::of(job.request.as_bytes()),
+        seed: model::hash::hash64(job.request.as_bytes()),
     };
     let now = core.clock.now();
     let (told, mut hear) = mpsc::unbounded_channel();
@@ -258,10 +258,10 @@
         }
     }
 
-    async fn claim(&mut self, key: Key) -> ClaimEnd {
+    async fn claim(&mut self, key: Key) -> ClaimOutcome {
         let now = self.core.clock.now();
         let until = self.job.until.min(now + CLAIM_WAIT);
-        let ask = ClaimAsk { key, request: self.job.request.clone() };
+        let ask = ClaimRequest { key, request: self.job.request.clone() };
         self.core.claims.claim(&self.core, ask, until).await
     }
 
@@ -271,7 +271,7 @@
         let Some(pool) = self.core.fleet.pool(&stage.pool) else {
             return none;
         };
-        let model = stage.model.as_ref().and_then(|m| self.config.set.wanted(m));
+        let model = stage.model.as_ref().and_then(|m| self.config.set.wanted_version(m));
         let left = self.core.fleet.step_budget(&self.job.pipeline, step, now, self.job.deadline);
         let budget = left.as_secs_f64() * 1e3;
         let model = model.as_deref();
@@ -361,7 +361,7 @@
         }
     }
 
-    async fn finish(&mut self, end: Final) {
+    async fn finish(&mut self, end: RequestReport) {
         for (_, f) in self.flights.drain() {
             f.pool.lock().table.record_cancel(&f.target);
         }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -11,8 +11,8 @@
 use decide::request::StepPlan;
 use decide::retry::RetryBudget;
 use decide::route::{Policy, PolicyKind, PoolTable, RouteQuery, TargetInfo, make_policy};
-use model::load::TargetNews;
-use model::object::{Pipeline, Role, Set};
+use model::load::TargetStatus;
+use model::object::{ObjectSet, Pipeline, Role};
 use model::{Name, Time};
 
 /// Most steps of a pipeline.
@@ -24,7 +24,7 @@
     /// Manifest.
     pub number: u64,
     /// Objects.
-    pub set: Set,
+    pub set: ObjectSet,
 }
 
 /// One pool's table, policy and retry budget.
@@ -124,7 +124,7 @@
         self.mark_leaving(leaving);
     }
 
-    fn rebuild(&self, set: &Set) {
+    fn rebuild(&self, set: &ObjectSet) {
         let mut pools = self.pools.write().expect("no panic while held");
         let mut owners = HashMap::new();
         let mut next = HashMap::new();
@@ -139,7 +139,10 @@
                 Some(old) if old.role == spec.role => old.inner.clone(),
                 _ => Arc::new(Mutex::new(PoolInner {
                     table: PoolTable::default(),
-                    policy: make_policy(self.policy, self.seed ^ model::hash::of(name.as_bytes())),
+                    policy: make_policy(
+                        self.policy,
+                        self.seed ^ model::hash::hash64(name.as_bytes()),
+                    ),
                     budget: RetryBudget::default(),
                 })),
             };
@@ -165,7 +168,7 @@
     }
 
     /// Takes news of a target.
-    pub fn hear(&self, now: Time, news: &TargetNews) {
+    pub fn hear(&self, now: Time, news: &TargetStatus) {
         let owner =
             self.owners.read().expect("no panic while held").get(&news.report.target).cloned();
         if let Some(pool) = owner.and_then(|o| self.pool(&o)) {
--- a/crates/entry/src/front/mod.rs
+++ b/crates/entry/src/front/mod.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use model::answer::Answer;
-use model::outcome::{Final, Outcome, Reason, StepError};
+use model::outcome::{Outcome, Reason, RequestReport, StepError};
 use tokio::sync::mpsc;
 use util::http::{Body, Handler, full, stream, text};
 
@@ -88,9 +88,9 @@
 }
 
 /// Rate, then a turn; the error is the request's final word.
-async fn admit(core: &Core, job: &Job) -> Result<(), Final> {
+async fn admit(core: &Core, job: &Job) -> Result<(), RequestReport> {
     let now = core.clock.now();
-    let refuse = |reason: Reason, retry_after: Option<u64>| Final {
+    let refuse = |reason: Reason, retry_after: Option<u64>| RequestReport {
         request: job.request.clone(),
         outcome: Outcome::NotRun,
         error: Some(StepError { step: "admission".into(), peer: None, reason }),
--- a/crates/entry/src/front/reply.rs
+++ b/crates/entry/src/front/reply.rs
@@ -3,7 +3,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode, header};
 use model::answer::Answer;
-use model::outcome::{Final, OUTCOME_HEADER, Outcome, Reason};
+use model::outcome::{OUTCOME_HEADER, Outcome, Reason, RequestReport};
 use serde_json::json;
 use util::http::{Body, json as json_body};
 
@@ -27,7 +27,7 @@
 }
 
 /// How a request ended that is not complete.
-pub fn ended(end: &Final) -> Response<Body> {
+pub fn ended(end: &RequestReport) -> Response<Body> {
     mark(json_body(status(end), end), end.outcome, end.retry_after)
 }
 
@@ -45,7 +45,7 @@
     response
 }
 
-fn status(end: &Final) -> StatusCode {
+fn status(end: &RequestReport) -> StatusCode {
     let reason = end.error.as_ref().map(|e| &e.reason);
     match (end.outcome, reason) {
         (Outcome::Complete, _) => StatusCode::OK,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-use model::outcome::Final;
+use model::outcome::RequestReport;
 use prometheus_client::encoding::{EncodeLabelSet, text::encode};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -69,7 +69,7 @@
     }
 
     /// A request ended, perhaps before it ran.
-    pub fn ended(&self, pipeline: &str, workspace: &str, end: &Final) {
+    pub fn ended(&self, pipeline: &str, workspace: &str, end: &RequestReport) {
         let labels = RequestLabels {
             pipeline: pipeline.into(),
             workspace: workspace.into(),
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -12,7 +12,7 @@
 use model::Name;
 use model::member::Node;
 use model::view::{Refusal, path};
-use store::{Budgeted, HttpStore};
+use store::{BudgetedStore, HttpStore};
 use tokio::task::JoinHandle;
 use util::clock::Clock;
 use util::http::{Client, Server};
@@ -154,7 +154,7 @@
         let start = rand::random::<u64>();
         let store = settings.store.as_ref().map(|address| {
             let http = HttpStore::new(client.clone(), address.as_str().into());
-            Arc::new(Budgeted::new(Box::new(http), settings.store_rate))
+            Arc::new(BudgetedStore::new(Box::new(http), settings.store_rate))
         });
         let fleet = Fleet::new(settings.domain.clone(), &settings.near, settings.policy, start);
         let gate = AdmissionQueue::new(settings.width, settings.depth);
@@ -180,8 +180,8 @@
 impl Running {
     fn start(core: Arc<Core>, front_server: Server, peer_server: Server) -> Running {
         let (callers, peers) = (front_server.address(), peer_server.address());
-        let (front, front_stop) = stop::pair();
-        let (side, side_stop) = stop::pair();
+        let (front, front_stop) = stop::channel();
+        let (side, side_stop) = stop::channel();
         let servers = vec![
             tokio::spawn(front_server.run(Arc::new(Front(core.clone())), front_stop)),
             tokio::spawn(peer_server.run(Arc::new(PeerSide(core.clone())), side_stop)),
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -5,8 +5,8 @@
 
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use model::claim::ClaimAsk;
-use model::view::{LendAsk, path};
+use model::claim::ClaimRequest;
+use model::view::{LendRequest, path};
 use util::http::{Body, Handler, read_rmp, rmp, text};
 
 use crate::node::Core;
@@ -26,13 +26,13 @@
         let now = core.clock.now();
         match request.uri().path() {
             path::CLAIM => {
-                let Some(ask) = read_rmp::<ClaimAsk>(request, MESSAGE_MAX).await else {
+                let Some(ask) = read_rmp::<ClaimRequest>(request, MESSAGE_MAX).await else {
                     return text(StatusCode::BAD_REQUEST, "not a claim");
                 };
                 rmp(&core.claims.commit(ask, now + CLAIM_WAIT).await)
             }
             path::LEND => {
-                let Some(ask) = read_rmp::<LendAsk>(request, MESSAGE_MAX).await else {
+                let Some(ask) = read_rmp::<LendRequest>(request, MESSAGE_MAX).await else {
                     return text(StatusCode::BAD_REQUEST, "not a lend request");
                 };
                 let nodes = core.members.load().len();
--- a/crates/entry/src/rates.rs
+++ b/crates/entry/src/rates.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use decide::limit::{LentSlice, RateLender, RateSlice};
-use model::view::{LendAsk, Lent, path};
+use model::view::{LendRequest, LentRate, path};
 use model::{Name, Time, hash};
 
 use crate::node::Core;
@@ -41,17 +41,17 @@
     }
 
     /// Lends as the home of a workspace.
-    pub fn lend(&self, now: Time, ask: &LendAsk, rate: f64, nodes: usize) -> Lent {
+    pub fn lend(&self, now: Time, ask: &LendRequest, rate: f64, nodes: usize) -> LentRate {
         let mut homes = self.homes.lock().expect("no panic while held");
         let key = (ask.workspace.clone(), ask.pipeline.clone());
         let home = homes.entry(key).or_insert_with(|| RateLender::new(rate));
         home.set_rate(rate);
-        Lent { rate: home.lend(now, &ask.node, ask.demand, nodes).rate }
+        LentRate { rate: home.lend(now, &ask.node, ask.demand, nodes).rate }
     }
 
-    fn asks(&self, now: Time, node: &Name) -> Vec<LendAsk> {
+    fn asks(&self, now: Time, node: &Name) -> Vec<LendRequest> {
         let mut slices = self.slices.lock().expect("no panic while held");
-        let ask = |((workspace, pipeline), slice): (&LimitKey, &mut RateSlice)| LendAsk {
+        let ask = |((workspace, pipeline), slice): (&LimitKey, &mut RateSlice)| LendRequest {
             workspace: workspace.clone(),
             pipeline: pipeline.clone(),
             node: node.clone(),
@@ -60,7 +60,7 @@
         slices.iter_mut().map(ask).collect()
     }
 
-    fn lent(&self, now: Time, sent: Time, ask: &LendAsk, lent: Lent) {
+    fn lent(&self, now: Time, sent: Time, ask: &LendRequest, lent: LentRate) {
         let mut slices = self.slices.lock().expect("no panic while held");
         let key = (ask.workspace.clone(), ask.pipeline.clone());
         if let Some(s) = slices.get_mut(&key) {
@@ -90,7 +90,7 @@
     }
 }
 
-async fn ask_home(core: &Core, ask: &LendAsk) -> Option<Lent> {
+async fn ask_home(core: &Core, ask: &LendRequest) -> Option<LentRate> {
     let members = core.members.load();
     let home = hash::rendezvous(&ask.workspace, members.iter().map(|m| &m.id.name), 1);
     let home = home.first()?;
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -7,7 +7,7 @@
 use decide::config::{Follower, FollowerAction, FollowerEvent, Source};
 use follow::Fetcher;
 use model::Name;
-use model::view::{View, ViewAsk, path};
+use model::view::{View, ViewRequest, path};
 
 use crate::node::Core;
 
@@ -23,7 +23,7 @@
     let mut changes = 0;
     let mut up = true;
     loop {
-        let ask = ViewAsk { changes };
+        let ask = ViewRequest { changes };
         let view = core.client.rmp::<_, View>(&control, path::VIEW, &ask, WAIT).await;
         match view {
             Ok(view) => {
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -8,8 +8,8 @@
 use model::Name;
 use model::manifest::{Delta, Manifest, NAME};
 use model::store::kind;
-use model::view::{Chunks, ChunksAsk, DeltaAsk, path};
-use store::{Budgeted, Reason, Store};
+use model::view::{Chunks, ChunksRequest, DeltaRequest, path};
+use store::{BudgetedStore, Reason, Store};
 use util::http::Client;
 
 /// Timeout of a call to a peer.
@@ -21,12 +21,12 @@
 #[derive(Clone)]
 pub struct Fetcher {
     client: Client,
-    store: Option<Arc<Budgeted>>,
+    store: Option<Arc<BudgetedStore>>,
 }
 
 impl Fetcher {
     /// Creates a fetcher; without a store, fetches from it fail.
-    pub fn new(client: Client, store: Option<Arc<Budgeted>>) -> Self {
+    pub fn new(client: Client, store: Option<Arc<BudgetedStore>>) -> Self {
         Fetcher { client, store }
     }
 
@@ -53,7 +53,7 @@
     }
 
     async fn fetch_delta(&self, peer: Name, have: u64) -> Vec<FollowerEvent> {
-        let ask = DeltaAsk { have };
+        let ask = DeltaRequest { have };
         let result = self.client.rmp::<_, Delta>(&peer, path::DELTA, &ask, PEER_TIMEOUT).await;
         let from = Source::Peer(peer);
         match result {
@@ -71,7 +71,7 @@
             let texts = match &from {
                 Source::Store => self.read_store_chunks(part).await,
                 Source::Peer(peer) => {
-                    let ask = ChunksAsk { hashes: part.to_vec() };
+                    let ask = ChunksRequest { hashes: part.to_vec() };
                     let call = self.client.rmp::<_, Chunks>(peer, path::CHUNKS, &ask, PEER_TIMEOUT);
                     call.await.ok().map(|c| c.texts)
                 }
@@ -98,8 +98,8 @@
 }
 
 /// Reads the manifest and the version of its object; `None` if that failed.
-pub async fn read_manifest(store: &Budgeted) -> Option<(u64, Manifest)> {
-    let stored = store.with(Reason::Config).get(kind::MANIFEST, NAME).await;
+pub async fn read_manifest(store: &BudgetedStore) -> Option<(u64, Manifest)> {
+    let stored = store.for_reason(Reason::Config).get(kind::MANIFEST, NAME).await;
     let stored = stored.map_err(|e| log::debug!("config: {e}")).ok()?;
     match stored.value {
         Some(v) => Some((stored.version, serde_json::from_value(v).ok()?)),
@@ -109,7 +109,7 @@
 
 /// Reads the text of a chunk. It is stored as one JSON string, so that its bytes keep matching the
 /// content address.
-pub async fn read_chunk(store: &Budgeted, hash: &str) -> Option<Arc<str>> {
-    let stored = store.with(Reason::Config).get(kind::CHUNK, hash).await.ok()?;
+pub async fn read_chunk(store: &BudgetedStore, hash: &str) -> Option<Arc<str>> {
+    let stored = store.for_reason(Reason::Config).get(kind::CHUNK, hash).await.ok()?;
     stored.value?.as_str().map(Arc::from)
 }
--- a/crates/forward/src/border.rs
+++ b/crates/forward/src/border.rs
@@ -8,7 +8,7 @@
 use hyper::http::{request, response};
 use model::Name;
 use model::forward::{
-    CallerHead, Fingerprint, Handle, HeldRecord, NamedLimit, Notice, PieceOrder, PieceResult,
+    CallerHead, Fingerprint, Handle, HeldRecord, Notice, PieceOrder, PieceResult, ReportedLimit,
     ReportedLoad, Rollout, RolloutState, Rules, Target, TargetId,
 };
 
@@ -62,7 +62,7 @@
     /// The body is a stream of events.
     pub is_event_stream: bool,
     /// Requests that the target takes.
-    pub limit: NamedLimit,
+    pub limit: ReportedLimit,
     /// Load of the target.
     pub load: ReportedLoad,
     /// What it says of further requests.
--- a/crates/forward/src/limits/ask.rs
+++ b/crates/forward/src/limits/ask.rs
@@ -6,7 +6,7 @@
 
 use decide::permit::{Grant, LimitObservation};
 use model::Time;
-use model::forward::{PermitAnswer, PermitAsk, Target};
+use model::forward::{PermitAnswer, PermitRequest, Target};
 use model::member::Node as PeerNode;
 use util::http::{CallError, Client};
 
@@ -90,12 +90,12 @@
     observation: LimitObservation,
 ) -> (Option<PeerNode>, Result<Grant, &'static str>) {
     loop {
-        let ask = PermitAsk {
+        let ask = PermitRequest {
             from: node.peers.id.name.clone(),
             target: target.id.clone(),
             domain: target.domain.clone(),
             count,
-            word: observation.to_peer(node.now()),
+            limit: observation.to_peer(node.now()),
             strangers: node.limits.unsupported_peers(MAX_UNSUPPORTED_PEERS),
         };
         match node.limits.keeper(node, &target.id, &target.domain) {
@@ -120,7 +120,7 @@
 async fn request_from_peer(
     node: &Rc<Node>,
     peer: &PeerNode,
-    ask: &PermitAsk,
+    ask: &PermitRequest,
 ) -> Result<Grant, CallError> {
     // A pooled connection may be dead after a timeout.
     let unresponsive = &node.limits.unresponsive;
@@ -135,7 +135,7 @@
         }
         _ => unresponsive.record_answer(&peer.id),
     }
-    let PermitAnswer { granted, after_ms, word: observation } =
+    let PermitAnswer { granted, after_ms, limit: observation } =
         answer.inspect_err(|e| log::debug!("permit: {e}"))?;
     merge_from_peer(
         node,
@@ -151,8 +151,8 @@
 }
 
 /// Issues a permit as the target's keeper; also returns the latest observation of the limit.
-fn issue(node: &Rc<Node>, ask: &PermitAsk) -> (Grant, LimitObservation) {
-    let PermitAsk { from, target, domain, count, word: observation, .. } = ask;
+fn issue(node: &Rc<Node>, ask: &PermitRequest) -> (Grant, LimitObservation) {
+    let PermitRequest { from, target, domain, count, limit: observation, .. } = ask;
     let now = node.now();
     let observation = LimitObservation::from_peer(observation, now);
     spread::merge_as_keeper(node, target, domain, observation);
@@ -163,7 +163,7 @@
 }
 
 /// Handles a peer's request for a permit; `None` if this node is not the target's keeper.
-pub fn handle_permit_request(node: &Rc<Node>, ask: &PermitAsk) -> Option<PermitAnswer> {
+pub fn handle_permit_request(node: &Rc<Node>, ask: &PermitRequest) -> Option<PermitAnswer> {
     node.limits.record_unsupported(&ask.strangers);
     if node.is_stopping() || node.limits.keeper(node, &ask.target, &ask.domain) != Some(None) {
         return None;
@@ -174,5 +174,5 @@
         Grant::Later(after) => (false, after),
     };
     let observation = known.to_peer(node.now());
-    Some(PermitAnswer { granted, after_ms: after.as_millis() as u64, word: observation })
+    Some(PermitAnswer { granted, after_ms: after.as_millis() as u64, limit: observation })
 }
--- a/crates/forward/src/limits/mod.rs
+++ b/crates/forward/src/limits/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use decide::permit::{LimitChange, LimitObservation, PermitIssuer, RetryPacer};
-use model::forward::{NamedLimit, Target, TargetId};
+use model::forward::{ReportedLimit, Target, TargetId};
 use model::member::{Node as PeerNode, NodeId};
 use model::{Name, Time};
 
@@ -106,7 +106,7 @@
 
 /// Records the limit in a target's response, whose request was sent at `sent`, and reports a change
 /// to the keeper.
-pub fn observe_limit(node: &Rc<Node>, target: &Target, report: NamedLimit, sent: Time) {
+pub fn observe_limit(node: &Rc<Node>, target: &Target, report: ReportedLimit, sent: Time) {
     let now = node.now();
     let Some(change) = node.fleet(|f| f.record_limit(&target.id, report, sent, now)) else {
         return;
--- a/crates/forward/src/limits/spread.rs
+++ b/crates/forward/src/limits/spread.rs
@@ -11,7 +11,7 @@
 
 use decide::permit::{LimitObservation, MAX_TRANSIT};
 use model::Name;
-use model::forward::{LimitNews, Target, TargetId, TargetLimit};
+use model::forward::{LimitUpdate, Target, TargetId, TargetLimit};
 use model::member::Node as PeerNode;
 use tokio::sync::Notify;
 use util::http::CallError;
@@ -43,7 +43,7 @@
         let peers = node.peers.roster(|r| r.peers());
         let known: Vec<_> =
             peers.into_iter().filter(|p| !node.limits.is_unsupported(&p.id)).collect();
-        let news = LimitNews { limits, spread: false };
+        let news = LimitUpdate { limits, spread: false };
         let on_result = |peer: &PeerNode, result| record_send_result(&node, peer, result);
         peers::broadcast::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, on_result).await;
         tokio::time::sleep(MIN_ROUND_INTERVAL).await;
@@ -55,7 +55,7 @@
     let now = node.now();
     let limit = |(target, domain): (TargetId, Name)| {
         let observation = node.limits.issuer(|i| i.observation(&target))?.to_peer(now);
-        Some(TargetLimit { target, domain, word: observation })
+        Some(TargetLimit { target, domain, limit: observation })
     };
     targets.into_iter().filter_map(limit).collect()
 }
@@ -86,8 +86,8 @@
             let node = node.clone();
             tokio::task::spawn_local(async move {
                 let limit =
-                    TargetLimit { target: id, domain, word: observation.to_peer(node.now()) };
-                let news = LimitNews { limits: vec![limit], spread: true };
+                    TargetLimit { target: id, domain, limit: observation.to_peer(node.now()) };
+                let news = LimitUpdate { limits: vec![limit], spread: true };
                 let client = &node.client;
                 // If the report is lost, the next permit request carries the observation.
                 let result =
@@ -112,9 +112,9 @@
 }
 
 /// Handles a message about limits from a peer.
-pub fn handle_news(node: &Node, news: LimitNews) {
+pub fn handle_news(node: &Node, news: LimitUpdate) {
     let now = node.now();
-    for TargetLimit { target, domain, word: observation } in news.limits {
+    for TargetLimit { target, domain, limit: observation } in news.limits {
         let observation = LimitObservation::from_peer(&observation, now);
         let from = if news.spread { "witness" } else { "peer" };
         merge_from_peer(node, &target, observation, from);
--- a/crates/forward/src/quarantine/mod.rs
+++ b/crates/forward/src/quarantine/mod.rs
@@ -11,7 +11,7 @@
 
 use decide::quarantine::{Change, Changes, Hold, Quarantine};
 use model::Name;
-use model::forward::{Fingerprint, MakerEnd, PieceOrder, QuarantineNews, Target, TargetId};
+use model::forward::{Fingerprint, PieceOrder, QuarantineReport, Target, TargetId, WorkerCrash};
 use tokio::sync::Notify;
 
 use crate::events::Event;
@@ -133,7 +133,7 @@
         self.record_crash(node, &target.id, &target.service, &requests);
         if !attempts.is_empty() {
             let (target, service) = (target.id.clone(), target.service.clone());
-            let crash = MakerEnd { target, service, attempts };
+            let crash = WorkerCrash { target, service, attempts };
             self.worker_crashed(node, &crash);
             spread::broadcast_crash(node, crash);
         }
@@ -153,7 +153,7 @@
     }
 
     /// Records a worker's crash under pieces, some of which may belong to attempts of this node.
-    fn worker_crashed(&self, node: &Node, crash: &MakerEnd) {
+    fn worker_crashed(&self, node: &Node, crash: &WorkerCrash) {
         let requests: Vec<Fingerprint> = {
             let open = self.open_attempts.borrow();
             crash.attempts.iter().filter_map(|attempt| open.get(attempt).copied()).collect()
@@ -164,14 +164,14 @@
     }
 
     /// Merges a peer's report; returns the suspects that the report lacks.
-    pub fn merge_report(&self, node: &Node, report: &QuarantineNews) -> QuarantineNews {
-        report.makers.iter().for_each(|crash| self.worker_crashed(node, crash));
+    pub fn merge_report(&self, node: &Node, report: &QuarantineReport) -> QuarantineReport {
+        report.worker_crashes.iter().for_each(|crash| self.worker_crashed(node, crash));
         let now = node.now();
         let changes = self.machine(|q| q.merge(Some(&report.from), &report.suspects, now));
         self.handle_changes(&report.from.name, changes);
         self.changed.notify_one();
         let suspects = self.machine(|q| q.missing_from(&report.suspects, now));
-        QuarantineNews { from: node.peers.id.clone(), suspects, makers: Vec::new() }
+        QuarantineReport { from: node.peers.id.clone(), suspects, worker_crashes: Vec::new() }
     }
 
     /// Releases a request on behalf of an operator.
--- a/crates/forward/src/quarantine/spread.rs
+++ b/crates/forward/src/quarantine/spread.rs
@@ -7,7 +7,7 @@
 
 use decide::quarantine::Outgoing;
 use model::Time;
-use model::forward::{MakerEnd, QuarantineNews, SuspectNews};
+use model::forward::{QuarantineReport, SuspectReport, WorkerCrash};
 use model::member::{Node as PeerNode, NodeId};
 use util::http::{CallError, Client};
 
@@ -83,18 +83,22 @@
     }
 }
 
-fn build_report(node: &Node, suspects: Vec<SuspectNews>, makers: Vec<MakerEnd>) -> QuarantineNews {
-    QuarantineNews { from: node.peers.id.clone(), suspects, makers }
+fn build_report(
+    node: &Node,
+    suspects: Vec<SuspectReport>,
+    makers: Vec<WorkerCrash>,
+) -> QuarantineReport {
+    QuarantineReport { from: node.peers.id.clone(), suspects, worker_crashes: makers }
 }
 
 /// Reports a worker's crash to all peers, since the nodes that serve its attempts are not known.
 /// The report is sent once: a peer that misses it counts one crash too few towards a hold.
-pub(super) fn broadcast_crash(node: &Rc<Node>, crash: MakerEnd) {
+pub(super) fn broadcast_crash(node: &Rc<Node>, crash: WorkerCrash) {
     let node = node.clone();
     tokio::task::spawn_local(async move {
         let report = build_report(&node, Vec::new(), vec![crash]);
         let peers = node.peers.roster(|r| r.peers());
-        let each = |_: &PeerNode, result: Result<QuarantineNews, CallError>| {
+        let each = |_: &PeerNode, result: Result<QuarantineReport, CallError>| {
             let _ = result.inspect_err(|e| log::debug!("quarantine: crash report failed: {e}"));
         };
         peers::broadcast(&node, &peers, QUARANTINE, &report, TIMEOUT, each).await;
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -49,7 +49,7 @@
     /// judge that began anew would know nothing.
     fn judges(&self, order: &Rollout) -> bool {
         let own = self.order.borrow();
-        let is_same = own.version == order.version && !order.is_anew(&own);
+        let is_same = own.version == order.version && !order.is_new_order(&own);
         is_same && (!self.is_over() || order.revision <= own.revision)
     }
 }
@@ -57,7 +57,7 @@
 /// Takes what a node saw; `None` if its order does not run as far as this one knows.
 pub fn judge(node: &Rc<Node>, report: RolloutReport) -> Option<RolloutAnswer> {
     let own = node.fleet(|f| f.versions().order_id(&report.order.service))?;
-    let order = running(node, &own).filter(|_| own.is_alike(&report.order))?;
+    let order = running(node, &own).filter(|_| own.has_same_version(&report.order))?;
     let judging = judging(node, order)?;
     if report.node != node.peers.id {
         judging.heard.set(node.now());
--- a/crates/forward/src/rules.rs
+++ b/crates/forward/src/rules.rs
@@ -76,7 +76,7 @@
         let workspace = head.key.as_deref().and_then(|key| self.workspace(key));
         let of_route = route.map_or(&Allowed::ANY, |r| &r.allowed);
         let of_workspace = workspace.map_or(&Allowed::ANY, |w| &w.allowed);
-        of_route.and(of_workspace)
+        of_route.intersection(of_workspace)
     }
 
     /// Names of routes and workspaces that name regions, and what they allow.
@@ -98,7 +98,7 @@
     if total == 0 {
         return route.split.first().map(|s| &s.service);
     }
-    let mut point = hash::of(attempt.as_bytes()) % total;
+    let mut point = hash::hash64(attempt.as_bytes()) % total;
     for share in &route.split {
         let weight = u64::from(share.weight);
         if point < weight {
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -105,7 +105,7 @@
     let wait_ms = head.wait_ms.unwrap_or(DEFAULT_WAIT_MS).min(resolved.route.timeout_ms.max(1));
     let deadline = arrived + Duration::from_millis(wait_ms);
     let limit = table.rules.limits.body_bytes;
-    let body = match node.clock.until(deadline, read_body(body, limit)).await {
+    let body = match node.clock.timeout_at(deadline, read_body(body, limit)).await {
         Some(body) => body,
         None => Err(Refusal::new(StatusCode::REQUEST_TIMEOUT, "body was late").close()),
     };
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -85,7 +85,7 @@
         if table.rules.version == self.rules_version {
             return self.allowed.clone();
         }
-        self.allowed.and(&table.allowed_regions(&self.head))
+        self.allowed.intersection(&table.allowed_regions(&self.head))
     }
 
     /// Returns once the allowed regions differ from `from`.
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -164,7 +164,7 @@
         let timeout = self.progress(|p| p.attempts.silence_timeout(objective, pause));
         if let Some(timeout) = timeout.filter(|_| self.node.settings().policy.patience) {
             let until = self.node.now() + timeout;
-            if let Some(done) = self.node.clock.until(until, work.as_mut()).await {
+            if let Some(done) = self.node.clock.timeout_at(until, work.as_mut()).await {
                 return Some(done);
             }
             if self.node.permits_repeat(&self.service) {
--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -191,7 +191,7 @@
         };
         let exchange = &self.exchange;
         let reading = exchange.with_silence_timeout(reader.next());
-        match exchange.node.clock.until(exchange.deadline, reading).await {
+        match exchange.node.clock.timeout_at(exchange.deadline, reading).await {
             Some(Some(read)) => read,
             Some(None) => Err(StreamError::Silent),
             None => Err(StreamError::DeadlineExceeded),
@@ -203,7 +203,7 @@
         // The earlier run must end before another one replaces it.
         self.reader = None;
         let exchange = &self.exchange;
-        match exchange.node.clock.until(exchange.deadline, self.resume_elsewhere()).await {
+        match exchange.node.clock.timeout_at(exchange.deadline, self.resume_elsewhere()).await {
             Some(Ok(started)) => {
                 let StartedStream { reader, first_event, in_flight, .. } = *started;
                 self.reader = Some(reader);
--- a/crates/forward/src/stages/plan.rs
+++ b/crates/forward/src/stages/plan.rs
@@ -123,7 +123,7 @@
     let Some(due) = due else {
         return running.next().await;
     };
-    node.clock.until(due, running.next()).await.flatten()
+    node.clock.timeout_at(due, running.next()).await.flatten()
 }
 
 async fn make_stage(node: &Rc<Node>, stage: usize, order: BatchOrder) -> (usize, Placed) {
--- a/crates/forward/src/stages/runner.rs
+++ b/crates/forward/src/stages/runner.rs
@@ -60,7 +60,7 @@
         let kept = runner.pool.region.is_some().then(|| order.clone());
         let Some(results) = runner.order(node, order, pinned).await else {
             // Its makers went while it waited, or it goes to another coordinator.
-            let order = kept.ok_or(NotMade::Moved)?.later(node.now().since(begun));
+            let order = kept.ok_or(NotMade::Moved)?.with_elapsed(node.now().since(begun));
             let (_, spilled) = runner.spill(node, order).await;
             return spilled.ok_or(NotMade::Moved);
         };
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -45,7 +45,7 @@
                     why: &why,
                 }
                 .emit();
-                let order = order.later(node.now().since(begun));
+                let order = order.with_elapsed(node.now().since(begun));
                 (BatchOrder { spilled: true, ..order }, None)
             }
         }
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -16,7 +16,7 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
-use util::http::{PROBE, PROBES, SILENCE};
+use util::http::{KEEPALIVE_INTERVAL, KEEPALIVE_RETRIES, TCP_USER_TIMEOUT};
 
 use crate::crossed::{Metered, RegionTraffic};
 
@@ -68,9 +68,12 @@
 pub fn configure_socket(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
     let socket = SockRef::from(socket);
-    let keepalive = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(PROBES);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     let _ = socket.set_tcp_keepalive(&keepalive);
-    let _ = socket.set_tcp_user_timeout(Some(SILENCE));
+    let _ = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 /// Connects to a target.
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -355,7 +355,7 @@
     let deadline = node.now() + Duration::from_millis(ask.wait_ms);
     let mut updates = node.feed.subscribe();
     while is_up_to_date(node, &ask, epoch) {
-        let changed = node.clock.until(deadline, updates.changed()).await;
+        let changed = node.clock.timeout_at(deadline, updates.changed()).await;
         if changed.is_none() {
             break;
         }
--- a/crates/model/src/answer.rs
+++ b/crates/model/src/answer.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::outcome::Final;
+use crate::outcome::RequestReport;
 
 /// Body of a whole answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -11,12 +11,12 @@
     pub text: String,
     /// How the request ended.
     #[serde(flatten)]
-    pub end: Final,
+    pub end: RequestReport,
 }
 
 /// Data of a `chunk` event of a streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct ChunkEvent {
     /// Position, from 0 without gaps.
     pub seq: u64,
     /// The text.
--- a/crates/model/src/claim.rs
+++ b/crates/model/src/claim.rs
@@ -26,7 +26,7 @@
 
 /// Asks a shard's home node for a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// Key to claim.
     pub key: Key,
     /// Request that wants it.
@@ -35,7 +35,7 @@
 
 /// How a claim ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimEnd {
+pub enum ClaimOutcome {
     /// The request holds the key.
     Won,
     /// Another request holds it.
--- a/crates/model/src/forward/batch.rs
+++ b/crates/model/src/forward/batch.rs
@@ -75,16 +75,16 @@
     /// That of an order with results of this size. Where all regions are one pool, nothing is
     /// passed on.
     pub fn new(pool: PoolId, allowed: &Allowed, result_bytes: u64) -> Self {
-        let is_split = pool.region.is_some();
-        let allowed = if is_split { allowed.clone() } else { Allowed::ANY };
-        QueueId { pool, allowed, is_large: is_split && result_bytes >= LARGE_RESULT }
+        let by_region = pool.region.is_some();
+        let allowed = if by_region { allowed.clone() } else { Allowed::ANY };
+        QueueId { pool, allowed, is_large: by_region && result_bytes >= LARGE_RESULT }
     }
 
     /// Whether orders in this queue wait as long as those in `other` at most: they may be
     /// passed on wherever those may.
-    pub fn bounds(&self, other: &QueueId) -> bool {
-        let may_more = self.allowed.is_any() || self.allowed == other.allowed;
-        self.pool == other.pool && may_more && (!self.is_large || other.is_large)
+    pub fn waits_no_longer_than(&self, other: &QueueId) -> bool {
+        let allows_as_much = self.allowed.is_any() || self.allowed == other.allowed;
+        self.pool == other.pool && allows_as_much && (!self.is_large || other.is_large)
     }
 }
 
@@ -140,11 +140,11 @@
     }
 
     /// The order once this time has passed.
-    pub fn later(self, passed: Duration) -> Self {
-        let passed_ms = passed.as_millis() as u64;
+    pub fn with_elapsed(self, elapsed: Duration) -> Self {
+        let elapsed_ms = elapsed.as_millis() as u64;
         BatchOrder {
-            left_ms: self.left_ms.saturating_sub(passed_ms),
-            slack_ms: self.slack_ms.saturating_sub(passed_ms),
+            left_ms: self.left_ms.saturating_sub(elapsed_ms),
+            slack_ms: self.slack_ms.saturating_sub(elapsed_ms),
             ..self
         }
     }
--- a/crates/model/src/forward/fingerprint.rs
+++ b/crates/model/src/forward/fingerprint.rs
@@ -37,17 +37,17 @@
 
 /// No 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub struct NoFingerprint;
+pub struct FingerprintError;
 
 impl std::str::FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = FingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, NoFingerprint> {
+    fn from_str(text: &str) -> Result<Self, FingerprintError> {
         let is_hex = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
         if !is_hex {
-            return Err(NoFingerprint);
+            return Err(FingerprintError);
         }
-        let half = |text: &str| u64::from_str_radix(text, 16).map_err(|_| NoFingerprint);
+        let half = |text: &str| u64::from_str_radix(text, 16).map_err(|_| FingerprintError);
         Ok(Fingerprint { high: half(&text[..16])?, low: half(&text[16..])? })
     }
 }
--- a/crates/model/src/forward/limit.rs
+++ b/crates/model/src/forward/limit.rs
@@ -11,7 +11,7 @@
 
 /// What an answer says of the requests that its target takes from all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum NamedLimit {
+pub enum ReportedLimit {
     /// It names no limit.
     #[default]
     None,
@@ -23,7 +23,7 @@
 
 /// What an answer said of its target's limit, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// Requests a second; `None` if it named no limit.
     #[serde(default)]
     pub per_s: Option<f64>,
@@ -37,7 +37,7 @@
 
 /// Asks a target's keeper for a permit to send requests there.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// Name of the node that asks.
     pub from: Name,
     /// The target.
@@ -47,7 +47,8 @@
     /// Requests that are to be sent at once.
     pub count: u32,
     /// The last that is known of its limit.
-    pub word: LimitWord,
+    #[serde(rename = "word")]
+    pub limit: LimitReport,
     /// Peers that would come first, but are of a build that keeps no limits.
     #[serde(default)]
     pub strangers: Vec<NodeId>,
@@ -62,7 +63,8 @@
     #[serde(default)]
     pub after_ms: u64,
     /// The last that the keeper knows of the limit.
-    pub word: LimitWord,
+    #[serde(rename = "word")]
+    pub limit: LimitReport,
 }
 
 /// The last that is known of a target's limit.
@@ -73,12 +75,13 @@
     /// Its failure domain.
     pub domain: Name,
     /// The limit.
-    pub word: LimitWord,
+    #[serde(rename = "word")]
+    pub limit: LimitReport,
 }
 
 /// Limits that a node tells a peer of.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// Limits.
     #[serde(default)]
     pub limits: Vec<TargetLimit>,
--- a/crates/model/src/forward/mod.rs
+++ b/crates/model/src/forward/mod.rs
@@ -24,13 +24,15 @@
     StageInput, Waits,
 };
 pub use caller::{CallerHead, PromptPart};
-pub use fingerprint::{Fingerprint, NoFingerprint};
-pub use limit::{LimitNews, LimitWord, NamedLimit, PermitAnswer, PermitAsk, TargetLimit};
+pub use fingerprint::{Fingerprint, FingerprintError};
+pub use limit::{
+    LimitReport, LimitUpdate, PermitAnswer, PermitRequest, ReportedLimit, TargetLimit,
+};
 pub use load::{ReportedLoad, TargetLoad};
 pub use notice::{Notice, RetryAfter};
 pub use policy::Policy;
 pub use prefill::{PrefillAnswer, PrefillAsk, PrefillEnd};
-pub use quarantine::{EndNews, HeldRecord, MakerEnd, QuarantineNews, SuspectNews};
+pub use quarantine::{CrashReport, HeldRecord, QuarantineReport, SuspectReport, WorkerCrash};
 pub use rank::Rank;
 pub use region::Allowed;
 pub use rollout::{
--- a/crates/model/src/forward/quarantine.rs
+++ b/crates/model/src/forward/quarantine.rs
@@ -11,7 +11,7 @@
 
 /// A target that ended under a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNews {
+pub struct CrashReport {
     /// The target.
     pub target: TargetId,
     /// How long ago it ended, as far as its first witness knows.
@@ -23,15 +23,15 @@
 
 /// All that a node knows of one request under which targets ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNews {
+pub struct SuspectReport {
     /// The request.
     pub request: Fingerprint,
     /// Its service.
     #[serde(default)]
     pub service: Name,
     /// The targets.
-    #[serde(default)]
-    pub ends: Vec<EndNews>,
+    #[serde(default, rename = "ends")]
+    pub crashes: Vec<CrashReport>,
     /// Times that it was let through although it had been held.
     #[serde(default)]
     pub tries: u32,
@@ -45,21 +45,21 @@
 
 /// What a node tells a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuarantineNews {
+pub struct QuarantineReport {
     /// Who tells it.
     pub from: NodeId,
     /// Requests.
     #[serde(default)]
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectReport>,
     /// Makers that ended under pieces of attempts. Whoever coordinates pieces does not know of
     /// which request they are; the node that took the attempt does.
-    #[serde(default)]
-    pub makers: Vec<MakerEnd>,
+    #[serde(default, rename = "makers")]
+    pub worker_crashes: Vec<WorkerCrash>,
 }
 
 /// A target that ended under pieces of attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MakerEnd {
+pub struct WorkerCrash {
     /// The target.
     pub target: TargetId,
     /// Its service.
--- a/crates/model/src/forward/rank.rs
+++ b/crates/model/src/forward/rank.rs
@@ -18,7 +18,7 @@
     /// Levels that a target tells apart.
     const LEVELS: u8 = 10;
     /// Of these, levels of one workspace's routes.
-    const OF_ROUTES: u8 = 3;
+    const ROUTE_LEVELS: u8 = 3;
 
     /// Rank of a request on a route, of a workspace that may have a rank of its own.
     pub fn of(workspace: Option<u8>, route: u8) -> Rank {
@@ -27,8 +27,8 @@
 
     /// The rank as one of a target's levels, 0 to 9.
     pub fn level(self) -> u8 {
-        let base = self.workspace.saturating_mul(Self::OF_ROUTES);
-        let level = base.saturating_add(self.route.min(Self::OF_ROUTES - 1));
+        let base = self.workspace.saturating_mul(Self::ROUTE_LEVELS);
+        let level = base.saturating_add(self.route.min(Self::ROUTE_LEVELS - 1));
         level.min(Self::LEVELS - 1)
     }
 }
--- a/crates/model/src/forward/region.rs
+++ b/crates/model/src/forward/region.rs
@@ -28,7 +28,7 @@
     }
 
     /// What both allow.
-    pub fn and(&self, other: &Allowed) -> Allowed {
+    pub fn intersection(&self, other: &Allowed) -> Allowed {
         match (&self.0, &other.0) {
             (None, regions) | (regions, None) => Allowed(regions.clone()),
             (Some(a), Some(b)) => Allowed(Some(a.intersection(b).cloned().collect())),
--- a/crates/model/src/forward/rollout.rs
+++ b/crates/model/src/forward/rollout.rs
@@ -57,17 +57,17 @@
     /// Whether it was ordered anew since it was known like this: its object was made anew, its
     /// state went back, or something changed but neither its state nor its time. A state is
     /// written once, so that between two orders that are both under way lies an end.
-    pub fn is_anew(&self, was: &Rollout) -> bool {
-        if self.revision <= was.revision || self.state.is_final() {
+    pub fn is_new_order(&self, previous: &Rollout) -> bool {
+        if self.revision <= previous.revision || self.state.is_final() {
             return false;
         }
-        let goes_back = match was.state {
+        let is_reverted = match previous.state {
             RolloutState::Ordered => false,
             RolloutState::Active => self.state == RolloutState::Ordered,
             RolloutState::Completed | RolloutState::RolledBack => true,
         };
-        let is_repeated = self.state == was.state && self.lasts_ms == was.lasts_ms;
-        goes_back || is_repeated || self.made != was.made
+        let is_repeated = self.state == previous.state && self.lasts_ms == previous.lasts_ms;
+        is_reverted || is_repeated || self.made != previous.made
     }
 
     /// Names the order to a node that knows it since a revision.
@@ -99,14 +99,14 @@
 
 impl RolloutId {
     /// Whether both name orders of one service to one version.
-    pub fn is_alike(&self, other: &RolloutId) -> bool {
+    pub fn has_same_version(&self, other: &RolloutId) -> bool {
         self.service == other.service && self.version == other.version
     }
 
     /// Whether both name one order for sure: revisions of two orders never overlap.
     pub fn is_same(&self, other: &RolloutId) -> bool {
         let overlaps = self.since <= other.at && other.since <= self.at;
-        self.is_alike(other) && overlaps && self.made == other.made
+        self.has_same_version(other) && overlaps && self.made == other.made
     }
 }
 
--- a/crates/model/src/hash.rs
+++ b/crates/model/src/hash.rs
@@ -3,12 +3,12 @@
 use xxhash_rust::xxh3;
 
 /// Hash of some bytes, 64 bits.
-pub fn of(bytes: &[u8]) -> u64 {
+pub fn hash64(bytes: &[u8]) -> u64 {
     xxh3::xxh3_64(bytes)
 }
 
 /// Content address of some bytes, 128 bits as 32 hex digits.
-pub fn address(bytes: &[u8]) -> String {
+pub fn content_address(bytes: &[u8]) -> String {
     format!("{:032x}", xxh3::xxh3_128(bytes))
 }
 
@@ -28,8 +28,8 @@
     names: impl Iterator<Item = &'a crate::Name>,
     n: usize,
 ) -> Vec<crate::Name> {
-    let key = of(key.as_bytes());
-    let mut scored: Vec<_> = names.map(|m| (mix(key, of(m.as_bytes())), m)).collect();
+    let key = hash64(key.as_bytes());
+    let mut scored: Vec<_> = names.map(|m| (mix(key, hash64(m.as_bytes())), m)).collect();
     scored.sort_unstable_by(|a, b| b.cmp(a));
     scored.into_iter().take(n).map(|(_, m)| m.clone()).collect()
 }
--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -23,15 +23,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum KeyError {
     /// an idempotency key is a UUID of version 7, such as 0192f0c1-2b3d-7abc-8def-0123456789ab
-    Form,
+    NotUuidV7,
 }
 
 impl FromStr for Key {
     type Err = KeyError;
     fn from_str(s: &str) -> Result<Self, KeyError> {
-        let id = Uuid::try_parse(s).map_err(|_| KeyError::Form)?;
+        let id = Uuid::try_parse(s).map_err(|_| KeyError::NotUuidV7)?;
         if id.get_version_num() != 7 {
-            return Err(KeyError::Form);
+            return Err(KeyError::NotUuidV7);
         }
         Ok(Key(id))
     }
@@ -78,8 +78,8 @@
     }
 
     /// Name of the one claim object that may hold the key.
-    pub fn object(&self) -> Name {
-        let shard = crate::hash::of(self.0.as_bytes()) % SHARDS;
+    pub fn claim_object(&self) -> Name {
+        let shard = crate::hash::hash64(self.0.as_bytes()) % SHARDS;
         format!("{}-{}", self.bucket(), shard).into()
     }
 }
--- a/crates/model/src/load.rs
+++ b/crates/model/src/load.rs
@@ -6,7 +6,7 @@
 
 /// A target's own report.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct TargetReport {
     /// Target that reports.
     pub target: Name,
     /// Calls running.
@@ -27,9 +27,9 @@
 
 /// One target's state in a view of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TargetNews {
+pub struct TargetStatus {
     /// The report.
-    pub report: Report,
+    pub report: TargetReport,
     /// Sequence of the report; higher is newer.
     pub seq: u64,
     /// Whether the last poll found the target answering.
--- a/crates/model/src/manifest.rs
+++ b/crates/model/src/manifest.rs
@@ -39,7 +39,7 @@
 
 /// Slot of a key among `count` (a power of two).
 pub fn slot(key: &str, count: usize) -> usize {
-    (crate::hash::of(key.as_bytes()) as usize) & (count - 1)
+    (crate::hash::hash64(key.as_bytes()) as usize) & (count - 1)
 }
 
 /// What a node sends a neighbour that has an older manifest: the slots that differ.
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -6,7 +6,7 @@
 pub type Name = Arc<str>;
 
 /// Longest accepted name, in bytes; a DNS label's bound.
-pub const NAME_MAX: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// Why a name was refused.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
@@ -14,9 +14,9 @@
     /// a name must not be empty
     Empty,
     /// a name has at most 63 bytes, this one has {0}
-    Long(usize),
+    TooLong(usize),
     /// a name uses a-z, 0-9, '-' and '.', and starts and ends with a letter or digit; found {0:?}
-    Char(char),
+    InvalidChar(char),
 }
 
 /// Checks a name's length and alphabet.
@@ -24,16 +24,16 @@
     if name.is_empty() {
         return Err(NameError::Empty);
     }
-    if name.len() > NAME_MAX {
-        return Err(NameError::Long(name.len()));
+    if name.len() > MAX_NAME_BYTES {
+        return Err(NameError::TooLong(name.len()));
     }
     let inner = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '.';
     if let Some(c) = name.chars().find(|c| !inner(*c)) {
-        return Err(NameError::Char(c));
+        return Err(NameError::InvalidChar(c));
     }
     let edge = |c: Option<char>| c.filter(|c| !c.is_ascii_alphanumeric());
     match edge(name.chars().next()).or(edge(name.chars().next_back())) {
-        Some(c) => Err(NameError::Char(c)),
+        Some(c) => Err(NameError::InvalidChar(c)),
         None => Ok(()),
     }
 }
--- a/crates/model/src/object/check.rs
+++ b/crates/model/src/object/check.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{Pipeline, Pool, Role, Set, Workspace};
+use super::{ObjectSet, Pipeline, Pool, Role, Workspace};
 use crate::{Name, name};
 
 /// Most stages in one pipeline.
-const STAGES_MAX: usize = 16;
+const MAX_STAGES: usize = 16;
 /// Longest deadline, one hour.
-const DEADLINE_MAX: u64 = 3_600_000;
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// One thing that is wrong.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, displaydoc::Display, thiserror::Error)]
@@ -43,7 +43,7 @@
 }
 
 /// Checks a whole set; an empty list means that it can be accepted.
-pub fn check(set: &Set) -> Vec<Fault> {
+pub fn check(set: &ObjectSet) -> Vec<Fault> {
     let mut f = Faults { list: Vec::new(), object: "".into() };
     let mut owners = BTreeMap::new();
     for (n, p) in &set.pools {
@@ -108,9 +108,9 @@
     }
 }
 
-fn check_pipeline(p: &Pipeline, set: &Set, f: &mut Faults) {
-    if p.stages.is_empty() || p.stages.len() > STAGES_MAX {
-        f.push("spec.stages", format!("must have 1 to {STAGES_MAX} stages"));
+fn check_pipeline(p: &Pipeline, set: &ObjectSet, f: &mut Faults) {
+    if p.stages.is_empty() || p.stages.len() > MAX_STAGES {
+        f.push("spec.stages", format!("must have 1 to {MAX_STAGES} stages"));
     }
     for (i, s) in p.stages.iter().enumerate() {
         let at = |field: &str| format!("spec.stages[{i}].{field}");
@@ -137,12 +137,12 @@
     }
 }
 
-fn check_workspace(w: &Workspace, set: &Set, f: &mut Faults) {
-    if w.deadline == 0 || w.deadline > DEADLINE_MAX {
-        f.push("spec.deadline", format!("must be 1 to {DEADLINE_MAX} milliseconds"));
+fn check_workspace(w: &Workspace, set: &ObjectSet, f: &mut Faults) {
+    if w.deadline == 0 || w.deadline > MAX_DEADLINE_MS {
+        f.push("spec.deadline", format!("must be 1 to {MAX_DEADLINE_MS} milliseconds"));
     }
-    if w.grace > DEADLINE_MAX {
-        f.push("spec.grace", format!("must be 0 to {DEADLINE_MAX} milliseconds"));
+    if w.grace > MAX_DEADLINE_MS {
+        f.push("spec.grace", format!("must be 0 to {MAX_DEADLINE_MS} milliseconds"));
     }
     for (i, l) in w.limits.iter().enumerate() {
         let at = |field: &str| format!("spec.limits[{i}].{field}");
--- a/crates/model/src/object/set.rs
+++ b/crates/model/src/object/set.rs
@@ -7,7 +7,7 @@
 
 /// Declared objects by kind and name.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Set {
+pub struct ObjectSet {
     /// Pipelines.
     pub pipelines: BTreeMap<Name, Pipeline>,
     /// Workspaces.
@@ -20,7 +20,7 @@
     pub drains: BTreeMap<Name, Drain>,
 }
 
-impl Set {
+impl ObjectSet {
     /// Adds or replaces one object.
     pub fn insert(&mut self, name: Name, spec: Spec) {
         match spec {
@@ -59,7 +59,7 @@
     }
 
     /// The version wanted of a model, as `model@version`.
-    pub fn wanted(&self, model: &str) -> Option<Name> {
+    pub fn wanted_version(&self, model: &str) -> Option<Name> {
         let m = self.models.get(model)?;
         Some(format!("{model}@{}", m.version).into())
     }
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -115,7 +115,7 @@
 
 /// The final word on a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Final {
+pub struct RequestReport {
     /// Request id.
     pub request: Name,
     /// Outcome.
--- a/crates/model/src/view.rs
+++ b/crates/model/src/view.rs
@@ -6,28 +6,28 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::load::TargetNews;
+use crate::load::TargetStatus;
 use crate::member::Node;
 
 /// Paths of the control server, for POST with rmp-serde bodies.
 pub mod path {
-    /// [`super::ViewAsk`] to [`super::View`].
+    /// [`super::ViewRequest`] to [`super::View`].
     pub const VIEW: &str = "/v1/view";
-    /// [`super::DeltaAsk`] to [`crate::manifest::Delta`].
+    /// [`super::DeltaRequest`] to [`crate::manifest::Delta`].
     pub const DELTA: &str = "/v1/delta";
-    /// [`super::ChunksAsk`] to [`super::Chunks`].
+    /// [`super::ChunksRequest`] to [`super::Chunks`].
     pub const CHUNKS: &str = "/v1/chunks";
     /// [`super::Refusal`] to nothing.
     pub const REFUSED: &str = "/v1/refused";
-    /// Entry node: [`crate::claim::ClaimAsk`] to [`crate::claim::ClaimEnd`].
+    /// Entry node: [`crate::claim::ClaimRequest`] to [`crate::claim::ClaimOutcome`].
     pub const CLAIM: &str = "/v1/claim";
-    /// Entry node: [`super::LendAsk`] to [`super::Lent`].
+    /// Entry node: [`super::LendRequest`] to [`super::LentRate`].
     pub const LEND: &str = "/v1/lend";
 }
 
 /// Asks for what changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ViewAsk {
+pub struct ViewRequest {
     /// Change of the load board last seen; 0 for all.
     pub changes: u64,
 }
@@ -42,21 +42,21 @@
     /// Change of the load board that this brings the asker to.
     pub changes: u64,
     /// Targets that changed.
-    pub news: Vec<TargetNews>,
+    pub news: Vec<TargetStatus>,
     /// Hosts that are leaving.
     pub leaving: Vec<Name>,
 }
 
 /// Asks for the slots that differ from a manifest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DeltaAsk {
+pub struct DeltaRequest {
     /// Manifest in force on the asker.
     pub have: u64,
 }
 
 /// Asks for chunks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChunksAsk {
+pub struct ChunksRequest {
     /// Content addresses.
     pub hashes: Vec<Name>,
 }
@@ -77,7 +77,7 @@
 
 /// Asks a workspace's home node for a slice of its rate on one pipeline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LendAsk {
+pub struct LendRequest {
     /// Workspace.
     pub workspace: Name,
     /// Pipeline.
@@ -90,7 +90,7 @@
 
 /// A slice.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Lent {
+pub struct LentRate {
     /// Requests a second.
     pub rate: f64,
 }
--- a/crates/model/tests/keys.rs
+++ b/crates/model/tests/keys.rs
@@ -13,9 +13,9 @@
         prop_assert_eq!(key.unix_ms(), ms);
         let read: Key = key.to_string().parse().expect("its own form");
         prop_assert_eq!(read, key);
-        prop_assert_eq!(read.object(), key.object());
+        prop_assert_eq!(read.claim_object(), key.claim_object());
         let bucket = format!("{}-", ms / BUCKET_MS);
-        prop_assert!(key.object().starts_with(&bucket));
+        prop_assert!(key.claim_object().starts_with(&bucket));
     }
 }
 
--- a/crates/model/tests/limit_messages.rs
+++ b/crates/model/tests/limit_messages.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use model::forward::{LimitNews, LimitWord, PermitAnswer, PermitAsk, TargetId, TargetLimit};
+use model::forward::{
+    LimitReport, LimitUpdate, PermitAnswer, PermitRequest, TargetId, TargetLimit,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -19,8 +21,8 @@
     rmp_serde::from_slice(&bytes).expect("it is read all the same")
 }
 
-fn word(per_s: Option<f64>, sent_ms: u64, came_ms: u64) -> LimitWord {
-    LimitWord { per_s, sent_ms, came_ms }
+fn word(per_s: Option<f64>, sent_ms: u64, came_ms: u64) -> LimitReport {
+    LimitReport { per_s, sent_ms, came_ms }
 }
 
 #[test]
@@ -28,20 +30,20 @@
     let word_now = word(Some(2.5), 40, 20);
     assert_eq!(changed(&word_now, &[]), word_now);
     assert_eq!(changed(&word_now, &["per_s", "sent_ms", "came_ms"]), word(None, 0, 0));
-    let answer = PermitAnswer { granted: false, after_ms: 300, word: word_now };
+    let answer = PermitAnswer { granted: false, after_ms: 300, limit: word_now };
     assert_eq!(changed(&answer, &["after_ms"]), PermitAnswer { after_ms: 0, ..answer });
     let target = TargetId::new("i-1", 7);
-    let ask = PermitAsk {
+    let ask = PermitRequest {
         from: "node-a".into(),
         target: target.clone(),
         domain: "hall-a".into(),
         count: 2,
-        word: word_now,
+        limit: word_now,
         strangers: Vec::new(),
     };
     assert_eq!(changed(&ask, &["strangers"]), ask);
-    let limit = TargetLimit { target, domain: "hall-a".into(), word: word_now };
-    let news = LimitNews { limits: vec![limit], spread: true };
-    assert_eq!(changed(&news, &["spread"]), LimitNews { spread: false, ..news.clone() });
-    assert_eq!(changed(&news, &["limits"]), LimitNews { limits: Vec::new(), ..news });
+    let limit = TargetLimit { target, domain: "hall-a".into(), limit: word_now };
+    let news = LimitUpdate { limits: vec![limit], spread: true };
+    assert_eq!(changed(&news, &["spread"]), LimitUpdate { spread: false, ..news.clone() });
+    assert_eq!(changed(&news, &["limits"]), LimitUpdate { limits: Vec::new(), ..news });
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -365,7 +365,7 @@
     fn touch(&mut self, prompt: &[String]) -> usize {
         let (mut chain, mut hit, mut unbroken) = (0, 0, true);
         for block in prompt.chunks_exact(BLOCK) {
-            chain = block.iter().fold(chain, |c, w| hash::mix(c, hash::of(w.as_bytes())));
+            chain = block.iter().fold(chain, |c, w| hash::mix(c, hash::hash64(w.as_bytes())));
             self.clock += 1;
             match self.blocks.insert(chain, self.clock) {
                 Some(old) => {
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -19,7 +19,7 @@
 }
 
 async fn serve(settings: Settings) -> anyhow::Result<()> {
-    let (stopper, stop) = stop::pair();
+    let (stopper, stop) = stop::channel();
     let mut tasks = Vec::new();
     if let Some(address) = &settings.api {
         let (at, _, task) = start_api(address, stop.clone()).await?;
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -10,7 +10,7 @@
 use model::Name;
 use model::attempt::{Call, Cancel, Frame};
 use model::hash::Digest;
-use model::load::Report;
+use model::load::TargetReport;
 use model::object::Role;
 use model::order::{Order, Reply, Task};
 use serde::Deserialize;
@@ -147,7 +147,7 @@
     }
 
     /// The target's load report.
-    pub async fn report(&self) -> Report {
+    pub async fn report(&self) -> TargetReport {
         let (running, queued, wait) = match &self.engine {
             Some(e) => e.ask(State).await.map_or((0, 0, 0), |s| (s.running, s.queued, s.wait)),
             None => {
@@ -159,7 +159,7 @@
             }
         };
         let held = self.held.lock().expect("no panic while held");
-        Report {
+        TargetReport {
             target: self.spec.name.clone(),
             running,
             queued,
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -29,7 +29,7 @@
 fn vector(text: &str) -> [i32; DIMS] {
     let mut v = [0; DIMS];
     for w in words(text) {
-        let h = hash::of(w.as_bytes());
+        let h = hash::hash64(w.as_bytes());
         v[(h as usize) % DIMS] += if h >> 63 == 0 { 1 } else { -1 };
     }
     v
@@ -115,7 +115,7 @@
 
 /// What a plain service answers: its input's digest, so that a mix-up shows.
 pub fn plain(step: &str, input: &Value) -> String {
-    let digest = hash::of(input.to_string().as_bytes());
+    let digest = hash::hash64(input.to_string().as_bytes());
     json!({ "step": step, "receipt": format!("{digest:016x}") }).to_string()
 }
 
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -54,12 +54,12 @@
 
 /// Calls made, by reason.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct CallCounts {
     calls: [AtomicU64; REASONS],
     refused: [AtomicU64; REASONS],
 }
 
-impl Counts {
+impl CallCounts {
     /// Calls sent for a reason.
     pub fn calls(&self, reason: Reason) -> u64 {
         self.calls[reason as usize].load(Ordering::Relaxed)
@@ -78,40 +78,40 @@
 }
 
 /// A store whose calls are counted and held to a rate.
-pub struct Budgeted {
+pub struct BudgetedStore {
     inner: Box<dyn Store>,
     rate: f64,
     tokens: Mutex<Tokens>,
-    counts: Counts,
+    counts: CallCounts,
 }
 
-impl Budgeted {
+impl BudgetedStore {
     /// At most `rate` calls a second over time, in bursts of four seconds' worth.
     pub fn new(inner: Box<dyn Store>, rate: f64) -> Self {
-        let tokens = Mutex::new(Tokens { left: rate * BURST, at: Instant::now() });
-        Budgeted { inner, rate, tokens, counts: Counts::default() }
+        let tokens = Mutex::new(Tokens { left: rate * BURST_SECONDS, at: Instant::now() });
+        BudgetedStore { inner, rate, tokens, counts: CallCounts::default() }
     }
 
     /// Calls so far.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &CallCounts {
         &self.counts
     }
 
     /// The store for one reason.
-    pub fn with(&self, reason: Reason) -> For<'_> {
-        For { budget: self, reason }
+    pub fn for_reason(&self, reason: Reason) -> ReasonStore<'_> {
+        ReasonStore { budget: self, reason }
     }
 
-    fn take(&self, reason: Reason, step: impl Fn() -> String) -> Result<(), StoreError> {
+    fn spend(&self, reason: Reason, operation: impl Fn() -> String) -> Result<(), StoreError> {
         let mut t = self.tokens.lock().expect("no panic while held");
         let now = Instant::now();
-        let most = self.rate * BURST;
-        t.left = (t.left + now.duration_since(t.at).as_secs_f64() * self.rate).min(most);
+        let capacity = self.rate * BURST_SECONDS;
+        t.left = (t.left + now.duration_since(t.at).as_secs_f64() * self.rate).min(capacity);
         t.at = now;
-        if t.left - 1.0 < most * reason.reserve() {
+        if t.left - 1.0 < capacity * reason.reserve() {
             self.counts.refused[reason as usize].fetch_add(1, Ordering::Relaxed);
             return Err(StoreError {
-                step: step(),
+                operation: operation(),
                 peer: "budget".into(),
                 kind: ErrorKind::Budget,
             });
@@ -123,19 +123,19 @@
 }
 
 /// Seconds' worth of calls that may be made at once.
-const BURST: f64 = 4.0;
+const BURST_SECONDS: f64 = 4.0;
 
-/// A [`Budgeted`] store on behalf of one reason.
+/// A [`BudgetedStore`] store on behalf of one reason.
 #[derive(Clone, Copy)]
-pub struct For<'b> {
-    budget: &'b Budgeted,
+pub struct ReasonStore<'b> {
+    budget: &'b BudgetedStore,
     reason: Reason,
 }
 
-impl Store for For<'_> {
+impl Store for ReasonStore<'_> {
     fn get<'a>(&'a self, kind: &'a str, name: &'a str) -> Future<'a, Result<Stored, StoreError>> {
         Box::pin(async move {
-            self.budget.take(self.reason, || format!("get {kind}/{name}"))?;
+            self.budget.spend(self.reason, || format!("get {kind}/{name}"))?;
             self.budget.inner.get(kind, name).await
         })
     }
@@ -148,14 +148,14 @@
         value: Option<Value>,
     ) -> Future<'a, Result<u64, StoreError>> {
         Box::pin(async move {
-            self.budget.take(self.reason, || format!("put {kind}/{name}"))?;
+            self.budget.spend(self.reason, || format!("put {kind}/{name}"))?;
             self.budget.inner.put(kind, name, expect, value).await
         })
     }
 
     fn list<'a>(&'a self, kind: &'a str) -> Future<'a, Result<Listing, StoreError>> {
         Box::pin(async move {
-            self.budget.take(self.reason, || format!("list {kind}"))?;
+            self.budget.spend(self.reason, || format!("list {kind}"))?;
             self.budget.inner.list(kind).await
         })
     }
@@ -167,7 +167,7 @@
         wait: Duration,
     ) -> Future<'a, Result<Listing, StoreError>> {
         Box::pin(async move {
-            self.budget.take(self.reason, || format!("watch {kind}"))?;
+            self.budget.spend(self.reason, || format!("watch {kind}"))?;
             self.budget.inner.watch(kind, revision, wait).await
         })
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -17,10 +17,10 @@
 
 /// A failed call of the Object API.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-#[displaydoc("{step} at {peer}: {kind}")]
+#[displaydoc("{operation} at {peer}: {kind}")]
 pub struct StoreError {
     /// Call and object, such as `put manifest/current`.
-    pub step: String,
+    pub operation: String,
     /// Address called.
     pub peer: String,
     /// What went wrong.
@@ -34,7 +34,7 @@
     }
 
     /// Whether a write may have landed.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn may_be_applied(&self) -> bool {
         matches!(self.kind, ErrorKind::Lost(_))
     }
 }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -30,18 +30,18 @@
 
     async fn call<Q: Serialize, A: serde::de::DeserializeOwned>(
         &self,
-        step: String,
+        operation: String,
         method: Method,
         path: String,
         body: Option<&Q>,
         timeout: Duration,
     ) -> Result<A, StoreError> {
         let call = self.client.json(&self.address, method, &path, body, timeout);
-        call.await.map_err(|e| error(step, e))
+        call.await.map_err(|e| error(operation, e))
     }
 }
 
-fn error(step: String, e: CallError) -> StoreError {
+fn error(operation: String, e: CallError) -> StoreError {
     let kind = match e.kind {
         CallKind::NotSent(why) => ErrorKind::NotSent(why),
         CallKind::Status(409, _) => ErrorKind::Conflict,
@@ -49,14 +49,14 @@
         CallKind::Status(code, why) => ErrorKind::Lost(format!("{code}: {why}")),
         other => ErrorKind::Lost(other.to_string()),
     };
-    StoreError { step, peer: e.peer, kind }
+    StoreError { operation, peer: e.peer, kind }
 }
 
 impl Store for HttpStore {
     fn get<'a>(&'a self, kind: &'a str, name: &'a str) -> Future<'a, Result<Stored, StoreError>> {
-        let step = format!("get {kind}/{name}");
+        let operation = format!("get {kind}/{name}");
         let path = format!("/v1/{kind}/{name}");
-        Box::pin(self.call(step, Method::GET, path, None::<&()>, TIMEOUT))
+        Box::pin(self.call(operation, Method::GET, path, None::<&()>, TIMEOUT))
     }
 
     fn put<'a>(
@@ -67,10 +67,11 @@
         value: Option<Value>,
     ) -> Future<'a, Result<u64, StoreError>> {
         Box::pin(async move {
-            let step = format!("put {kind}/{name}");
+            let operation = format!("put {kind}/{name}");
             let path = format!("/v1/{kind}/{name}?expect={expect}");
             let method = if value.is_some() { Method::PUT } else { Method::DELETE };
-            let written: Written = self.call(step, method, path, value.as_ref(), TIMEOUT).await?;
+            let written: Written =
+                self.call(operation, method, path, value.as_ref(), TIMEOUT).await?;
             Ok(written.version)
         })
     }
@@ -87,7 +88,7 @@
         wait: Duration,
     ) -> Future<'a, Result<Listing, StoreError>> {
         let path = format!("/v1/{kind}?watch={revision}&wait={}", wait.as_millis());
-        let step = format!("watch {kind}");
-        Box::pin(self.call(step, Method::GET, path, None::<&()>, wait + TIMEOUT))
+        let operation = format!("watch {kind}");
+        Box::pin(self.call(operation, Method::GET, path, None::<&()>, wait + TIMEOUT))
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -7,7 +7,7 @@
 mod http;
 mod store;
 
-pub use budget::{Budgeted, Counts, Reason};
+pub use budget::{BudgetedStore, CallCounts, Reason};
 pub use error::{ErrorKind, StoreError};
 pub use hosts::{HostList, HostState, HttpHosts};
 pub use http::HttpStore;
--- a/crates/util/src/http/client.rs
+++ b/crates/util/src/http/client.rs
@@ -13,21 +13,21 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Largest body that a client takes in whole.
-const BODY_MAX: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 /// Rest after which a connection is probed, and time between probes: the least that the
 /// operating system takes.
-pub const PROBE: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection where [`SILENCE`] cannot be set.
-pub const PROBES: u32 = 1;
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Probes without an answer that end a connection where [`TCP_USER_TIMEOUT`] cannot be set.
+pub const KEEPALIVE_RETRIES: u32 = 1;
 /// Time after which unanswered bytes or probes end a connection. Nodes are held to what changed
 /// from 3 s after a disturbance of their connections on; this leaves one for the next question.
-pub const SILENCE: Duration = Duration::from_secs(2);
+pub const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Rest after which a connection is not used again. One that fell silent while it rested may never
 /// end, and the next call would wait on it for its whole time; none from before a silence is
 /// used once nodes are held to have noticed it. Calls that come more often keep theirs.
-const REST: Duration = SILENCE;
+const POOL_IDLE_TIMEOUT: Duration = TCP_USER_TIMEOUT;
 /// Longest line of a streamed answer.
-const LINE_MAX: usize = 4 << 20;
+const MAX_LINE_BYTES: usize = 4 << 20;
 
 /// What went wrong in a call.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
@@ -82,7 +82,7 @@
 
 /// A pooled client; clones share the pool. The operating system probes its connections, so that
 /// those that fall silent without an end are gone from the pool, and with them the calls that
-/// wait there, after [`SILENCE`]. It does not show a peer whose host answers and whose process
+/// wait there, after [`TCP_USER_TIMEOUT`]. It does not show a peer whose host answers and whose process
 /// does not: calls have time-outs of their own.
 #[derive(Debug, Clone)]
 pub struct Client {
@@ -95,13 +95,13 @@
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect));
         connector.set_nodelay(true);
-        connector.set_keepalive(Some(PROBE));
-        connector.set_keepalive_interval(Some(PROBE));
-        connector.set_keepalive_retries(Some(PROBES));
-        connector.set_tcp_user_timeout(Some(SILENCE));
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
+        connector.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
         let inner = legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(REST)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .build(connector);
         Client { inner }
     }
@@ -113,9 +113,9 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
         self.inner.request(request).await.map_err(|e| {
-            let why = chain(&e);
+            let why = error_chain(&e);
             let kind = if e.is_connect() { CallKind::NotSent(why) } else { CallKind::Lost(why) };
-            fail(peer, kind)
+            call_error(peer, kind)
         })
     }
 
@@ -132,8 +132,8 @@
             .uri(format!("http://{peer}{path}"))
             .header(header::CONTENT_TYPE, media)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| fail(peer, CallKind::NotSent(e.to_string())))?;
-        success(peer, self.send(peer, request).await?).await
+            .map_err(|e| call_error(peer, CallKind::NotSent(e.to_string())))?;
+        require_success(peer, self.send(peer, request).await?).await
     }
 
     /// Sends JSON, if any, and reads JSON.
@@ -154,13 +154,14 @@
             .uri(format!("http://{peer}{path}"))
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(bytes)))
-            .map_err(|e| fail(peer, CallKind::NotSent(e.to_string())))?;
+            .map_err(|e| call_error(peer, CallKind::NotSent(e.to_string())))?;
         let call = async {
-            let response = success(peer, self.send(peer, request).await?).await?;
-            let bytes = collect(peer, response.into_body()).await?;
-            serde_json::from_slice(&bytes).map_err(|e| fail(peer, CallKind::Decode(e.to_string())))
+            let response = require_success(peer, self.send(peer, request).await?).await?;
+            let bytes = collect_body(peer, response.into_body()).await?;
+            serde_json::from_slice(&bytes)
+                .map_err(|e| call_error(peer, CallKind::Decode(e.to_string())))
         };
-        within(peer, timeout, call).await
+        with_timeout(peer, timeout, call).await
     }
 
     /// Posts rmp-serde and reads rmp-serde, as our own processes do.
@@ -185,9 +186,9 @@
     ) -> Result<Bytes, CallError> {
         let call = async {
             let response = self.post(peer, path, super::RMP, body).await?;
-            collect(peer, response.into_body()).await
+            collect_body(peer, response.into_body()).await
         };
-        within(peer, timeout, call).await
+        with_timeout(peer, timeout, call).await
     }
 
     /// Sends a request and returns an answer that may be large: as long as it comes it is waited
@@ -199,12 +200,12 @@
         timeouts: Timeouts,
     ) -> Result<Response<Bytes>, CallError> {
         let call = async {
-            let head = async { success(peer, self.send(peer, request).await?).await };
-            let (head, body) = within(peer, timeouts.head, head).await?.into_parts();
+            let head = async { require_success(peer, self.send(peer, request).await?).await };
+            let (head, body) = with_timeout(peer, timeouts.head, head).await?.into_parts();
             let whole = collect_streamed(peer, body, timeouts.idle).await?;
             Ok(Response::from_parts(head, whole))
         };
-        within(peer, timeouts.total, call).await
+        with_timeout(peer, timeouts.total, call).await
     }
 
     /// Puts a body; an answer outside 2xx is an error.
@@ -219,24 +220,24 @@
         let request = Request::put(format!("http://{peer}{path}"))
             .header(header::CONTENT_TYPE, media)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| fail(peer, CallKind::NotSent(e.to_string())))?;
+            .map_err(|e| call_error(peer, CallKind::NotSent(e.to_string())))?;
         let call = async {
-            let response = success(peer, self.send(peer, request).await?).await?;
-            collect(peer, response.into_body()).await.map(drop)
+            let response = require_success(peer, self.send(peer, request).await?).await?;
+            collect_body(peer, response.into_body()).await.map(drop)
         };
-        within(peer, timeout, call).await
+        with_timeout(peer, timeout, call).await
     }
 
     /// Deletes; an answer outside 2xx is an error.
     pub async fn delete(&self, peer: &str, path: &str, timeout: Duration) -> Result<(), CallError> {
         let request = Request::delete(format!("http://{peer}{path}"))
             .body(Full::default())
-            .map_err(|e| fail(peer, CallKind::NotSent(e.to_string())))?;
+            .map_err(|e| call_error(peer, CallKind::NotSent(e.to_string())))?;
         let call = async {
-            let response = success(peer, self.send(peer, request).await?).await?;
-            collect(peer, response.into_body()).await.map(drop)
+            let response = require_success(peer, self.send(peer, request).await?).await?;
+            collect_body(peer, response.into_body()).await.map(drop)
         };
-        within(peer, timeout, call).await
+        with_timeout(peer, timeout, call).await
     }
 
     /// Reads a text body; what is not UTF-8 in it is replaced.
@@ -269,19 +270,19 @@
     ) -> Result<Response<Bytes>, CallError> {
         let request = Request::get(format!("http://{peer}{path}"))
             .body(Full::default())
-            .map_err(|e| fail(peer, CallKind::NotSent(e.to_string())))?;
+            .map_err(|e| call_error(peer, CallKind::NotSent(e.to_string())))?;
         let call = async {
-            let response = success(peer, self.send(peer, request).await?).await?;
+            let response = require_success(peer, self.send(peer, request).await?).await?;
             let (head, body) = response.into_parts();
-            Ok(Response::from_parts(head, collect(peer, body).await?))
+            Ok(Response::from_parts(head, collect_body(peer, body).await?))
         };
-        within(peer, timeout, call).await
+        with_timeout(peer, timeout, call).await
     }
 }
 
 /// Reads a peer's rmp-serde answer.
 pub fn read_rmp_answer<A: DeserializeOwned>(peer: &str, answer: &[u8]) -> Result<A, CallError> {
-    rmp_serde::from_slice(answer).map_err(|e| fail(peer, CallKind::Decode(e.to_string())))
+    rmp_serde::from_slice(answer).map_err(|e| call_error(peer, CallKind::Decode(e.to_string())))
 }
 
 /// Lines of a streamed body.
@@ -309,13 +310,15 @@
             }
             self.buffer.drain(..self.start);
             self.start = 0;
-            if self.buffer.len() > LINE_MAX {
-                return Err(fail(&self.peer, CallKind::Decode("line too long".into())));
+            if self.buffer.len() > MAX_LINE_BYTES {
+                return Err(call_error(&self.peer, CallKind::Decode("line too long".into())));
             }
             match self.body.frame().await {
                 None if self.buffer.is_empty() => return Ok(None),
                 None => return Ok(Some(std::mem::take(&mut self.buffer))),
-                Some(Err(e)) => return Err(fail(&self.peer, CallKind::Lost(chain(&e)))),
+                Some(Err(e)) => {
+                    return Err(call_error(&self.peer, CallKind::Lost(error_chain(&e))));
+                }
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         self.buffer.extend_from_slice(&data);
@@ -326,12 +329,12 @@
     }
 }
 
-fn fail(peer: &str, kind: CallKind) -> CallError {
+fn call_error(peer: &str, kind: CallKind) -> CallError {
     CallError { peer: peer.into(), kind }
 }
 
 /// The causes of an error on one line.
-fn chain(e: &dyn std::error::Error) -> String {
+fn error_chain(e: &dyn std::error::Error) -> String {
     let mut text = e.to_string();
     let mut next = e.source();
     while let Some(cause) = next {
@@ -341,18 +344,18 @@
     text
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     peer: &str,
     timeout: Duration,
     call: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
     match tokio::time::timeout(timeout, call).await {
         Ok(result) => result,
-        Err(_) => Err(fail(peer, CallKind::Timeout)),
+        Err(_) => Err(call_error(peer, CallKind::Timeout)),
     }
 }
 
-async fn success(
+async fn require_success(
     peer: &str,
     response: Response<Incoming>,
 ) -> Result<Response<Incoming>, CallError> {
@@ -360,30 +363,31 @@
     if status.is_success() {
         return Ok(response);
     }
-    let body = collect(peer, response.into_body()).await.unwrap_or_default();
+    let body = collect_body(peer, response.into_body()).await.unwrap_or_default();
     let why = String::from_utf8_lossy(&body).into_owned();
     if status == StatusCode::GATEWAY_TIMEOUT {
-        return Err(fail(peer, CallKind::Lost(why)));
+        return Err(call_error(peer, CallKind::Lost(why)));
     }
-    Err(fail(peer, CallKind::Status(status.as_u16(), why)))
+    Err(call_error(peer, CallKind::Status(status.as_u16(), why)))
 }
 
-async fn collect(peer: &str, body: Incoming) -> Result<Bytes, CallError> {
-    let body = Limited::new(body, BODY_MAX);
-    let whole = body.collect().await.map_err(|e| fail(peer, CallKind::Lost(e.to_string())))?;
+async fn collect_body(peer: &str, body: Incoming) -> Result<Bytes, CallError> {
+    let body = Limited::new(body, MAX_BODY_BYTES);
+    let whole =
+        body.collect().await.map_err(|e| call_error(peer, CallKind::Lost(e.to_string())))?;
     Ok(whole.to_bytes())
 }
 
 /// Reads a body whose parts are at most `idle` apart.
 async fn collect_streamed(peer: &str, body: Incoming, idle: Duration) -> Result<Bytes, CallError> {
-    let mut body = Limited::new(body, BODY_MAX);
+    let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut whole = BytesMut::new();
     loop {
         let next = async { Ok(body.frame().await) };
-        let Some(frame) = within(peer, idle, next).await? else {
+        let Some(frame) = with_timeout(peer, idle, next).await? else {
             return Ok(whole.freeze());
         };
-        let frame = frame.map_err(|e| fail(peer, CallKind::Lost(e.to_string())))?;
+        let frame = frame.map_err(|e| call_error(peer, CallKind::Lost(e.to_string())))?;
         if let Ok(data) = frame.into_data() {
             whole.extend_from_slice(&data);
         }
--- a/crates/util/src/http/mod.rs
+++ b/crates/util/src/http/mod.rs
@@ -4,7 +4,8 @@
 mod server;
 
 pub use client::{
-    CallError, CallKind, Client, Lines, PROBE, PROBES, SILENCE, Timeouts, read_rmp_answer,
+    CallError, CallKind, Client, KEEPALIVE_INTERVAL, KEEPALIVE_RETRIES, Lines, TCP_USER_TIMEOUT,
+    Timeouts, read_rmp_answer,
 };
 pub use server::{
     Body, Handler, Limits, Sender, Server, full, json, read_json, read_rmp, rmp, rmp_named, stream,
--- a/crates/util/src/http/server.rs
+++ b/crates/util/src/http/server.rs
@@ -39,16 +39,16 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Headers in one request.
-    pub headers: usize,
+    pub max_headers: usize,
     /// Bytes of one request's head.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Time for a sender to finish the head.
-    pub slow: Duration,
+    pub head_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { headers: 64, head: 16 << 10, slow: Duration::from_secs(5) }
+        Limits { max_headers: 64, max_head_bytes: 16 << 10, head_timeout: Duration::from_secs(5) }
     }
 }
 
@@ -107,9 +107,9 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.slow)
-        .max_headers(limits.headers)
-        .max_buf_size(limits.head)
+        .header_read_timeout(limits.head_timeout)
+        .max_headers(limits.max_headers)
+        .max_buf_size(limits.max_head_bytes)
         .serve_connection(TokioIo::new(socket), service);
     let mut connection = std::pin::pin!(connection);
     let stopped = tokio::select! {
@@ -122,23 +122,26 @@
     }
 }
 
-/// Reads a whole body of at most `most` bytes.
-async fn read(request: Request<Incoming>, most: usize) -> Result<Bytes, String> {
-    let whole = Limited::new(request.into_body(), most).collect().await;
+/// Reads a whole body of at most `max_bytes` bytes.
+async fn read(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, String> {
+    let whole = Limited::new(request.into_body(), max_bytes).collect().await;
     Ok(whole.map_err(|e| e.to_string())?.to_bytes())
 }
 
 /// Reads a JSON body; the error says what is wrong with it.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<T, String> {
-    serde_json::from_slice(&read(request, most).await?).map_err(|e| e.to_string())
+    serde_json::from_slice(&read(request, max_bytes).await?).map_err(|e| e.to_string())
 }
 
 /// Reads an rmp-serde body, if it is one.
-pub async fn read_rmp<T: DeserializeOwned>(request: Request<Incoming>, most: usize) -> Option<T> {
-    rmp_serde::from_slice(&read(request, most).await.ok()?).ok()
+pub async fn read_rmp<T: DeserializeOwned>(
+    request: Request<Incoming>,
+    max_bytes: usize,
+) -> Option<T> {
+    rmp_serde::from_slice(&read(request, max_bytes).await.ok()?).ok()
 }
 
 /// An answer with a body in one piece.
--- a/crates/util/src/settings.rs
+++ b/crates/util/src/settings.rs
@@ -15,7 +15,7 @@
         error: std::io::Error,
     },
     /// {path}:{line}:{column}: {error}
-    Form {
+    Syntax {
         /// The file.
         path: PathBuf,
         /// Line, from 1.
@@ -76,15 +76,15 @@
 
 /// Parses `text` and keeps the place of an error.
 pub fn parse<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, SettingsError> {
-    serde_saphyr::from_str(text).map_err(|e| form_error(path, 0, &e))
+    serde_saphyr::from_str(text).map_err(|e| syntax_error(path, 0, &e))
 }
 
 /// An error of the parser, moved down by `skipped` lines.
-pub fn form_error(path: &Path, skipped: u64, e: &serde_saphyr::Error) -> SettingsError {
+pub fn syntax_error(path: &Path, skipped: u64, e: &serde_saphyr::Error) -> SettingsError {
     let at = e.location();
     let whole = e.to_string();
     let error = whole.lines().next().unwrap_or_default();
-    SettingsError::Form {
+    SettingsError::Syntax {
         path: path.into(),
         line: at.map_or(0, |l| l.line()) + skipped,
         column: at.map_or(0, |l| l.column()),
--- a/crates/util/src/stop.rs
+++ b/crates/util/src/stop.rs
@@ -11,7 +11,7 @@
 pub struct Stopper(watch::Sender<bool>);
 
 /// A new pair.
-pub fn pair() -> (Stopper, Stop) {
+pub fn channel() -> (Stopper, Stop) {
     let (tx, rx) = watch::channel(false);
     (Stopper(tx), Stop(rx))
 }
--- a/crates/util/tests/keepalive.rs
+++ b/crates/util/tests/keepalive.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use tokio::net::TcpListener;
-use util::http::{Client, PROBE};
+use util::http::{Client, KEEPALIVE_INTERVAL};
 
 /// Column of the peer's address in the kernel's table, and that of its timer.
 const PEER: usize = 2;
@@ -27,7 +27,7 @@
         let is_to_peer = columns.get(PEER).is_some_and(|c| c.ends_with(&port));
         let timer = columns.get(TIMER).and_then(|c| c.strip_prefix(KEEPALIVE));
         let due = timer.and_then(|t| u128::from_str_radix(t, 16).ok());
-        is_to_peer && due.is_some_and(|due| due * 10 <= PROBE.as_millis())
+        is_to_peer && due.is_some_and(|due| due * 10 <= KEEPALIVE_INTERVAL.as_millis())
     })
 }
 
--- a/crates/util/tests/suspension.rs
+++ b/crates/util/tests/suspension.rs
@@ -19,7 +19,7 @@
 async fn a_suspension_counts_and_what_lies_before_the_start_does_not() {
     static AHEAD: AtomicU64 = AtomicU64::new(70_000);
     let suspensions = counted(|| millis(&AHEAD));
-    let clock = Clock::counting(suspensions);
+    let clock = Clock::with_suspensions(suspensions);
     assert_eq!(clock.now(), Time::ZERO);
     tokio::time::advance(Duration::from_secs(1)).await;
     AHEAD.fetch_add(5_000, Ordering::Relaxed);
@@ -31,14 +31,14 @@
         tokio::time::advance(Duration::from_millis(20)).await;
         assert_eq!(clock.now(), before + Duration::from_millis(20), "{noise}");
     }
-    let later = Clock::counting(suspensions);
+    let later = Clock::with_suspensions(suspensions);
     assert_eq!(later.now(), Time::ZERO);
 }
 
 #[tokio::test(start_paused = true)]
 async fn deadlines_do_not_wait_for_the_time_that_was_slept() {
     static AHEAD: AtomicU64 = AtomicU64::new(70_000);
-    let clock = Clock::counting(counted(|| millis(&AHEAD)));
+    let clock = Clock::with_suspensions(counted(|| millis(&AHEAD)));
     let due = clock.now() + Duration::from_secs(10);
     let begun = tokio::time::Instant::now();
     let sleeps = clock.sleep_until(due);
@@ -51,9 +51,9 @@
     };
     tokio::join!(sleeps, wakes);
     assert_eq!(begun.elapsed(), Duration::from_secs(2));
-    assert_eq!(clock.until(due, std::future::pending::<()>()).await, None, "it is over");
+    assert_eq!(clock.timeout_at(due, std::future::pending::<()>()).await, None, "it is over");
     let soon = clock.now() + Duration::from_secs(1);
-    assert_eq!(clock.until(soon, async { 7 }).await, Some(7));
+    assert_eq!(clock.timeout_at(soon, async { 7 }).await, Some(7));
 }
 
 #[tokio::test]
