--- a/crates/forward/src/border.rs
+++ b/crates/forward/src/border.rs
@@ -7,7 +7,7 @@
 use hyper::http::{request, response};
 use model::Name;
 use model::forward::{
-    CallerHead, Fingerprint, Handle, HeldRecord, NamedLimit, Notice, PieceOrder, PieceResult,
+    CallerHead, Fingerprint, Handle, HeldRecord, Notice, PieceOrder, PieceResult, ReportedLimit,
     ReportedLoad, Rollout, RolloutState, Rules, Target, TargetId,
 };
 
@@ -61,7 +61,7 @@
     /// Whether the body is an event stream.
     pub is_event_stream: bool,
     /// Requests per second that the target accepts from all nodes together.
-    pub limit: NamedLimit,
+    pub limit: ReportedLimit,
     /// Load that the target reports.
     pub load: ReportedLoad,
     /// Whether, and when, the target accepts further requests.
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -49,7 +49,7 @@
     /// nothing of it.
     fn covers(&self, order: &Rollout) -> bool {
         let own = self.order.borrow();
-        let is_same = own.version == order.version && !order.is_anew(&own);
+        let is_same = own.version == order.version && !order.is_new_order(&own);
         is_same && (!self.is_finished() || order.revision <= own.revision)
     }
 }
@@ -57,7 +57,7 @@
 /// Handles a node's report; `None` if its order is not running as far as this node knows.
 pub fn handle_report(node: &Rc<Node>, report: RolloutReport) -> Option<RolloutAnswer> {
     let own = node.fleet(|f| f.versions().order_id(&report.order.service))?;
-    let order = running_order(node, &own).filter(|_| own.is_alike(&report.order))?;
+    let order = running_order(node, &own).filter(|_| own.has_same_version(&report.order))?;
     let judge = get_or_start(node, order)?;
     if report.node != node.peers.id {
         judge.last_report.set(node.now());
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -45,7 +45,7 @@
                     why: &why,
                 }
                 .emit();
-                let order = order.later(node.now().since(started));
+                let order = order.with_elapsed(node.now().since(started));
                 (BatchOrder { spilled: true, ..order }, None)
             }
         }
