--- a/crates/forward/src/stages/runner.rs
+++ b/crates/forward/src/stages/runner.rs
@@ -60,7 +60,8 @@
         let original = runner.pool.region.is_some().then(|| order.clone());
         let Some(results) = runner.run_order(node, order, pinned).await else {
             // Its workers went away while it waited, or it goes to another coordinator.
-            let order = original.ok_or(OrderError::HandedOver)?.with_elapsed(node.now().since(started));
+            let order =
+                original.ok_or(OrderError::HandedOver)?.with_elapsed(node.now().since(started));
             let (_, spilled) = runner.try_spill(node, order).await;
             return spilled.ok_or(OrderError::HandedOver);
         };
