--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -305,9 +305,9 @@
         if times.len() >= MAX_SERIES && !times.contains_key(&(kind, name.clone())) {
             return;
         }
-        let fresh =
+        let new_histogram =
             || Histogram::new_with_max(MAX_TIME_MS, SIGNIFICANT_DIGITS).expect("valid bounds");
-        let times = times.entry((kind, name.clone())).or_insert_with(fresh);
+        let times = times.entry((kind, name.clone())).or_insert_with(new_histogram);
         times.saturating_record(ms.min(MAX_TIME_MS));
     }
 
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -266,11 +266,11 @@
 
     fn budget<T>(&self, service: &Name, f: impl FnOnce(&mut RepeatBudget) -> T) -> T {
         let mut budgets = self.budgets.borrow_mut();
-        let fresh = || {
+        let new_budget = || {
             let settings = self.settings();
             RepeatBudget::new(settings.repeats.tuning(), settings.first_start, self.peers.id.start)
         };
-        f(budgets.entry(service.clone()).or_insert_with(fresh))
+        f(budgets.entry(service.clone()).or_insert_with(new_budget))
     }
 
     /// Records an epoch of the store, received from the store or a peer. An epoch later than the
--- a/crates/forward/src/reload.rs
+++ b/crates/forward/src/reload.rs
@@ -1,8 +1,8 @@
 //! Reloads the settings on SIGHUP and whenever the file changes.
 //!
 //! The repeat budget, the seeds, the stop time and the store's address can change while the node
-//! runs. A file that is invalid, or that changes a field which is fixed for the life of the
-//! process, is rejected as a whole.
+//! runs. A file that is invalid, or that would make the process a different node (by a new name,
+//! address or region map, for example), is rejected as a whole.
 
 use std::path::PathBuf;
 use std::rc::Rc;
