--- a/crates/bench/src/slopes/fleet.rs
+++ b/crates/bench/src/slopes/fleet.rs
@@ -66,7 +66,7 @@
         input: StageInput::Key("key".into()),
         slack_ms: 2000,
         left_ms: 8000,
-        rank: Rank::of(None, 1),
+        rank: Rank::new(None, 1),
         allowed: Allowed::ANY,
         region: None,
         spilled: false,
--- a/crates/decide/src/batch/coordinator.rs
+++ b/crates/decide/src/batch/coordinator.rs
@@ -103,7 +103,7 @@
 
     /// Wait and call time that an order would get from the local workers.
     pub fn local_load(&mut self, order: &BatchOrder, now: Time) -> LocalLoad {
-        let wait = self.waits(now).of(order.rank);
+        let wait = self.waits(now).for_rank(order.rank);
         let slots = self.workers.serving_count() * self.pool.slots.max(1) as usize;
         LocalLoad {
             wait,
--- a/crates/decide/src/batch/orders.rs
+++ b/crates/decide/src/batch/orders.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use model::forward::{BatchOrder, LARGE_RESULT, PieceResult, Rank, StagePool};
+use model::forward::{BatchOrder, LARGE_RESULT_BYTES, PieceResult, Rank, StagePool};
 use model::{Name, Time};
 
 use super::worker::Location;
@@ -164,7 +164,7 @@
         };
         let is_urgent = self.slack(now) < self.typical_time(pool) + SPILL_SLACK;
         *preferred == location.domain
-            || bytes < LARGE_RESULT
+            || bytes < LARGE_RESULT_BYTES
             || !available.iter().any(|w| w.domain == *preferred && self.permits(w))
             || (is_urgent && self.spec.rank.workspace <= MAX_SPILL_RANK)
     }
--- a/crates/decide/src/forecast/mod.rs
+++ b/crates/decide/src/forecast/mod.rs
@@ -51,7 +51,7 @@
     /// Remaining wait of a new order.
     fn wait(&self, rank: Rank, now: Time) -> Duration {
         let age = now.since(self.received_at).as_secs_f64() / WAIT_FADE.as_secs_f64();
-        let wait = Duration::from_millis(u64::from(self.waits.of(rank)));
+        let wait = Duration::from_millis(u64::from(self.waits.for_rank(rank)));
         wait.mul_f64((1.0 - age).clamp(0.0, 1.0))
     }
 }
--- a/crates/decide/src/region/spill.rs
+++ b/crates/decide/src/region/spill.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use model::forward::{BatchOrder, LARGE_RESULT, Rank, Waits};
+use model::forward::{BatchOrder, LARGE_RESULT_BYTES, Rank, Waits};
 use model::{Name, Time};
 
 /// Time for which the reported waits of another region are valid.
@@ -113,7 +113,7 @@
         else {
             return none_available.then_some(0);
         };
-        let remote = f64::from(known.waits.of(rank)) + known.spilled_ms;
+        let remote = f64::from(known.waits.for_rank(rank)) + known.spilled_ms;
         (remote <= f64::from(MAX_REMOTE_WAIT_MS)).then_some(remote as u32)
     }
 
@@ -142,7 +142,8 @@
         now: Time,
     ) -> Option<Name> {
         let none_available = local.wait == Waits::NOBODY;
-        let can_move = order.result_bytes < LARGE_RESULT && order.moved_bytes <= MAX_MOVED_BYTES;
+        let can_move =
+            order.result_bytes < LARGE_RESULT_BYTES && order.moved_bytes <= MAX_MOVED_BYTES;
         if order.spilled || !(none_available || can_move) {
             return None;
         }
--- a/crates/decide/tests/batch.rs
+++ b/crates/decide/tests/batch.rs
@@ -67,9 +67,9 @@
 fn urgent_orders_go_first_and_hopeless_ones_last() {
     let mut c = coordinator(&[("m1", "a")]);
     let first = calls(&c.handle(at(0), order_event(1, order("busy", 1))));
-    let urgent = BatchOrder { rank: Rank::of(None, 0), ..order("urgent", 6) };
-    let patient = BatchOrder { rank: Rank::of(None, 2), slack_ms: 900, ..order("patient", 6) };
-    let hopeless = BatchOrder { rank: Rank::of(None, 0), slack_ms: 20, ..order("hopeless", 6) };
+    let urgent = BatchOrder { rank: Rank::new(None, 0), ..order("urgent", 6) };
+    let patient = BatchOrder { rank: Rank::new(None, 2), slack_ms: 900, ..order("patient", 6) };
+    let hopeless = BatchOrder { rank: Rank::new(None, 0), slack_ms: 20, ..order("hopeless", 6) };
     for (id, order) in [(2, hopeless), (3, patient), (4, urgent)] {
         c.handle(at(1), order_event(id, order));
     }
@@ -88,7 +88,7 @@
         near: Some("b".into()),
         moved_bytes: 9 << 20,
         spread_bytes: 9 << 20,
-        rank: Rank::of(None, rank),
+        rank: Rank::new(None, rank),
         slack_ms,
         ..order("large", 2)
     };
@@ -313,20 +313,20 @@
     let mut c = coordinator(&[("m1", "a")]);
     c.handle(at(0), order_event(1, order("busy", 1)));
     let empty = c.waits(at(0));
-    c.handle(at(1), order_event(2, BatchOrder { rank: Rank::of(None, 1), ..order("r", 8) }));
+    c.handle(at(1), order_event(2, BatchOrder { rank: Rank::new(None, 1), ..order("r", 8) }));
     let full = c.waits(at(1));
     assert_eq!(
-        full.of(Rank::of(None, 0)),
-        empty.of(Rank::of(None, 0)),
+        full.for_rank(Rank::new(None, 0)),
+        empty.for_rank(Rank::new(None, 0)),
         "rank 1 is not ahead of rank 0"
     );
     assert!(
-        full.of(Rank::of(None, 1)) >= empty.of(Rank::of(None, 1)) + 8 * 20,
+        full.for_rank(Rank::new(None, 1)) >= empty.for_rank(Rank::new(None, 1)) + 8 * 20,
         "{full:?} after {empty:?}"
     );
     let mut none = Coordinator::new(pool(), Policy::default());
     none.handle(at(0), order_event(1, order("r", 1)));
-    assert_eq!(none.waits(at(0)).of(Rank::of(None, 0)), u32::MAX, "there is no worker");
+    assert_eq!(none.waits(at(0)).for_rank(Rank::new(None, 0)), u32::MAX, "there is no worker");
 }
 
 /// Steps of a simulation in which calls end in any order and with any outcome.
@@ -433,7 +433,7 @@
                     world.orders.insert(id, pieces);
                     let near = Some(domains[usize::from(near)].into());
                     let order = order(&format!("r{id}"), pieces);
-                    Some(order_event(id, BatchOrder { rank: Rank::of(None, rank), near, moved_bytes: 2 << 20, ..order }))
+                    Some(order_event(id, BatchOrder { rank: Rank::new(None, rank), near, moved_bytes: 2 << 20, ..order }))
                 }
                 Step::End { which, how } => world.end(which, how),
                 Step::Duplicate { which } if !world.ended.is_empty() => {
--- a/crates/decide/tests/batch_overdue.rs
+++ b/crates/decide/tests/batch_overdue.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn the_wait_with_all_workers_ejected_lasts_until_the_first_retry() {
-    let wait = |c: &mut Coordinator, ms| c.waits(at(ms)).of(Rank::default());
+    let wait = |c: &mut Coordinator, ms| c.waits(at(ms)).for_rank(Rank::default());
     let mut c = coordinator(&[("m1", "a"), ("m2", "a")]);
     let late = calls(&c.handle(at(0), order_event(1, order("r1", 20))));
     c.handle(at(450), Event::Tick);
--- a/crates/decide/tests/forecast.rs
+++ b/crates/decide/tests/forecast.rs
@@ -58,7 +58,7 @@
 fn expected(forecast: &Forecast, pieces: &[u32], rank: u8, at: u64) -> Duration {
     let services = services();
     let find = |name: &Name| services.iter().find(|s| s.name == *name);
-    let rank = Rank::of(None, rank);
+    let rank = Rank::new(None, rank);
     let least = min_stage_times(&route(), pieces, find);
     let stages = route().stages.into_iter();
     let queues: Vec<QueueId> = stages.map(|s| queue(&s.service, None, &Allowed::ANY, 0)).collect();
@@ -86,7 +86,11 @@
     let before = expected(&forecast, &[0, 0, 1], 1, 0);
     forecast.record(
         queue("second", None, &Allowed::ANY, 0),
-        Waits(vec![(Rank::of(None, 0), 100), (Rank::of(None, 1), 200), (Rank::of(None, 2), 400)]),
+        Waits(vec![
+            (Rank::new(None, 0), 100),
+            (Rank::new(None, 1), 200),
+            (Rank::new(None, 2), 400),
+        ]),
         Time::ZERO,
     );
     for (rank, wait) in [(0, 100), (1, 200), (2, 400), (9, 400)] {
@@ -158,7 +162,7 @@
     let mut forecast = Forecast::default();
     let services = services();
     let find = |name: &Name| services.iter().find(|s| s.name == *name);
-    let (route, rank, now) = (route(), Rank::of(None, 1), Time::from_millis(300));
+    let (route, rank, now) = (route(), Rank::new(None, 1), Time::from_millis(300));
     let least = |pieces: &[u32]| min_stage_times(&route, pieces, find);
     let stages = route.stages.iter();
     let queues: Vec<QueueId> = stages.map(|s| queue(&s.service, None, &Allowed::ANY, 0)).collect();
--- a/crates/decide/tests/region_spill.rs
+++ b/crates/decide/tests/region_spill.rs
@@ -208,7 +208,7 @@
     fn tick(&mut self, i: usize) {
         let now = at(self.now);
         let region = &mut self.regions[i];
-        let is_dead = region.c.waits(now).of(Rank::default()) == u32::MAX;
+        let is_dead = region.c.waits(now).for_rank(Rank::default()) == u32::MAX;
         let moves = is_dead && region.spill.has_fresh_waits(now);
         self.feed(i, if moves { Event::HandOver } else { Event::Tick });
     }
@@ -332,12 +332,20 @@
         if let Some(there) = there {
             spill.update_waits("b".into(), waits(there), at(0));
         }
-        assert_eq!(spill.bound_waits(waits(own), &others, false, at(10)).of(rank), told, "{why}");
+        assert_eq!(
+            spill.bound_waits(waits(own), &others, false, at(10)).for_rank(rank),
+            told,
+            "{why}"
+        );
         let large = if own == u32::MAX { told } else { own };
         let bound = spill.bound_waits(waits(own), &others, true, at(10));
-        assert_eq!(bound.of(rank), large, "large orders spill only without local workers: {why}");
         assert_eq!(
-            spill.bound_waits(waits(own), &[], false, at(10)).of(rank),
+            bound.for_rank(rank),
+            large,
+            "large orders spill only without local workers: {why}"
+        );
+        assert_eq!(
+            spill.bound_waits(waits(own), &[], false, at(10)).for_rank(rank),
             own,
             "no other region is allowed"
         );
--- a/crates/decide/tests/support/batch.rs
+++ b/crates/decide/tests/support/batch.rs
@@ -45,7 +45,7 @@
         input: StageInput::Key("key".into()),
         slack_ms: 2000,
         left_ms: 8000,
-        rank: Rank::of(None, 1),
+        rank: Rank::new(None, 1),
         allowed: Allowed::ANY,
         region: None,
         spilled: false,
--- a/crates/forward/src/serve/admit.rs
+++ b/crates/forward/src/serve/admit.rs
@@ -185,7 +185,7 @@
     };
     let service = choose_service(route, &head.id)
         .ok_or_else(|| Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "route has no service"))?;
-    let rank = Rank::of(workspace.and_then(|w| w.rank), route.rank);
+    let rank = Rank::new(workspace.and_then(|w| w.rank), route.rank);
     Ok(Resolved {
         route: route.clone(),
         service: service.clone(),
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -5,7 +5,7 @@
 use decide::fleet::{ColdStarts, Exclusion, Home, PickCriteria, Terms, home_weights};
 use decide::region::Map;
 use decide::resend::Next;
-use model::forward::{Allowed, LARGE_RESULT, Phase, Side, Target, TargetId};
+use model::forward::{Allowed, LARGE_RESULT_BYTES, Phase, Side, Target, TargetId};
 use model::{Name, Time};
 
 use super::exchange::{Exchange, NO_TARGET_RETRY_AFTER};
@@ -206,7 +206,7 @@
     /// Weights of the failure domains for homes, for a route with large results, which are produced
     /// close to their target; empty for other routes.
     fn home_weights(&self, allowed: &Allowed, now: Time) -> Vec<(Name, f64)> {
-        let large = self.route.stages.iter().find(|s| s.bytes >= LARGE_RESULT);
+        let large = self.route.stages.iter().find(|s| s.bytes >= LARGE_RESULT_BYTES);
         let large = large.filter(|_| self.node.settings().policy.weighted_homes);
         let Some(workers) = large.map(|s| &s.service) else {
             return Vec::new();
--- a/crates/forward/src/stages/job.rs
+++ b/crates/forward/src/stages/job.rs
@@ -5,7 +5,7 @@
 
 use decide::{forecast, stages};
 use model::forward::{
-    Allowed, BatchOrder, CallerHead, LARGE_RESULT, Rank, Route, Stage, StageInput,
+    Allowed, BatchOrder, CallerHead, LARGE_RESULT_BYTES, Rank, Route, Stage, StageInput,
 };
 use model::{Name, Time};
 
@@ -70,7 +70,7 @@
         let times = node.forecast(|f| f.stage_times(&least, &queues, self.rank, now));
         let latest = stages::latest_starts(&self.route.order(), &times);
         let large = self.route.stages.iter().enumerate().filter(|(i, s)| {
-            s.bytes >= LARGE_RESULT && s.after.is_empty() && self.pieces_of(*i) > 0
+            s.bytes >= LARGE_RESULT_BYTES && s.after.is_empty() && self.pieces_of(*i) > 0
         });
         let mut postponed: Vec<_> = large.map(|(i, _)| (now + latest[i], i)).collect();
         postponed.retain(|(due, _)| *due > now);
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -69,7 +69,8 @@
     /// Whether no maker works here, while another region's can take what waits.
     pub(super) fn is_abandoned(&self, node: &Node) -> bool {
         let now = node.now();
-        let is_dead = self.machine.borrow_mut().waits(now).of(Rank::default()) == Waits::NOBODY;
+        let is_dead =
+            self.machine.borrow_mut().waits(now).for_rank(Rank::default()) == Waits::NOBODY;
         is_dead && self.spill.borrow().has_fresh_waits(now)
     }
 
--- a/crates/model/src/forward/batch.rs
+++ b/crates/model/src/forward/batch.rs
@@ -15,7 +15,7 @@
 
 /// Bytes of one result from which on it is made where it is wanted, and as late as it may
 /// be: moving it between failure domains, or letting it rest, costs more than the call.
-pub const LARGE_RESULT: u64 = 1 << 20;
+pub const LARGE_RESULT_BYTES: u64 = 1 << 20;
 
 /// A result that rests at its maker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -77,7 +77,7 @@
     pub fn new(pool: PoolId, allowed: &Allowed, result_bytes: u64) -> Self {
         let by_region = pool.region.is_some();
         let allowed = if by_region { allowed.clone() } else { Allowed::ANY };
-        QueueId { pool, allowed, is_large: by_region && result_bytes >= LARGE_RESULT }
+        QueueId { pool, allowed, is_large: by_region && result_bytes >= LARGE_RESULT_BYTES }
     }
 
     /// Whether orders in this queue wait as long as those in `other` at most: they may be
@@ -199,7 +199,7 @@
     pub const NOBODY: u32 = u32::MAX;
 
     /// Wait of an order of this rank.
-    pub fn of(&self, rank: Rank) -> u32 {
+    pub fn for_rank(&self, rank: Rank) -> u32 {
         let named = self.0.iter().filter(|(r, _)| *r <= rank);
         named.max_by_key(|(r, _)| *r).map_or(0, |(_, wait)| *wait)
     }
--- a/crates/model/src/forward/mod.rs
+++ b/crates/model/src/forward/mod.rs
@@ -20,7 +20,7 @@
 mod target;
 
 pub use batch::{
-    BatchAnswer, BatchOrder, Handle, LARGE_RESULT, PieceOrder, PieceResult, PoolId, QueueId,
+    BatchAnswer, BatchOrder, Handle, LARGE_RESULT_BYTES, PieceOrder, PieceResult, PoolId, QueueId,
     StageInput, Waits,
 };
 pub use caller::{CallerHead, PromptPart};
--- a/crates/model/src/forward/rank.rs
+++ b/crates/model/src/forward/rank.rs
@@ -21,7 +21,7 @@
     const ROUTE_LEVELS: u8 = 3;
 
     /// Rank of a request on a route, of a workspace that may have a rank of its own.
-    pub fn of(workspace: Option<u8>, route: u8) -> Rank {
+    pub fn new(workspace: Option<u8>, route: u8) -> Rank {
         Rank { workspace: workspace.unwrap_or(route), route }
     }
 
