--- a/crates/model/src/attempt.rs
+++ b/crates/model/src/attempt.rs
@@ -1,8 +1,8 @@
-//! What passes between an entry node and a target: the call of one attempt,
-//! the frames of its answer, and the load report.
+//! Messages between an entry node and a target: the call of an attempt and the frames of its
+//! answer.
 //!
-//! An attempt is (request, step, number). Each call carries it and each frame
-//! brings it back, so that a frame of any other attempt can be told and dropped.
+//! An attempt is (request, step, number). Each call carries it and each frame repeats it, so
+//! frames of any other attempt are recognized and dropped.
 
 use std::fmt;
 
@@ -11,10 +11,10 @@
 
 use crate::Name;
 
-/// Identity of one attempt at one step of one request.
+/// Identity of an attempt at one step of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Request id, unique over all entry nodes.
+    /// Request id, unique across all entry nodes.
     pub request: Name,
     /// Index of the step in its pipeline.
     pub step: u16,
@@ -28,68 +28,68 @@
     }
 }
 
-/// One call of a target.
+/// Call of a target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Call {
-    /// The attempt that this call is.
+    /// Attempt that the call makes.
     pub attempt: Attempt,
     /// Name of the step.
     pub step: Name,
     /// Workspace of the caller.
     pub workspace: Name,
-    /// Model, for engines.
+    /// Model; set for engines.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<Name>,
     /// Version of the model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Name>,
-    /// Priority, smaller runs first; earliest deadline within it.
+    /// Priority: smaller values run first, and by earliest deadline within a priority.
     pub priority: u8,
-    /// Milliseconds left for this step.
+    /// Time left for this step, in milliseconds.
     pub budget: u64,
-    /// Input of the request and the results of earlier steps.
+    /// Request input and the results of earlier steps.
     pub input: Value,
-    /// Text already delivered; the answer goes on behind it.
+    /// Text already delivered; the answer continues after it.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub prior: String,
-    /// Number of the first frame wanted.
+    /// Sequence number of the first frame to send.
     #[serde(default)]
     pub from: u64,
-    /// Earlier attempt at the same target whose stream is to be resumed.
+    /// Earlier attempt at the same target whose stream to resume.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<Attempt>,
 }
 
-/// One frame of an answer; a line of JSON.
+/// Frame of a streamed answer, encoded as one line of JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Frame {
-    /// A piece of the text.
+    /// Part of the text.
     Chunk {
-        /// Attempt that the piece answers.
+        /// Attempt that the frame belongs to.
         attempt: Attempt,
-        /// Position in the answer, from the call's `from`.
+        /// Position in the answer, starting at the call's `from`.
         seq: u64,
-        /// The text.
+        /// Text of the chunk.
         text: String,
     },
-    /// The end of the answer.
+    /// End of the answer.
     End {
-        /// Attempt that ends.
+        /// Attempt that the frame ends.
         attempt: Attempt,
-        /// Position behind the last chunk.
+        /// Position after the last chunk.
         count: u64,
-        /// XXH3-64 over the text from the call's `from` on.
+        /// XXH3-64 of the text starting at the call's `from`.
         digest: u64,
-        /// Microseconds of the target's time that the attempt took.
+        /// Time that the target spent on the attempt, in microseconds.
         busy: u64,
-        /// Expected wait of a new call at the target, in milliseconds.
+        /// Expected queueing time of a new call at the target, in milliseconds.
         wait: u32,
     },
 }
 
 impl Frame {
-    /// The attempt that the frame claims to answer.
+    /// Attempt that the frame claims to belong to.
     pub fn attempt(&self) -> &Attempt {
         match self {
             Frame::Chunk { attempt, .. } | Frame::End { attempt, .. } => attempt,
@@ -97,9 +97,9 @@
     }
 }
 
-/// Asks a target to stop an attempt that nobody waits for.
+/// Asks a target to stop an attempt whose result is no longer needed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cancel {
-    /// The attempt to stop.
+    /// Attempt to stop.
     pub attempt: Attempt,
 }
--- a/crates/model/src/claim.rs
+++ b/crates/model/src/claim.rs
@@ -1,5 +1,4 @@
-//! Claims of idempotency keys, as kept in the Object API and passed between
-//! entry nodes.
+//! Claims of idempotency keys, as stored in the Object API and sent between entry nodes.
 
 use std::collections::BTreeMap;
 
@@ -7,45 +6,45 @@
 
 use crate::{Name, key::Key};
 
-/// One claim object: every key of one bucket and shard.
+/// Claim object: all keys of one bucket and shard.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// Request that holds each key.
     pub keys: BTreeMap<Key, Name>,
 }
 
-/// Name of the floor object.
+/// Name of the [`Floor`] object.
 pub const FLOOR: &str = "floor";
 
-/// The floor: buckets below it are deleted and never written again.
+/// Lower bound of the buckets in use: those below it are deleted and never written again.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Floor {
-    /// Lowest bucket still in use.
+    /// Lowest bucket in use.
     pub bucket: u64,
 }
 
-/// Asks a shard's home node for a claim.
+/// Asks a shard's home node to claim a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// Key to claim.
     pub key: Key,
-    /// Request that wants it.
+    /// Request that claims it.
     pub request: Name,
 }
 
-/// How a claim ended.
+/// Outcome of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
     /// The request holds the key.
     Won,
-    /// Another request holds it.
+    /// This other request holds the key.
     Lost(Name),
-    /// The key is too old, or the bucket is gone.
+    /// The key is too old, or its bucket was deleted.
     Old,
-    /// The key lies too far ahead.
+    /// The key's time is too far in the future.
     Future,
-    /// Certainly not written.
+    /// The claim was certainly not written.
     Failed,
-    /// It may have been written.
+    /// The claim may have been written.
     Doubt,
 }
--- a/crates/model/src/forward/batch.rs
+++ b/crates/model/src/forward/batch.rs
@@ -1,7 +1,7 @@
-//! Orders of pieces between forwarding nodes.
+//! Messages between forwarding nodes and batch coordinators.
 //!
-//! A node sends the pieces of one request's stage to the batch coordinator of the
-//! stage's service, which fills calls with pieces of many requests.
+//! A node sends the pieces of one stage of a request to the batch coordinator of the stage's
+//! service, which fills calls with pieces of many requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 use crate::Name;
 use crate::member::NodeId;
 
-/// Bytes of one result from which on it is made where it is wanted, and as late as it may
-/// be: moving it between failure domains, or letting it rest, costs more than the call.
+/// Minimum size of a large result. Large results are made in the failure domain that needs them
+/// and as late as possible, because moving or storing them costs more than the call.
 pub const LARGE_RESULT_BYTES: u64 = 1 << 20;
 
-/// A result that rests at its maker.
+/// Handle of a result stored at the worker that made it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handle {
-    /// Target that made and keeps it.
+    /// Worker that made and stores the result.
     pub maker: TargetId,
-    /// What the maker calls it.
+    /// Identifier that the worker assigned.
     pub text: String,
 }
 
-/// What a piece is made from.
+/// Input of a piece.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StageInput {
-    /// A key; for stages that come after no other.
+    /// Key, for stages without predecessors.
     Key(Name),
     /// Handles of earlier results.
     Handles(Arc<[String]>),
 }
 
-/// One piece to be made.
+/// Order for one piece.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceOrder {
     /// Attempt that the piece belongs to.
@@ -44,102 +44,101 @@
     pub stage: usize,
     /// Position of the piece in its stage.
     pub piece: u32,
-    /// Milliseconds left, if the maker is to know.
+    /// Time left in milliseconds, if the worker is to be told.
     pub left_ms: Option<u64>,
-    /// What it is made from.
+    /// Input of the piece.
     pub input: StageInput,
 }
 
-/// The makers of a service that are coordinated together.
+/// Pool: the workers of a service that share a batch coordinator.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PoolId {
-    /// Service.
+    /// Service of the workers.
     pub service: Name,
-    /// Region in which they are; `None` if those of all regions are one pool.
+    /// Region of the workers; `None` if the pool spans all regions.
     pub region: Option<Name>,
 }
 
-/// What an order waits in: the queue of a pool, and what binds whether it is passed on to
-/// another region in place of waiting there.
+/// Queue that an order waits in: its pool, and what determines whether the order may spill to
+/// another region.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct QueueId {
-    /// Makers.
+    /// Pool whose workers serve the queue.
     pub pool: PoolId,
-    /// Regions that the order may be passed on to.
+    /// Regions that the order may spill to.
     pub allowed: Allowed,
-    /// Whether its results are too large for that.
+    /// Whether its results are too large to spill.
     pub is_large: bool,
 }
 
 impl QueueId {
-    /// That of an order with results of this size. Where all regions are one pool, nothing is
-    /// passed on.
+    /// Queue of an order with results of this size. A pool that spans all regions never spills.
     pub fn new(pool: PoolId, allowed: &Allowed, result_bytes: u64) -> Self {
         let by_region = pool.region.is_some();
         let allowed = if by_region { allowed.clone() } else { Allowed::ANY };
         QueueId { pool, allowed, is_large: by_region && result_bytes >= LARGE_RESULT_BYTES }
     }
 
-    /// Whether orders in this queue wait as long as those in `other` at most: they may be
-    /// passed on wherever those may.
+    /// Whether orders in this queue wait at most as long as those in `other`, because they may
+    /// spill to at least the same regions.
     pub fn waits_no_longer_than(&self, other: &QueueId) -> bool {
         let allows_as_much = self.allowed.is_any() || self.allowed == other.allowed;
         self.pool == other.pool && allows_as_much && (!self.is_large || other.is_large)
     }
 }
 
-/// All pieces of one request's stage, ordered together. What they share is told once:
-/// orders cross the narrow link of a coordinator.
+/// Order for all pieces of one stage of a request. Shared fields are sent once, because orders
+/// cross the coordinator's narrow link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchOrder {
-    /// Service that makes them.
+    /// Service that makes the pieces.
     pub service: Name,
-    /// Attempt that they belong to.
+    /// Attempt that the pieces belong to.
     pub attempt: Name,
     /// Position of the stage in its route.
     pub stage: usize,
-    /// Count of pieces.
+    /// Number of pieces.
     pub pieces: u32,
-    /// What each is made from.
+    /// Input of each piece.
     pub input: StageInput,
-    /// Milliseconds until the first event is due.
+    /// Time until the first event is due, in milliseconds.
     pub slack_ms: u64,
-    /// Milliseconds until the request ends unanswered.
+    /// Time until the request ends unanswered, in milliseconds.
     pub left_ms: u64,
-    /// Rank.
+    /// Rank of the request.
     pub rank: Rank,
     /// Regions in which the pieces may be made.
     pub allowed: Allowed,
-    /// Region whose makers are to make them; `None` if those of any.
+    /// Region whose workers are to make the pieces; `None` for any region.
     pub region: Option<Name>,
-    /// Whether another region passed the order on to this one; it is not passed on again.
+    /// Whether the order was spilled from another region; it is not spilled again.
     pub spilled: bool,
-    /// Failure domain where the inputs lie or the results are wanted.
+    /// Failure domain where the inputs are stored or the results are needed.
     pub near: Option<Name>,
-    /// Bytes that cross failure domains if the pieces are made elsewhere.
+    /// Bytes moved between failure domains if the pieces are made in another one.
     pub moved_bytes: u64,
-    /// Bytes that cross later if the results lie in several failure domains.
+    /// Bytes moved later if the results are spread over several failure domains.
     pub spread_bytes: u64,
-    /// About the size of one result, in bytes.
+    /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// Nodes that would have been asked first but did not answer, or stop.
+    /// Nodes that rank before the receiver but did not answer or are stopping.
     pub skipped: Vec<NodeId>,
-    /// Whether a node has passed the order on, since it did not come first itself.
+    /// Whether a node forwarded the order because another node ranks before it.
     pub passed_on: bool,
 }
 
 impl BatchOrder {
-    /// Makers that are to make the pieces.
+    /// Pool whose workers are to make the pieces.
     pub fn pool(&self) -> PoolId {
         PoolId { service: self.service.clone(), region: self.region.clone() }
     }
 
-    /// What the order waits in.
+    /// Queue that the order waits in.
     pub fn queue(&self) -> QueueId {
         QueueId::new(self.pool(), &self.allowed, self.result_bytes)
     }
 
-    /// The order once this time has passed.
+    /// The order with its remaining times reduced by `elapsed`.
     pub fn with_elapsed(self, elapsed: Duration) -> Self {
         let elapsed_ms = elapsed.as_millis() as u64;
         BatchOrder {
@@ -149,7 +148,7 @@
         }
     }
 
-    /// One piece of the order, with this time left.
+    /// Order for one of the pieces, with this time left.
     pub fn piece(&self, piece: u32, left_ms: u64) -> PieceOrder {
         PieceOrder {
             attempt: self.attempt.clone(),
@@ -161,44 +160,44 @@
     }
 }
 
-/// What became of one piece.
+/// Outcome of a piece.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PieceResult {
-    /// Made.
+    /// The result was made.
     Made(Handle),
-    /// An input is gone; the stage before must be made again.
+    /// An input was lost; the preceding stage must be rerun.
     InputGone,
-    /// The maker had no room for it.
+    /// The worker had no space for the result.
     NoRoom,
-    /// Its time was over.
+    /// The deadline of the piece passed.
     Late,
-    /// No maker could make it.
+    /// No worker was able to make it.
     Failed,
 }
 
-/// Answer to a [`BatchOrder`], in its order.
+/// Answer to a [`BatchOrder`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchAnswer {
-    /// Results.
+    /// Outcomes of the pieces, in the order of the pieces.
     pub results: Vec<PieceResult>,
-    /// What an order would wait now before a call takes it.
+    /// Current queueing times of new orders.
     pub waits: Waits,
-    /// Where the results are to be freed, if not at the node that answers.
+    /// Node at which the results are to be freed, if not the answering one.
     pub coordinator: Option<SocketAddr>,
-    /// Region whose makers made them, if they are coordinated by region.
+    /// Region of the workers that made the pieces, if each region has its own pool.
     pub region: Option<Name>,
 }
 
-/// Expected waits of new orders at a coordinator, in milliseconds, by rank. A rank waits
-/// as long as the next more urgent one that is named.
+/// Expected queueing times of new orders at a coordinator in milliseconds, by rank. A rank that is
+/// not listed has the wait of the next more urgent one that is.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Waits(pub Vec<(Rank, u32)>);
 
 impl Waits {
-    /// Told as the wait where no maker works.
+    /// Wait reported when no worker is available.
     pub const NOBODY: u32 = u32::MAX;
 
-    /// Wait of an order of this rank.
+    /// Expected wait of an order of this rank, in milliseconds.
     pub fn for_rank(&self, rank: Rank) -> u32 {
         let named = self.0.iter().filter(|(r, _)| *r <= rank);
         named.max_by_key(|(r, _)| *r).map_or(0, |(_, wait)| *wait)
--- a/crates/model/src/forward/caller.rs
+++ b/crates/model/src/forward/caller.rs
@@ -1,37 +1,37 @@
-//! What a caller's request head says.
+//! Parsed heads of callers' requests.
 
-/// One part of a prompt; requests that share leading parts share cached memory.
+/// Part of a prompt; requests with the same leading parts share the engine's cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part, hashed.
+    /// Hash of the part's identifier.
     pub id: u64,
-    /// Tokens of the part.
+    /// Number of tokens in the part.
     pub tokens: u64,
 }
 
-/// What a caller's request head says, beyond what is passed on unread.
+/// Fields of a request head that the node evaluates; all others are forwarded unread.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct CallerHead {
-    /// The attempt's identity, as the caller gave it.
+    /// Attempt id, as set by the caller.
     pub id: String,
     /// Host, in lower case and without a port.
     pub host: String,
     /// Path, without the query.
     pub path: String,
-    /// Milliseconds that the caller waits.
+    /// Time that the caller waits, in milliseconds.
     pub wait_ms: Option<u64>,
-    /// Key presented.
+    /// API key of the caller.
     pub key: Option<String>,
-    /// Parts of the prompt in order.
+    /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub tokens_in: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub tokens_out: u64,
-    /// Pieces that each stage has.
+    /// Number of pieces of each stage.
     pub pieces: Vec<u32>,
-    /// Key that pieces without inputs are made from.
+    /// Key that is the input of pieces of stages without predecessors.
     pub piece_key: Option<String>,
-    /// Event after which a stream is to go on.
+    /// Id of the event after which a stream is to resume.
     pub last_event: Option<u64>,
 }
--- a/crates/model/src/forward/fingerprint.rs
+++ b/crates/model/src/forward/fingerprint.rs
@@ -1,26 +1,26 @@
-//! What makes two requests the same, whichever node they come to and under whichever attempt.
+//! Fingerprints that identify equal requests, independent of the receiving node and the attempt.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Hash of what a request asks and of who asks it (XXH3, 128 bits): all nodes make the same
-/// one of the same request, and nothing of the request can be read from it.
+/// 128-bit XXH3 hash of a request's content and its sender. All nodes compute the same fingerprint
+/// for the same request, and it discloses nothing about the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
-    /// Its first half.
+    /// Upper 64 bits.
     pub high: u64,
-    /// Its second half.
+    /// Lower 64 bits.
     pub low: u64,
 }
 
 impl Fingerprint {
-    /// Of the parts of a request in their order.
+    /// Fingerprint of the parts of a request, in order.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = Xxh3Default::new();
         for part in parts {
-            // Lengths keep the end of one part from being the begin of the next.
+            // The lengths keep the end of one part distinct from the start of the next.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -35,7 +35,7 @@
     }
 }
 
-/// No 32 hexadecimal digits.
+/// a fingerprint is 32 hexadecimal digits
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct FingerprintError;
 
--- a/crates/model/src/forward/limit.rs
+++ b/crates/model/src/forward/limit.rs
@@ -1,7 +1,7 @@
-//! Limits that targets name in their answers, and what nodes tell each other of them.
+//! Limits that targets report in their answers, and messages between nodes about them.
 //!
-//! Messages are written with the names of fields, and read with defaults for those that are
-//! missing, so that nodes of different builds understand each other. Ages are in milliseconds.
+//! Messages are encoded with field names, and missing fields have defaults, so nodes of different
+//! builds interoperate. Ages are in milliseconds.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,83 +9,83 @@
 use crate::Name;
 use crate::member::NodeId;
 
-/// What an answer says of the requests that its target takes from all nodes together.
+/// Limit in an answer on the requests that its target accepts from all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum ReportedLimit {
-    /// It names no limit.
+    /// The answer contains no limit.
     #[default]
     None,
-    /// So many requests a second.
+    /// Requests per second.
     PerSecond(f64),
-    /// It names one that cannot be read.
+    /// The answer contains a limit that cannot be parsed.
     Unreadable,
 }
 
-/// What an answer said of its target's limit, and when.
+/// Limit that a target reported in an answer, with the ages of the request and the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Requests a second; `None` if it named no limit.
+    /// Requests per second; `None` if the answer contained no limit.
     #[serde(default)]
     pub per_s: Option<f64>,
-    /// How long ago the request was sent.
+    /// Time since the request was sent.
     #[serde(default)]
     pub sent_ms: u64,
-    /// How long ago the answer came.
+    /// Time since the answer was received.
     #[serde(default)]
     pub came_ms: u64,
 }
 
-/// Asks a target's keeper for a permit to send requests there.
+/// Asks a target's permit issuer for permits to send requests to the target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Name of the node that asks.
+    /// Name of the requesting node.
     pub from: Name,
     /// The target.
     pub target: TargetId,
     /// Its failure domain.
     pub domain: Name,
-    /// Requests that are to be sent at once.
+    /// Number of requests to send at once.
     pub count: u32,
-    /// The last that is known of its limit.
+    /// Latest limit that the node knows.
     #[serde(rename = "word")]
     pub limit: LimitReport,
-    /// Peers that would come first, but are of a build that keeps no limits.
+    /// Peers that rank first as issuer but run a build that issues no permits.
     #[serde(default)]
     pub strangers: Vec<NodeId>,
 }
 
-/// A keeper's answer.
+/// Answer of a permit issuer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct PermitAnswer {
     /// Whether the requests may be sent now.
     pub granted: bool,
-    /// Time after which to ask again, if they may not.
+    /// Time after which to ask again, if not granted.
     #[serde(default)]
     pub after_ms: u64,
-    /// The last that the keeper knows of the limit.
+    /// Latest limit that the issuer knows.
     #[serde(rename = "word")]
     pub limit: LimitReport,
 }
 
-/// The last that is known of a target's limit.
+/// Latest known limit of a target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetLimit {
     /// The target.
     pub target: TargetId,
     /// Its failure domain.
     pub domain: Name,
-    /// The limit.
+    /// Latest known limit.
     #[serde(rename = "word")]
     pub limit: LimitReport,
 }
 
-/// Limits that a node tells a peer of.
+/// Announces limits to a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitUpdate {
-    /// Limits.
+    /// Announced limits.
     #[serde(default)]
     pub limits: Vec<TargetLimit>,
-    /// Whether the peer is to tell all others, as the keeper of these targets.
+    /// Whether the peer, as permit issuer of these targets, is to announce them to all nodes.
     #[serde(default)]
     pub spread: bool,
 }
--- a/crates/model/src/forward/load.rs
+++ b/crates/model/src/forward/load.rs
@@ -1,26 +1,26 @@
-//! What targets tell of their own load.
+//! Load that targets report in their answers.
 
-/// Load of a target as it was when it answered, the work of all its callers together.
+/// Load of a target when it answered, over all its callers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TargetLoad {
-    /// Requests at work.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait for a place.
+    /// Number of requests queued for a slot.
     pub waiting: u32,
-    /// Places.
+    /// Number of slots.
     pub slots: u32,
-    /// Times as long as usual that work takes on its machine.
+    /// Current duration of work on its machine relative to the baseline.
     pub slowdown: f64,
 }
 
-/// What an answer says of its target's load.
+/// Load in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum ReportedLoad {
-    /// Nothing.
+    /// The answer contains no load.
     #[default]
     None,
-    /// This.
+    /// Reported load.
     Load(TargetLoad),
-    /// Something that cannot be read.
+    /// The answer contains a load that cannot be parsed.
     Unreadable,
 }
--- a/crates/model/src/forward/mod.rs
+++ b/crates/model/src/forward/mod.rs
@@ -1,8 +1,8 @@
-//! What the forwarding node works by: the rules in force, the targets that
-//! exist, and the messages between forwarding nodes.
+//! Types of the forwarding node: the rules in force, the known targets and the messages between
+//! forwarding nodes.
 //!
-//! A forwarded request passes through a pipeline unaltered: its optional batched
-//! stages run first, then one target answers and its bytes go to the caller.
+//! A request is forwarded unaltered: its optional batched stages run first, then one target
+//! answers and the bytes of its answer are relayed to the caller.
 
 mod batch;
 mod caller;
--- a/crates/model/src/forward/notice.rs
+++ b/crates/model/src/forward/notice.rs
@@ -1,24 +1,24 @@
-//! What a target's answer says of further requests to it.
+//! Notices in answers about further requests to the target.
 
 use std::time::Duration;
 
-/// What an answer says of further requests to its target.
+/// Notice in an answer about further requests to its target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// The target leaves.
+    /// Whether the target is draining.
     pub leaving: bool,
-    /// When it wants the next request of this node.
+    /// When it accepts the next request of this node.
     pub retry_after: RetryAfter,
 }
 
-/// Time for which a target that turned a request away wants nothing more from this node.
+/// Time for which a target that rejected a request asks this node to back off.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// It names none.
+    /// The answer contains no time.
     #[default]
     None,
-    /// It names this one.
+    /// Time to back off.
     After(Duration),
-    /// It names one that cannot be read.
+    /// The answer contains a time that cannot be parsed.
     Unreadable,
 }
--- a/crates/model/src/forward/policy.rs
+++ b/crates/model/src/forward/policy.rs
@@ -1,41 +1,42 @@
-//! Mechanisms of the forwarding nodes that can be switched off one by one, so that what
-//! each is worth is measured by a run with other settings.
+//! Mechanisms of the forwarding nodes that can be disabled individually, so that the effect of each
+//! can be measured by a run with other settings.
 
 use serde::{Deserialize, Serialize};
 
-/// Which mechanisms are on; all are by default.
+/// Enabled mechanisms; all are enabled by default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// One coordinator batches the pieces of all nodes; off: each node batches its own.
+    /// One coordinator batches the pieces of all nodes; if off, each node batches its own.
     pub pooling: bool,
-    /// Requests are refused when waits leave them too little time.
+    /// Requests are rejected when the queueing times leave them too little time.
     pub admission: bool,
-    /// Orders that no call took in time are ended; off: they wait until their caller leaves.
+    /// Orders that no call included in time are ended; if off, they wait until their caller
+    /// disconnects.
     pub shedding: bool,
-    /// What is wanted of an overdue call is asked for once more.
+    /// The needed pieces of an overdue call are ordered a second time.
     pub overdue_calls: bool,
-    /// Batches take the higher ranks first; off: the least slack alone decides.
+    /// Batches take the more urgent ranks first; if off, only the least slack decides.
     pub ranks: bool,
-    /// Large results are made in the failure domain that wants them.
+    /// Large results are made in the failure domain that needs them.
     pub affinity: bool,
-    /// Stages with large results start as late as the others allow.
+    /// Stages with large results start as late as the other stages allow.
     pub late_starts: bool,
-    /// Results are freed at the first event; off: at the end of the stream.
+    /// Results are freed at the first event; if off, at the end of the stream.
     pub early_free: bool,
-    /// Stages whose results are gone are made again.
+    /// Stages whose results were lost are rerun.
     pub recompute: bool,
-    /// Prompts go to the engine that most likely keeps their shared parts.
+    /// Prompts go to the engine that most likely has their shared parts cached.
     pub homes: bool,
-    /// In large failure domains one node reads the store for all; off: each node does.
+    /// In large failure domains one node reads the store for all; if off, each node does.
     pub relays: bool,
-    /// Long prompts go to the engine among the first homes that has least to read.
+    /// Long prompts go to the engine with the fewest queued prompt tokens among the first homes.
     pub scheduling: bool,
-    /// Homes are dealt out in proportion to the makers of each failure domain.
+    /// Homes are assigned in proportion to the number of workers in each failure domain.
     pub weighted_homes: bool,
-    /// Targets that fail are left out for a while.
+    /// Failing targets are temporarily ejected.
     pub ejection: bool,
-    /// Targets that are silent for too long are left for another one.
+    /// Requests to targets that are silent for too long are moved to another target.
     pub patience: bool,
 }
 
--- a/crates/model/src/forward/prefill.rs
+++ b/crates/model/src/forward/prefill.rs
@@ -5,7 +5,7 @@
 use super::{Allowed, Side, TargetId};
 use crate::Name;
 
-/// Asks which engine of a failure domain is to read a prompt.
+/// Asks which engine of a failure domain is to prefill a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillAsk {
     /// Service of the engines.
@@ -14,32 +14,32 @@
     pub domain: Name,
     /// Attempt that the prompt belongs to.
     pub attempt: Name,
-    /// Regions in which it may be read.
+    /// Regions in which the prompt may be prefilled.
     pub allowed: Allowed,
-    /// Version that it goes to.
+    /// Version that the request goes to.
     pub side: Side,
-    /// Key of the prompt's home.
+    /// Key that determines the prompt's home.
     pub home: u64,
-    /// Tokens of its shared parts.
+    /// Number of tokens in the shared parts of the prompt.
     pub shared: u64,
-    /// Tokens of all of it.
+    /// Total number of prompt tokens.
     pub tokens: u64,
-    /// Milliseconds until its first event is due.
+    /// Time until the first event is due, in milliseconds.
     pub slack_ms: u64,
-    /// Engines that it was sent to before.
+    /// Excluded engines: those that the request was sent to before.
     pub but: Vec<TargetId>,
 }
 
-/// The scheduler's choice.
+/// Answer of the scheduler.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillAnswer {
-    /// Engine; `None` if the scheduler knows none.
+    /// Chosen engine; `None` if the scheduler knows none.
     pub engine: Option<TargetId>,
-    /// Prompt tokens that the engine has to read before.
+    /// Number of prompt tokens that the engine has to prefill before this prompt.
     pub ahead: u64,
 }
 
-/// An engine has read a prompt, or will not read it any more.
+/// Reports that an engine has prefilled a prompt or will not prefill it any more.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillEnd {
     /// Service of the engine.
@@ -48,8 +48,8 @@
     pub domain: Name,
     /// Attempt that the prompt belongs to.
     pub attempt: Name,
-    /// Engine.
+    /// Engine that the prompt was assigned to.
     pub engine: TargetId,
-    /// Whether it was read; else the request ended before.
+    /// Whether the prompt was prefilled; if not, the request ended before.
     pub was_read: bool,
 }
--- a/crates/model/src/forward/quarantine.rs
+++ b/crates/model/src/forward/quarantine.rs
@@ -1,7 +1,7 @@
-//! What nodes tell each other of requests under which targets ended.
+//! Messages between nodes about requests under which targets crashed.
 //!
-//! Written with the names of fields, and read with defaults for those that are missing, so that
-//! nodes of different builds understand each other. Ages are in milliseconds.
+//! They are encoded with field names, and missing fields have defaults, so nodes of different
+//! builds interoperate. Ages are in milliseconds.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,19 +9,19 @@
 use crate::Name;
 use crate::member::NodeId;
 
-/// A target that ended under a request.
+/// Crash of a target while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The target.
     pub target: TargetId,
-    /// How long ago it ended, as far as its first witness knows.
+    /// Time since the crash, as known to the first node that observed it.
     pub age_ms: u64,
-    /// The request is not to blame for it.
+    /// Whether the request is cleared of having caused it.
     #[serde(default)]
     pub cleared: bool,
 }
 
-/// All that a node knows of one request under which targets ended.
+/// All that a node knows about one request under which targets crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
     /// The request.
@@ -29,54 +29,54 @@
     /// Its service.
     #[serde(default)]
     pub service: Name,
-    /// The targets.
+    /// Crashes of targets that ran the request.
     #[serde(default, rename = "ends")]
     pub crashes: Vec<CrashReport>,
-    /// Times that it was let through although it had been held.
+    /// Number of times that the request was allowed to run although it was held.
     #[serde(default)]
     pub tries: u32,
-    /// How long ago the last of them was.
+    /// Time since the last of these runs.
     #[serde(default)]
     pub tried_ms: u64,
-    /// How long ago it last came.
+    /// Time since the request was last received.
     #[serde(default)]
     pub came_ms: u64,
 }
 
-/// What a node tells a peer.
+/// Quarantine state that a node reports to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineReport {
-    /// Who tells it.
+    /// Node that reports.
     pub from: NodeId,
-    /// Requests.
+    /// Suspect requests.
     #[serde(default)]
     pub suspects: Vec<SuspectReport>,
-    /// Makers that ended under pieces of attempts. Whoever coordinates pieces does not know of
-    /// which request they are; the node that took the attempt does.
+    /// Crashes of workers. A batch coordinator does not know which request a piece belongs to; the
+    /// node that received the attempt does.
     #[serde(default, rename = "makers")]
     pub worker_crashes: Vec<WorkerCrash>,
 }
 
-/// A target that ended under pieces of attempts.
+/// Crash of a worker while it ran pieces.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCrash {
     /// The target.
     pub target: TargetId,
     /// Its service.
     pub service: Name,
-    /// The attempts.
+    /// Attempts that the pieces belong to.
     pub attempts: Vec<Name>,
 }
 
-/// A request that is held, as it is kept in the store.
+/// Held request as recorded in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldRecord {
     /// The request.
     pub request: Fingerprint,
     /// Its service.
     pub service: Name,
-    /// Targets that ended under it.
+    /// Targets that crashed while they ran it.
     pub targets: Vec<TargetId>,
-    /// Unix time in milliseconds from which it has been held, by the clock of its writer.
+    /// Unix time since which it has been held, in milliseconds, by the writer's clock.
     pub since: u64,
 }
--- a/crates/model/src/forward/region.rs
+++ b/crates/model/src/forward/region.rs
@@ -1,4 +1,4 @@
-//! Regions: where failure domains lie, and where a request may be served.
+//! Regions in which a request may be served.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,10 @@
 
 use crate::Name;
 
-/// Regions in which something may be served, cached and kept; all unless some are named.
+/// Regions in which data may be served, cached and stored; all unless some are listed.
 ///
-/// Names that no failure domain has permit nothing, and so does an empty list: when in doubt,
-/// nothing leaves the regions that are surely meant.
+/// Unknown region names and an empty list permit nothing: in doubt, no data leaves the regions that
+/// are certainly intended.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Allowed(Option<BTreeSet<Name>>);
 
@@ -17,17 +17,17 @@
     /// Any region.
     pub const ANY: Allowed = Allowed(None);
 
-    /// These regions alone.
+    /// Only these regions.
     pub fn only(regions: impl IntoIterator<Item = Name>) -> Self {
         Allowed(Some(regions.into_iter().collect()))
     }
 
-    /// Whether any region is allowed.
+    /// Whether all regions are allowed.
     pub fn is_any(&self) -> bool {
         self.0.is_none()
     }
 
-    /// What both allow.
+    /// Regions that both allow.
     pub fn intersection(&self, other: &Allowed) -> Allowed {
         match (&self.0, &other.0) {
             (None, regions) | (regions, None) => Allowed(regions.clone()),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whether a region is allowed; `None` is one that is not known.
+    /// Whether a region is allowed; `None` is an unknown region.
     pub fn permits(&self, region: Option<&str>) -> bool {
         match (&self.0, region) {
             (None, _) => true,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The regions named, in order; none if any is allowed.
+    /// Listed regions, in order; empty if all are allowed.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.0.iter().flatten()
     }
--- a/crates/model/src/forward/rollout.rs
+++ b/crates/model/src/forward/rollout.rs
@@ -1,26 +1,26 @@
-//! Roll-outs of a service's version: what the operator ordered and what became of it, and what
-//! nodes tell each other while one is under way.
+//! Rollouts of a service's version: the operator's orders, their state, and the messages between
+//! nodes while one is active.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 use crate::member::NodeId;
 
-/// Where an order stands, as the store has it.
+/// State of a rollout order in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// The operator ordered it; nobody has taken it up in the store yet.
+    /// Ordered by the operator and not yet marked as active in the store.
     Ordered,
-    /// It is under way.
+    /// In progress.
     Active,
-    /// All requests go to the new version; the old targets have been stopped.
+    /// All requests go to the new version, and the old targets were stopped.
     Completed,
-    /// The new version gets nothing any more.
+    /// The new version receives no more requests.
     RolledBack,
 }
 
 impl RolloutState {
-    /// Whether nothing follows this state.
+    /// Whether the state is final.
     pub fn is_final(self) -> bool {
         matches!(self, RolloutState::Completed | RolloutState::RolledBack)
     }
@@ -36,27 +36,27 @@
     }
 }
 
-/// An order to move a service to another version.
+/// Order to move a service to another version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
     /// Service.
     pub service: Name,
     /// Version that it is to move to.
     pub version: Name,
-    /// Milliseconds that the move may take, counted from the order.
+    /// Maximum duration of the rollout in milliseconds, counted from the order.
     pub lasts_ms: u64,
-    /// Where it stands.
+    /// State of the order.
     pub state: RolloutState,
     /// Revision of the store at which the order or its state last changed.
     pub revision: u64,
-    /// Tells apart objects of the store that were made one after the other under one name.
+    /// Distinguishes store objects that were created one after the other with the same name.
     pub made: u64,
 }
 
 impl Rollout {
-    /// Whether it was ordered anew since it was known like this: its object was made anew, its
-    /// state went back, or something changed but neither its state nor its time. A state is
-    /// written once, so that between two orders that are both under way lies an end.
+    /// Whether this is a new order since `previous`: the object was recreated, the state was
+    /// reverted, or the revision changed but neither state nor duration did. Each state is written
+    /// once, so an order that became active twice was ended in between.
     pub fn is_new_order(&self, previous: &Rollout) -> bool {
         if self.revision <= previous.revision || self.state.is_final() {
             return false;
@@ -70,7 +70,7 @@
         is_reverted || is_repeated || self.made != previous.made
     }
 
-    /// Names the order to a node that knows it since a revision.
+    /// Identity of the order, known to this node since the revision `since`.
     pub fn id(&self, since: u64) -> RolloutId {
         RolloutId {
             service: self.service.clone(),
@@ -82,132 +82,132 @@
     }
 }
 
-/// Which order is meant: the same version may be ordered again.
+/// Identity of an order; the same version may be ordered again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutId {
     /// Service.
     pub service: Name,
     /// Version that it is to move to.
     pub version: Name,
-    /// As the order has it.
+    /// Creation mark of the order's object; see [`Rollout::made`].
     pub made: u64,
-    /// First revision at which the order is known to whoever names it …
+    /// First revision at which the sender knows the order.
     pub since: u64,
-    /// … and the newest one.
+    /// Latest revision at which the sender knows the order.
     pub at: u64,
 }
 
 impl RolloutId {
-    /// Whether both name orders of one service to one version.
+    /// Whether both orders move the same service to the same version.
     pub fn has_same_version(&self, other: &RolloutId) -> bool {
         self.service == other.service && self.version == other.version
     }
 
-    /// Whether both name one order for sure: revisions of two orders never overlap.
+    /// Whether both certainly identify the same order: revisions of two orders never overlap.
     pub fn is_same(&self, other: &RolloutId) -> bool {
         let overlaps = self.since <= other.at && other.since <= self.at;
         self.has_same_version(other) && overlaps && self.made == other.made
     }
 }
 
-/// All orders, as the store had them.
+/// All rollout orders at one revision of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollouts {
-    /// Revision of the store at which this was so.
+    /// Revision of the store.
     pub at: u64,
-    /// One order a service.
+    /// Orders, at most one per service.
     pub orders: Vec<Rollout>,
-    /// Services whose order is there but cannot be read.
+    /// Services whose order exists but cannot be parsed.
     pub unreadable: Vec<Name>,
-    /// Versions whose orders are gone, as the node that tells remembers them.
+    /// Versions whose orders were removed, as remembered by the sender.
     pub withdrawn: Vec<Withdrawn>,
 }
 
-/// A version whose order was withdrawn or replaced before it was completed.
+/// Version whose order was withdrawn or replaced before it was completed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Withdrawn {
     /// Service.
     pub service: Name,
     /// Version.
     pub version: Name,
-    /// Whether it was taken back. If not, its end was not heard of: it may have been completed,
-    /// and serve alone since.
+    /// Whether it was rolled back. If not, its end was not observed: it may have been completed
+    /// and be the only serving version since.
     pub was_bad: bool,
-    /// Revision of the list from which the order was gone.
+    /// First revision of the list without the order.
     pub at: u64,
 }
 
-/// Which of a service's versions a request goes to while one is on trial.
+/// Version of a service that a request goes to during a rollout.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum Side {
-    /// The one that serves.
+    /// Serving version.
     #[default]
     Serving,
-    /// The one that is on trial.
+    /// Trial version.
     Trial,
 }
 
-/// How much of the requests the new version gets.
+/// Share of the requests that the new version receives.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Each request by itself goes there with this chance.
+    /// Each request goes there independently with this probability.
     Share(f64),
-    /// All of them do, and the old version gets nothing new.
+    /// All requests go there; the old version receives no new ones.
     All,
-    /// None does any more.
+    /// Rolled back: no request goes there any more.
     Back,
 }
 
-/// What was seen of one version's answers on one route; times fall into buckets, the first one
-/// ending at a millisecond, each other at √2 times the one before.
+/// Observed answers of one version on one route. Times are counted in buckets: the first ends at
+/// one millisecond, each further one at √2 times the previous bound.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answers {
-    /// Requests sent there.
+    /// Number of requests sent.
     pub sent: u32,
-    /// Answers that were failures of the version.
+    /// Number of answers that count as failures of the version.
     pub bad: u32,
-    /// Good answers by time.
+    /// Number of good answers per time bucket.
     pub times: Vec<u32>,
 }
 
-/// What one node saw on one route since the order.
+/// Evidence of one node on one route since the order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteEvidence {
-    /// Route, or stage service.
+    /// Name of the route or stage service.
     pub route: Name,
-    /// Of the version that serves.
+    /// Answers of the serving version.
     pub serving: Answers,
-    /// Of the version on trial.
+    /// Answers of the trial version.
     pub trial: Answers,
 }
 
-/// Tells the node that decides what another one saw, all counted from the order on, so that a
-/// lost report costs nothing.
+/// Report of a node's evidence to the judge. Counts are cumulative since the order, so a lost
+/// report does no harm.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutReport {
-    /// Start of the node that reports.
+    /// Reporting node.
     pub node: NodeId,
     /// The order.
     pub order: RolloutId,
-    /// Milliseconds since it first heard of the order.
+    /// Time since the node first observed the order, in milliseconds.
     pub age_ms: u64,
-    /// Phase that it works by.
+    /// Phase that the node applies.
     pub phase: Phase,
-    /// Requests of its own that are still open at targets of the version that serves.
+    /// Number of the node's requests that are still open at targets of the serving version.
     pub open: u32,
-    /// By route.
+    /// Evidence by route.
     pub evidence: Vec<RouteEvidence>,
 }
 
-/// What the node that decides answers.
+/// Answer of the judge.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutAnswer {
     /// The order.
     pub order: RolloutId,
-    /// Phase to work by from now on.
+    /// Phase to apply from now on.
     pub phase: Phase,
-    /// Milliseconds since any node first heard of the order.
+    /// Time since any node first observed the order, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/model/src/forward/rules.rs
+++ b/crates/model/src/forward/rules.rs
@@ -1,4 +1,4 @@
-//! The rules in force: one whole, numbered set of routes, services and workspaces.
+//! Forwarding rules: a complete, numbered set of routes, services and workspaces.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 use super::Allowed;
 use crate::Name;
 
-/// One whole set of rules. A higher `version` replaces a lower one, never the reverse.
+/// Complete set of rules. A higher `version` replaces a lower one, never the reverse.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Number of this set; 0 means that no rules are known yet.
+    /// Number of the set; 0 means that no rules are known yet.
     pub version: u64,
-    /// Routes in no particular order.
+    /// Routes, in no particular order.
     pub routes: Vec<Route>,
-    /// Services that routes and stages name.
+    /// Services that routes and stages refer to.
     pub services: Vec<Service>,
-    /// Workspaces; empty when callers need no key.
+    /// Workspaces; empty if callers need no key.
     pub workspaces: Vec<Workspace>,
     /// Limits on what callers send.
     pub limits: Limits,
 }
 
-/// Where requests of one host and path prefix go, and under what promises.
+/// Route: destination and guarantees of the requests of one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name.
     pub name: Name,
     /// Host, in lower case and without a port.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub path_prefix: String,
     /// Whether and how a request may be run again.
     pub repeat: Repeat,
-    /// Longest pause, in milliseconds, between two events of a stream that is in time.
+    /// Maximum pause between two events of a stream that counts as timely, in milliseconds.
     pub pause_ms: Option<u64>,
-    /// Longest time, in milliseconds, that a request may be held.
+    /// Maximum duration of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time, in milliseconds, within which an answer is worth most.
+    /// Latency objective: the time within which an answer has its full value, in milliseconds.
     pub objective_ms: u64,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets that a request may be sent to.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Rank of the route; 0 is the most urgent.
     pub rank: u8,
     /// Whether requests need no key.
     pub open: bool,
-    /// Services that share the requests.
+    /// Services that the requests are split between.
     pub split: Vec<Share>,
-    /// Batched stages to run before the request itself.
+    /// Batched stages that run before the request itself.
     pub stages: Vec<Stage>,
     /// Regions in which requests may be served.
     #[serde(default)]
@@ -55,7 +55,7 @@
 }
 
 impl Route {
-    /// For each stage, the positions of those that come before it.
+    /// For each stage, the positions of its predecessors.
     pub fn order(&self) -> Vec<Vec<usize>> {
         self.stages.iter().map(|s| s.after.clone()).collect()
     }
@@ -64,13 +64,13 @@
 /// Whether and how a request may be run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// The request runs at most once.
     Once,
-    /// A stream that runs at most once.
+    /// The answer is a stream, and the request runs at most once.
     StreamOnce,
-    /// A stream that another target may take up after its last event.
+    /// The answer is a stream that another target may resume after its last event.
     StreamResumable,
 }
 
@@ -80,98 +80,98 @@
         matches!(self, Repeat::StreamOnce | Repeat::StreamResumable)
     }
 
-    /// Whether a second run is allowed after the first may have begun.
+    /// Whether a second run is allowed after the first may have started.
     pub fn may_repeat(self) -> bool {
         matches!(self, Repeat::Idempotent | Repeat::StreamResumable)
     }
 }
 
-/// A service's part of a route.
+/// Share of a service in a route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// Service.
+    /// Service that receives the share.
     pub service: Name,
-    /// Weight relative to the others.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// One batched stage of a route.
+/// Batched stage of a route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Stage {
     /// Service that makes the pieces.
     pub service: Name,
-    /// Stages, by position, whose results each piece takes as input.
+    /// Positions of the stages whose results are the input of each piece.
     pub after: Vec<usize>,
-    /// About how large one result is, in bytes.
+    /// Approximate size of one result, in bytes.
     pub bytes: u64,
 }
 
-/// A service and what its targets bear.
+/// Service and the capacity of its targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Name.
     pub name: Name,
-    /// Connections that one target takes from all nodes together.
+    /// Number of connections that a target accepts from all nodes together.
     pub connections: u32,
-    /// Set for language-model engines.
+    /// Set for engines of language models.
     pub engine: Option<Engine>,
-    /// Set for services that make pieces of stages.
+    /// Set for services that run the pieces of stages.
     pub pool: Option<StagePool>,
-    /// Set where targets are cold after a start.
+    /// Set if targets are cold after a start.
     pub cold: Option<ColdTargets>,
 }
 
-/// What the cold targets of a service bear.
+/// Capacity of cold targets of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdTargets {
-    /// Milliseconds for which a target is cold.
+    /// Time for which a target is cold, in milliseconds.
     pub lasts_ms: u64,
-    /// Requests a second that one of them bears.
+    /// Requests per second that a cold target can serve.
     pub per_s: f64,
 }
 
-/// What an engine bears.
+/// Capacity of an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests running at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Number of tokens that fit into its memory.
     pub tokens: u64,
 }
 
-/// What one maker of a stage service bears.
+/// Capacity of a worker of a stage service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StagePool {
-    /// Calls at work at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Pieces in one call at most.
+    /// Maximum number of pieces per call.
     pub batch: usize,
-    /// Fixed time of a call, in milliseconds.
+    /// Fixed duration of a call, in milliseconds.
     pub call_ms: f64,
-    /// Time a piece adds, in milliseconds, roughly.
+    /// Approximate additional duration per piece, in milliseconds.
     pub item_ms: f64,
-    /// Room for results, in megabytes.
+    /// Space for results, in megabytes.
     pub room_mb: f64,
-    /// How long a result is kept, in milliseconds.
+    /// Retention of a result, in milliseconds.
     pub keep_ms: u64,
 }
 
 impl StagePool {
-    /// Time of a call with this many pieces.
+    /// Expected duration of a call with this many pieces.
     pub fn call_time(&self, pieces: u32) -> Duration {
         let ms = self.call_ms + self.item_ms * f64::from(pieces);
         Duration::from_secs_f64(ms.max(0.0) / 1000.0)
     }
 }
 
-/// A workspace and the keys that its callers present.
+/// Workspace and the API keys of its callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
     /// Name.
     pub name: Name,
-    /// Keys in force.
+    /// Valid keys.
     pub keys: Vec<String>,
-    /// Rank in place of the route's.
+    /// Rank that precedes the rank of the route; see [`super::Rank`].
     pub rank: Option<u8>,
     /// Regions in which its requests may be served.
     #[serde(default)]
@@ -181,13 +181,13 @@
 /// Limits on what callers send.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Milliseconds to send a head.
+    /// Time for sending a head, in milliseconds.
     pub head_ms: u64,
-    /// Milliseconds that a connection may rest.
+    /// Time for which a connection may be idle, in milliseconds.
     pub idle_ms: u64,
 }
 
--- a/crates/model/src/forward/target.rs
+++ b/crates/model/src/forward/target.rs
@@ -1,4 +1,4 @@
-//! Targets as discovery reports them, and what nodes tell each other of them.
+//! Targets as reported by discovery, and messages between nodes about them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,27 +8,27 @@
 use super::Rollouts;
 use crate::Name;
 
-/// Identity of one start of a target. A target that starts again may keep its name; it then
-/// holds and knows nothing of before, so nothing that is believed of an earlier start holds.
+/// Identity of one start of a target. A restarted target may keep its name but has lost its state,
+/// so nothing known about an earlier start applies to it.
 ///
-/// Starts are told by clocks that may step: they are compared for equality, and for order only
-/// where nothing else tells which of two targets is older.
+/// Start times come from clocks that may step: they are compared for equality, and for order only
+/// if nothing else tells which of two targets is older.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TargetId {
-    /// Name, found nowhere else at one time.
+    /// Name, unique at any one time.
     pub name: Name,
-    /// Unix time of the start in milliseconds, as the target tells it; 0 if it does not.
+    /// Unix time of the start in milliseconds, as reported by the target; 0 if not reported.
     pub start: u64,
 }
 
 impl TargetId {
-    /// The start of a target at this Unix time in milliseconds.
+    /// Identity of a target started at this Unix time in milliseconds.
     pub fn new(name: impl Into<Name>, start: u64) -> Self {
         TargetId { name: name.into(), start }
     }
 }
 
-/// A target that does not tell when it started.
+/// Identity of a target that does not report its start time.
 impl From<&str> for TargetId {
     fn from(name: &str) -> Self {
         TargetId::new(name, 0)
@@ -41,112 +41,114 @@
     }
 }
 
-/// One start of a target.
+/// Target as listed by discovery; a restart is a different target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// Identity.
+    /// Identity of the target.
     pub id: TargetId,
-    /// Service that it belongs to.
+    /// Service that the target belongs to.
     pub service: Name,
-    /// Where it listens; another target may have had the address before.
+    /// Address that it listens on; another target may have used it before.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: Name,
     /// Version of its software.
     #[serde(default)]
     pub version: Name,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is to get no new work.
+    /// Whether it is to receive no new work.
     pub draining: bool,
-    /// Milliseconds for which it is still cold: it bears few requests a second until then.
+    /// Time for which it is still cold, in milliseconds; until then it can serve few requests per
+    /// second.
     #[serde(default)]
     pub cold_ms: u64,
-    /// Revision of the store at which its entry last changed.
+    /// Store revision at which its entry last changed.
     #[serde(default)]
     pub revision: u64,
 }
 
-/// The failure domains whose targets are to get nothing new, as the store had them.
+/// Evacuated failure domains, whose targets receive no new requests, at one revision of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// Revision of the store at which this was so.
+    /// Revision of the store.
     pub at: u64,
-    /// The failure domains, in order.
+    /// Evacuated failure domains, in order.
     pub domains: Vec<Name>,
 }
 
-/// All targets' entries, as the store had them.
+/// All entries of targets in the store.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TargetList {
-    /// Those that can be read.
+    /// Targets with valid entries.
     pub targets: Vec<Target>,
-    /// Names of those that are there but cannot be read.
+    /// Names of the entries that exist but cannot be parsed.
     pub unreadable: Vec<Name>,
 }
 
-/// A list whose entries can all be read.
+/// List of valid entries only.
 impl From<Vec<Target>> for TargetList {
     fn from(targets: Vec<Target>) -> Self {
         TargetList { targets, unreadable: Vec::new() }
     }
 }
 
-/// What became of one target's entry.
+/// Change of a target's entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum TargetChange {
-    /// It is like this now.
+    /// The entry was added or changed to this.
     Now(Target),
-    /// It is there but cannot be read: the target gets nothing new, what it has goes on.
+    /// The entry exists but cannot be parsed: the target receives no new requests, and its current
+    /// ones continue.
     Unreadable(Name),
-    /// It is gone.
+    /// The entry was removed.
     Gone(Name),
 }
 
-/// Asks a peer for the targets as the store has them.
+/// Asks a peer for the targets in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowAsk {
-    /// Revision of the store that the asking node is at; 0 if it knows none.
+    /// Store revision that the requesting node has; 0 if none.
     pub at: u64,
-    /// Version of its rules.
+    /// Version of the requesting node's rules.
     pub rules: u64,
-    /// Revision of the store at which it knows the evacuations; `None` if it knows none.
+    /// Store revision of the evacuations that it knows; `None` if it has not received any.
     pub evacuations: Option<u64>,
-    /// Revision of the store at which it knows the roll-outs; `None` if it knows none.
+    /// Store revision of the rollouts that it knows; `None` if it has not received any.
     pub rollouts: Option<u64>,
-    /// Milliseconds for which the answer may be held back until there is news.
+    /// Long-poll time in milliseconds: the answer may be delayed until something changes.
     pub wait_ms: u64,
-    /// Whether it may be held back too until the peer is in touch with the store: the
-    /// asking node knows nobody who is.
+    /// Whether the answer may also be delayed until the peer reaches the store, because the
+    /// requesting node knows no peer that does.
     pub patient: bool,
 }
 
-/// What a peer knows of the targets.
+/// Targets as known to a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FollowAnswer {
-    /// Revision that it is at.
+    /// Store revision that the peer has.
     pub at: u64,
-    /// Milliseconds since the store last confirmed that.
+    /// Time since the store last confirmed this revision, in milliseconds.
     pub age_ms: u64,
-    /// The peer's own source fails it, which for a relay is the store alone.
+    /// Whether the peer's own source is failing; the source of a relay is always the store.
     pub out_of_touch: bool,
-    /// Milliseconds for which entries that vanished are still doubted, since the store was
-    /// out of reach a while ago.
+    /// Time for which removals of entries are still doubted after an outage of the store, in
+    /// milliseconds.
     pub doubt_ms: u64,
     /// Version of the peer's rules.
     pub rules: u64,
-    /// Milliseconds since the store last confirmed them.
+    /// Time since the store last confirmed these rules, in milliseconds.
     pub rules_age_ms: u64,
-    /// Evacuations as the peer knows them; `None` if it has not read them yet.
+    /// Evacuations known to the peer; `None` if it has not read them yet.
     pub evacuations: Option<Evacuations>,
-    /// Roll-outs as the peer knows them; `None` if it has not read them yet.
+    /// Rollouts known to the peer; `None` if it has not read them yet.
     pub rollouts: Option<Rollouts>,
-    /// What the asking node lacks.
+    /// Targets that changed since the requesting node's revision.
     pub news: TargetNews,
 }
 
 impl TargetChange {
-    /// Name of the target.
+    /// Name of the target whose entry changed.
     pub fn name(&self) -> &Name {
         match self {
             TargetChange::Now(target) => &target.id.name,
@@ -155,12 +157,12 @@
     }
 }
 
-/// What a node that follows a peer lacks.
+/// Update of the targets for a node that follows a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum TargetNews {
     /// The peer has not read the targets yet.
     Unknown,
-    /// All targets, in place of those known.
+    /// Snapshot of all targets, which replaces those known.
     Whole(TargetList),
     /// Changes, oldest first.
     Changes(Vec<TargetChange>),
--- a/crates/model/src/hash.rs
+++ b/crates/model/src/hash.rs
@@ -1,28 +1,28 @@
-//! The hashes used for placement, digests and content addresses (XXH3).
+//! XXH3 hashes for placement, digests and content addresses.
 
 use xxhash_rust::xxh3;
 
-/// Hash of some bytes, 64 bits.
+/// 64-bit hash of `bytes`.
 pub fn hash64(bytes: &[u8]) -> u64 {
     xxh3::xxh3_64(bytes)
 }
 
-/// Content address of some bytes, 128 bits as 32 hex digits.
+/// Content address of `bytes`: a 128-bit hash as 32 hexadecimal digits.
 pub fn content_address(bytes: &[u8]) -> String {
     format!("{:032x}", xxh3::xxh3_128(bytes))
 }
 
-/// Mixes two hashes into a rendezvous score; cheap enough for 1,300 targets a decision.
+/// Combines two hashes into a rendezvous score; cheap enough for 1,300 targets per decision.
 #[inline]
 pub fn mix(a: u64, b: u64) -> u64 {
-    // The finalizer of splitmix64 (Steele, Lea, Flood 2014).
+    // Finalizer of splitmix64 (Steele, Lea, Flood 2014).
     let mut z = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-/// Orders `names` by rendezvous score for `key`, highest first, and keeps `n`.
+/// Returns the `n` names with the highest rendezvous scores for `key`, highest first.
 pub fn rendezvous<'a>(
     key: &str,
     names: impl Iterator<Item = &'a crate::Name>,
@@ -34,17 +34,17 @@
     scored.into_iter().take(n).map(|(_, m)| m.clone()).collect()
 }
 
-/// Running digest over an answer's text, independent of how it was cut into chunks.
+/// Incremental digest of an answer's text, independent of how the text is split into chunks.
 #[derive(Default)]
 pub struct Digest(xxh3::Xxh3Default);
 
 impl Digest {
-    /// Adds text.
+    /// Appends text to the digested input.
     pub fn push(&mut self, text: &str) {
         self.0.update(text.as_bytes());
     }
 
-    /// The digest so far.
+    /// Digest of the text so far.
     pub fn value(&self) -> u64 {
         self.0.digest()
     }
--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -1,5 +1,5 @@
-//! Idempotency keys: UUIDv7, so that the key itself carries its time and that
-//! time names the one claim object that can ever hold it.
+//! Idempotency keys. They are UUIDv7, so the timestamp in a key determines the only claim object
+//! that can ever hold it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,9 +9,9 @@
 
 use crate::Name;
 
-/// Width of one claim bucket, in milliseconds of key time.
+/// Range of key timestamps that one claim bucket covers, in milliseconds.
 pub const BUCKET_MS: u64 = 5_000;
-/// Claim objects per bucket; each has its own home node.
+/// Number of claim objects per bucket; each has its own home node.
 pub const SHARDS: u64 = 4;
 
 /// A caller's idempotency key.
@@ -19,7 +19,7 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Key(Uuid);
 
-/// Why a key was refused.
+/// Error of parsing a key.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum KeyError {
     /// an idempotency key is a UUID of version 7, such as 0192f0c1-2b3d-7abc-8def-0123456789ab
@@ -57,7 +57,7 @@
 }
 
 impl Key {
-    /// A key for a Unix time in milliseconds and 74 bits of randomness.
+    /// Builds a key from a Unix time in milliseconds and 74 random bits.
     pub fn new(unix_ms: u64, random: u128) -> Self {
         let bits = (u128::from(unix_ms) << 80)
             | (0x7 << 76)
@@ -67,17 +67,17 @@
         Key(Uuid::from_u128(bits))
     }
 
-    /// Unix time in milliseconds that the key carries.
+    /// Timestamp of the key, as Unix time in milliseconds.
     pub fn unix_ms(&self) -> u64 {
         (self.0.as_u128() >> 80) as u64
     }
 
-    /// Number of the time bucket that holds the key.
+    /// Number of the bucket that the key's timestamp falls into.
     pub fn bucket(&self) -> u64 {
         self.unix_ms() / BUCKET_MS
     }
 
-    /// Name of the one claim object that may hold the key.
+    /// Name of the only claim object that may hold the key.
     pub fn claim_object(&self) -> Name {
         let shard = crate::hash::hash64(self.0.as_bytes()) % SHARDS;
         format!("{}-{}", self.bucket(), shard).into()
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -1,18 +1,18 @@
-//! The lease object.
+//! Lease objects.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// A lease as kept in the Object API.
+/// Lease as stored in the Object API.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Node that holds it.
+    /// Node that holds the lease.
     pub holder: Name,
-    /// Fencing token; grows with each change of holder.
+    /// Fencing token; increases with each change of holder.
     pub epoch: u64,
-    /// Nonce of the write, to settle a lost answer.
+    /// Nonce of the write; after a lost response it tells whether the write was applied.
     pub nonce: u64,
-    /// Milliseconds of validity from before the write was sent.
+    /// Validity in milliseconds, counted from before the write was sent.
     pub period: u64,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! Shared vocabulary of pumicevale: names, declared objects, the messages that
-//! travel between processes and targets, and the outcomes a caller can get.
+//! Data types shared by all crates of pumicevale: names, declared objects, messages between
+//! processes and targets, and request outcomes.
 //!
-//! Nothing here does I/O or decides anything; the only logic is checking one
-//! value, or one set of declarations, on its own.
+//! The crate does no I/O and makes no decisions; its only logic validates single values and sets
+//! of declarations.
 
 pub mod answer;
 pub mod attempt;
--- a/crates/model/src/load.rs
+++ b/crates/model/src/load.rs
@@ -1,40 +1,40 @@
-//! Load as a target reports it and as nodes pass it on.
+//! Load of targets, as they report it and as nodes forward it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// A target's own report.
+/// Load report of a target.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TargetReport {
-    /// Target that reports.
+    /// Target that the report is from.
     pub target: Name,
-    /// Calls running.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls waiting.
+    /// Number of queued calls.
     pub queued: u32,
-    /// Expected wait of a new call, in milliseconds.
+    /// Expected queueing time of a new call, in milliseconds.
     pub wait: u32,
-    /// Whether the target is leaving.
+    /// Whether the target is draining.
     pub leaving: bool,
-    /// Model versions held, as `model@version`.
+    /// Loaded model versions, as `model@version`.
     pub models: Vec<Name>,
-    /// Highest order epoch obeyed.
+    /// Highest epoch of an order that the target has executed.
     pub epoch: u64,
-    /// Grows with each report, restarts included: the target's clock in 100 ms.
+    /// Increases with each report, also across restarts: the target's clock in units of 100 ms.
     pub seq: u64,
 }
 
-/// One target's state in a view of the fleet.
+/// State of a target in a node's view of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// The report.
+    /// Latest report of the target.
     pub report: TargetReport,
-    /// Sequence of the report; higher is newer.
+    /// Sequence number of the report; higher is newer.
     pub seq: u64,
-    /// Whether the last poll found the target answering.
+    /// Whether the target answered the last poll.
     pub ready: bool,
-    /// Whether the report is that of a poll of this node's own; what goes from node to node
-    /// does not tell which models are held.
+    /// Whether this node polled the report itself; reports relayed between nodes do not list
+    /// the loaded models.
     pub polled: bool,
 }
--- a/crates/model/src/manifest.rs
+++ b/crates/model/src/manifest.rs
@@ -1,65 +1,65 @@
-//! Accepted configuration: a numbered manifest that names content-addressed
-//! chunks. The number is the total order; a node applies only a higher one.
+//! Accepted configuration: a numbered manifest of content-addressed chunks. Numbers are totally
+//! ordered, and a node applies only a higher one.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Name, object::Spec};
 
-/// Name of the one manifest object.
+/// Name of the only manifest object.
 pub const NAME: &str = "current";
-/// Wanted size of a chunk in bytes; one change moves one chunk.
+/// Target size of a chunk in bytes; one change transfers one chunk.
 pub const CHUNK_BYTES: usize = 4096;
 
-/// The manifest.
+/// Manifest of an accepted configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Total order of accepted configurations, from 1.
+    /// Number of the configuration, from 1; higher is newer.
     pub number: u64,
-    /// Lease epoch of the writer.
+    /// Lease epoch of the node that wrote it.
     pub epoch: u64,
-    /// Nonce of the write, to settle a lost answer.
+    /// Nonce of the write; after a lost response it tells whether the write was applied.
     pub nonce: u64,
-    /// Content address of each slot's chunk.
+    /// Content address of the chunk in each slot.
     pub slots: Vec<Name>,
 }
 
-/// One declared object in a chunk, or the trace of a deleted one.
+/// Declared object in a chunk, or the tombstone of a deleted one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     /// `Kind/name`.
     pub key: Name,
-    /// Version in the Object API; a lower one never replaces it.
+    /// Version in the Object API; never replaced by a lower one.
     pub version: u64,
-    /// What was declared; `None` once deleted.
+    /// Declared spec; `None` once deleted.
     pub spec: Option<Spec>,
 }
 
-/// One chunk: items ordered by key.
+/// Items of one slot, ordered by key.
 pub type Chunk = Vec<Item>;
 
-/// Slot of a key among `count` (a power of two).
+/// Slot of a key among `count` slots, a power of two.
 pub fn slot(key: &str, count: usize) -> usize {
     (crate::hash::hash64(key.as_bytes()) as usize) & (count - 1)
 }
 
-/// What a node sends a neighbour that has an older manifest: the slots that differ.
+/// Slots that differ between two manifests, sent to a node that has the older one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Manifest the receiver starts from; 0 for none, then every slot is here.
+    /// Manifest that the delta applies to; 0 for none, in which case all slots are included.
     pub base: u64,
-    /// Manifest the receiver arrives at.
+    /// Manifest that results from the delta.
     pub number: u64,
-    /// Count of slots at `number`.
+    /// Number of slots of the resulting manifest.
     pub count: u32,
-    /// The slots that differ.
+    /// Slots that differ.
     pub slots: Vec<SlotRef>,
 }
 
-/// Content address of one slot.
+/// Slot and the chunk in it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRef {
-    /// Slot.
+    /// Index of the slot.
     pub slot: u32,
-    /// Content address.
+    /// Content address of the chunk.
     pub hash: Name,
 }
--- a/crates/model/src/member.rs
+++ b/crates/model/src/member.rs
@@ -1,7 +1,7 @@
-//! Messages of membership between control nodes of one failure domain.
+//! Membership messages between control nodes of one failure domain.
 //!
-//! One packet is one datagram. It probes or answers a probe, and carries news:
-//! rumors about nodes, the manifest number in force, and changed loads.
+//! A packet is one datagram. It probes or answers a probe, and it gossips: rumors about nodes,
+//! the applied manifest number and changed loads.
 
 use std::net::SocketAddr;
 
@@ -9,105 +9,105 @@
 
 use crate::Name;
 
-/// A node as its peers know it. A restart has a new `start`, so it is a new member.
+/// Identity of a node at its peers. A restarted node has a new `start` and is a new member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct NodeId {
-    /// Name from settings.
+    /// Name from the settings.
     pub name: Name,
-    /// Drawn at random at each start; nodes keep nothing on disk.
+    /// Random number drawn at each start, because nodes store nothing on disk.
     pub start: u64,
 }
 
-/// A node and how to reach it.
+/// Node and its addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
     /// Identity.
     pub id: NodeId,
-    /// Where its datagrams go, and its control server listens.
+    /// Address for datagrams and of the control server.
     pub address: SocketAddr,
-    /// Where its entry node takes messages of other entry nodes.
+    /// Address at which its entry node accepts messages of other entry nodes.
     pub entry: SocketAddr,
     /// Failure domain.
     pub domain: Name,
-    /// How much work for others it can bear: the logarithm of its processor and link beside
-    /// those of the smallest hosts.
+    /// Capacity for work on behalf of other nodes: the logarithm of its processor and link
+    /// relative to those of the smallest hosts.
     pub capacity: u8,
 }
 
-/// What is believed of a node; later variants win at the same incarnation.
+/// Believed state of a node; later variants win at the same incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Health {
-    /// Answers.
+    /// Answers probes.
     Alive,
-    /// A probe failed; the node can refute.
+    /// A probe failed; the node can still refute the suspicion.
     Suspect,
-    /// Failed.
+    /// Considered failed.
     Dead,
-    /// Stopped as planned.
+    /// Shut down as planned.
     Left,
 }
 
-/// News about one node.
+/// Rumor about a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumor {
-    /// The node.
+    /// Node that the rumor is about.
     pub node: Node,
-    /// What is believed.
+    /// Believed state of the node.
     pub health: Health,
-    /// Counter by which the node refutes a suspicion.
+    /// Counter that the node increments to refute a suspicion.
     pub incarnation: u32,
-    /// Manifest in force on the node when the rumor began.
+    /// Manifest applied on the node when the rumor was created.
     pub number: u64,
-    /// Milliseconds that the node's process had run when the rumor was sent or began.
+    /// Uptime of the node's process in milliseconds when the rumor was sent or created.
     pub up_ms: u64,
 }
 
-/// A changed load, packed for gossip.
+/// Changed load of a target, compact for gossip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadRumor {
-    /// First half of the target name's hash.
+    /// Upper half of the hash of the target's name.
     pub target: u32,
-    /// Expected wait, milliseconds, rounded to about a quarter.
+    /// Expected queueing time in milliseconds, rounded to within about a quarter.
     pub wait: u16,
-    /// Sequence at the poller, wrapping.
+    /// Sequence number at the node that polls the target; wraps around.
     pub seq: u16,
-    /// Bit 0: ready; bit 1: leaving.
+    /// Bit 0: ready; bit 1: draining.
     pub flags: u8,
 }
 
-/// What a packet is for.
+/// Purpose of a packet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// Are you alive? Addressed to one start of the node, 0 for any.
+    /// Probes one start of the receiver, or any if `start` is 0.
     Ping {
-        /// Start that is meant.
+        /// Start to probe.
         start: u64,
     },
-    /// Yes.
+    /// Answers a probe.
     Ack,
-    /// Probe this node for me.
+    /// Asks the receiver to probe this node (indirect probe).
     Ask(Node),
-    /// The node that you asked for answered.
+    /// Reports that the indirectly probed node answered.
     Answered(NodeId),
-    /// Only news.
+    /// Carries gossip only.
     News,
 }
 
-/// One datagram.
+/// Membership datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Sender.
+    /// Sender of the packet.
     pub from: NodeId,
-    /// Sequence of the probe that this belongs to.
+    /// Sequence number of the probe that the packet belongs to.
     pub seq: u32,
-    /// Purpose.
+    /// Purpose of the packet.
     pub purpose: Purpose,
-    /// Manifest in force on the sender.
+    /// Manifest applied on the sender.
     pub number: u64,
-    /// Digest of the nodes that the sender takes to be up.
+    /// Digest of the nodes that the sender considers up.
     pub digest: u32,
     /// Rumors, most urgent first.
     pub rumors: Vec<Rumor>,
-    /// Changed loads.
+    /// Loads that changed.
     pub loads: Vec<LoadRumor>,
 }
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-/// An immutable shared name.
+/// Immutable, reference-counted name.
 pub type Name = Arc<str>;
 
-/// Longest accepted name, in bytes; a DNS label's bound.
+/// Maximum length of a name in bytes, that of a DNS label.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Why a name was refused.
+/// Error of checking a name.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum NameError {
     /// a name must not be empty
@@ -19,7 +19,7 @@
     InvalidChar(char),
 }
 
-/// Checks a name's length and alphabet.
+/// Checks the length and the characters of a name.
 pub fn check(name: &str) -> Result<(), NameError> {
     if name.is_empty() {
         return Err(NameError::Empty);
--- a/crates/model/src/object/check.rs
+++ b/crates/model/src/object/check.rs
@@ -1,5 +1,5 @@
-//! Checks of a set of declarations on its own: every fault names the object
-//! and the field, and says what would be right.
+//! Validation of a set of declarations. Each fault names the object and the field, and states the
+//! expected value.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 use super::{ObjectSet, Pipeline, Pool, Role, Workspace};
 use crate::{Name, name};
 
-/// Most stages in one pipeline.
+/// Maximum number of stages in a pipeline.
 const MAX_STAGES: usize = 16;
-/// Longest deadline, one hour.
+/// Maximum deadline of a workspace: one hour.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// One thing that is wrong.
+/// Invalid field of a declared object.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, displaydoc::Display, thiserror::Error)]
 #[displaydoc("{object}: {field}: {reason}")]
 pub struct Fault {
@@ -20,7 +20,7 @@
     pub object: Name,
     /// Path of the field.
     pub field: String,
-    /// What is wrong and what would be right.
+    /// Problem and expected value.
     pub reason: String,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Checks a whole set; an empty list means that it can be accepted.
+/// Validates a whole set; an empty result means that it can be accepted.
 pub fn check(set: &ObjectSet) -> Vec<Fault> {
     let mut f = Faults { list: Vec::new(), object: "".into() };
     let mut owners = BTreeMap::new();
--- a/crates/model/src/object/kinds.rs
+++ b/crates/model/src/object/kinds.rs
@@ -1,29 +1,29 @@
-//! The declared kinds. Times are milliseconds, rates are per second.
+//! Kinds of declared objects. Times are in milliseconds, rates per second.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// A pipeline: stages in order.
+/// Pipeline: a sequence of stages.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
-    /// Stages, three to six in practice, at least one.
+    /// Stages in order; at least one, three to six in practice.
     pub stages: Vec<Stage>,
 }
 
-/// One stage of a pipeline.
+/// Stage of a pipeline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// Name, unique in the pipeline.
+    /// Name, unique within the pipeline.
     pub name: Name,
     /// Pool that serves it.
     pub pool: Name,
-    /// Model, for engines.
+    /// Model; required for engines.
     #[serde(default)]
     pub model: Option<Name>,
-    /// Whether the stage may run twice for one request.
+    /// Whether the stage may run more than once for a request.
     #[serde(default = "yes")]
     pub repeatable: bool,
 }
@@ -32,49 +32,49 @@
     true
 }
 
-/// How urgent a workspace's work is.
+/// Priority of a workspace's requests.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Somebody watches a spinner.
+    /// Interactive: a user waits for the answer.
     Urgent,
-    /// Ordinary work.
+    /// Default priority.
     #[default]
     Normal,
-    /// Patient work that yields to the rest.
+    /// Background work that yields to all other requests.
     Patient,
 }
 
-/// A workspace: whose requests, under which deadline.
+/// Workspace: settings for the requests of one group of callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Deadline of its requests, milliseconds.
+    /// Deadline of its requests, in milliseconds.
     pub deadline: u64,
-    /// How long past the deadline a caller still waits, milliseconds.
+    /// Time past the deadline for which a caller still waits, in milliseconds.
     #[serde(default)]
     pub grace: u64,
-    /// Priority.
+    /// Priority of its requests.
     #[serde(default)]
     pub priority: Priority,
-    /// Limits per pipeline; a pipeline not listed is not limited.
+    /// Rate limits per pipeline; a pipeline that is not listed is unlimited.
     #[serde(default)]
     pub limits: Vec<Limit>,
 }
 
-/// A limit of one workspace on one pipeline.
+/// Rate limit of a workspace on a pipeline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Pipeline.
+    /// Pipeline that the limit applies to.
     pub pipeline: Name,
-    /// Requests per second over all nodes.
+    /// Maximum requests per second across all nodes.
     pub rate: f64,
 }
 
-/// What a pool's targets do.
+/// Role of a pool's targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -90,59 +90,59 @@
     Plain,
 }
 
-/// A pool of targets.
+/// Pool of targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// What the targets do.
+    /// Role of the targets.
     pub role: Role,
-    /// Cost of one target's second.
+    /// Cost of one second of a target.
     pub cost: f64,
-    /// Whether targets check the epoch of an order.
+    /// Whether the targets check the epoch of orders.
     #[serde(default)]
     pub fenced: bool,
-    /// Targets.
+    /// Targets of the pool.
     pub targets: Vec<Target>,
 }
 
-/// One target.
+/// Target of a pool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Name, unique over all pools.
+    /// Name, unique across all pools.
     pub name: Name,
     /// IP address and port.
     pub address: Name,
     /// Failure domain.
     pub domain: Name,
-    /// Host, as the host list names it.
+    /// Host, by its name in the host list.
     pub host: Name,
 }
 
-/// A model and the version wanted in service.
+/// Model and its desired version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
     /// Pool that serves it.
     pub pool: Name,
-    /// Version wanted.
+    /// Desired version.
     pub version: Name,
-    /// Count of targets that hold it.
+    /// Number of targets that load it.
     pub replicas: u32,
 }
 
-/// A host that is to be emptied.
+/// Host to be drained.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// Host.
+    /// Name of the host.
     pub host: Name,
-    /// Why, for people.
+    /// Reason, informational only.
     #[serde(default)]
     pub reason: String,
 }
 
-/// Any declared object.
+/// Spec of a declared object of any kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Spec {
     /// See [`Pipeline`].
@@ -158,7 +158,7 @@
 }
 
 impl Spec {
-    /// The kind's name.
+    /// Name of the kind.
     pub fn kind(&self) -> &'static str {
         match self {
             Spec::Pipeline(_) => "Pipeline",
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Reads the spec of a kind from a stored value.
+    /// Parses the spec of a kind from a stored value.
     pub fn from_value(kind: &str, value: serde_json::Value) -> Result<Spec, serde_json::Error> {
         use serde_json::from_value;
         match kind {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The spec as stored.
+    /// Encodes the spec as it is stored.
     pub fn to_value(&self) -> serde_json::Value {
         let value = match self {
             Spec::Pipeline(s) => serde_json::to_value(s),
@@ -195,13 +195,13 @@
     }
 }
 
-/// A declared object as stored: the spec, and who wrote it.
+/// Declared object as stored: the spec and its author.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// What was declared.
+    /// Declared spec.
     pub spec: serde_json::Value,
-    /// Who wrote it, for people.
+    /// Author of the write, informational only.
     pub author: String,
-    /// Nonce of the write, to settle a lost answer.
+    /// Nonce of the write; after a lost response it tells whether the write was applied.
     pub nonce: u64,
 }
--- a/crates/model/src/object/mod.rs
+++ b/crates/model/src/object/mod.rs
@@ -1,4 +1,4 @@
-//! Objects that operators declare, and the checks of a set of them.
+//! Objects that operators declare, and their validation.
 
 mod check;
 mod kinds;
@@ -10,5 +10,5 @@
 };
 pub use set::ObjectSet;
 
-/// Kinds that operators declare, in the order in which they need each other.
+/// Kinds that operators declare; each refers only to kinds before it.
 pub const KINDS: [&str; 5] = ["Pool", "Model", "Pipeline", "Workspace", "Drain"];
--- a/crates/model/src/object/set.rs
+++ b/crates/model/src/object/set.rs
@@ -1,4 +1,4 @@
-//! A whole set of declared objects, looked up by kind and name.
+//! Complete set of declared objects.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 }
 
 impl ObjectSet {
-    /// Adds or replaces one object.
+    /// Inserts or replaces an object.
     pub fn insert(&mut self, name: Name, spec: Spec) {
         match spec {
             Spec::Pipeline(s) => drop(self.pipelines.insert(name, s)),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Removes one object.
+    /// Removes an object; unknown kinds are ignored.
     fn remove(&mut self, kind: &str, name: &str) {
         match kind {
             "Pipeline" => drop(self.pipelines.remove(name)),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds or replaces the object of a key such as `Pool/engines`.
+    /// Inserts or replaces the object of a key such as `Pool/engines`.
     pub fn insert_key(&mut self, key: &str, spec: Spec) {
         if let Some((_, name)) = key.split_once('/') {
             self.insert(name.into(), spec);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The version wanted of a model, as `model@version`.
+    /// Desired version of a model, as `model@version`.
     pub fn wanted_version(&self, model: &str) -> Option<Name> {
         let m = self.models.get(model)?;
         Some(format!("{model}@{}", m.version).into())
--- a/crates/model/src/order.rs
+++ b/crates/model/src/order.rs
@@ -4,40 +4,40 @@
 
 use crate::Name;
 
-/// What a target is told to do; each is a desired state, so repeating it is harmless.
+/// Task of a target. Each describes a desired state, so repeating it is harmless.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Task {
-    /// Hold this model version.
+    /// Load this model version.
     Load(Name),
-    /// Drop this model version.
+    /// Unload this model version.
     Unload(Name),
-    /// Take no new work and export the KV cache.
+    /// Accept no new work and export the KV cache.
     Drain,
 }
 
-/// An order as sent.
+/// Order to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Target it is for.
+    /// Target that the order is for.
     pub target: Name,
     /// Lease epoch of the sender.
     pub epoch: u64,
-    /// Manifest number it follows from.
+    /// Number of the manifest that the order follows from.
     pub number: u64,
-    /// What to do.
+    /// Task of the target.
     pub task: Task,
 }
 
-/// A target's answer to an order.
+/// Answer of a target to an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// Obeyed, or already so.
+    /// The order was executed, or was already fulfilled.
     Done,
-    /// A higher epoch was seen.
+    /// The order was rejected because the target has seen a higher epoch.
     Fenced {
-        /// The highest epoch seen.
+        /// Highest epoch that the target has seen.
         epoch: u64,
     },
 }
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -1,28 +1,28 @@
-//! What a caller is told in the end.
+//! Outcomes of requests, as reported to callers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// Header that carries the outcome.
+/// Response header that carries the outcome.
 pub const OUTCOME_HEADER: &str = "pumicevale-outcome";
 
-/// The four outcomes and what each promises.
+/// Outcome of a request and what it guarantees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer, checked.
+    /// The answer is complete and its digest was verified.
     Complete,
     /// No step was sent to any target.
     NotRun,
-    /// Ended at a named step and peer; no step that may not be repeated is in doubt.
+    /// Failed at a named step and peer; it is known of each non-repeatable step whether it ran.
     Failed,
-    /// A step that may not be repeated may have run; it is never resent.
+    /// A non-repeatable step may have run; it is never resent.
     Unknown,
 }
 
 impl Outcome {
-    /// The word used in headers, metrics and logs.
+    /// Name of the outcome in headers, metrics and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Complete => "complete",
@@ -33,7 +33,7 @@
     }
 }
 
-/// Why a request ended without its whole answer.
+/// Reason why a request ended without a complete answer.
 #[derive(
     Debug, Clone, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display, thiserror::Error,
 )]
@@ -75,15 +75,15 @@
     NoConfig,
 }
 
-/// An error with the step and the peer at which it arose.
+/// Error with the step and the peer at which it occurred.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepError {
-    /// Step, or `admission`.
+    /// Name of the step, or `admission`.
     pub step: Name,
-    /// Target or node, where there was one.
+    /// Target or node, if one was involved.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peer: Option<Name>,
-    /// What happened.
+    /// Reason of the error.
     pub reason: Reason,
 }
 
@@ -98,36 +98,36 @@
 
 impl std::error::Error for StepError {}
 
-/// Time and cost of one step.
+/// Duration and cost of a step.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StepReport {
-    /// Step.
+    /// Name of the step.
     pub step: Name,
     /// Target that answered.
     pub target: Name,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub attempts: u16,
-    /// Milliseconds from the first send to the end.
+    /// Time from the first send to the end, in milliseconds.
     pub millis: f64,
-    /// Cost, in the unit of the pool's cost per second.
+    /// Cost in the unit of the pool's cost per second.
     pub cost: f64,
 }
 
-/// The final word on a request.
+/// Final report on a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RequestReport {
     /// Request id.
     pub request: Name,
-    /// Outcome.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Why, unless complete.
+    /// Error, unless the request is complete.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<StepError>,
     /// Steps that ran, in order.
     pub steps: Vec<StepReport>,
-    /// Milliseconds after which asking again makes sense.
+    /// Time after which a retry makes sense, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u64>,
-    /// Whether the answer came within the deadline.
+    /// Whether the answer was complete within the deadline.
     pub timely: bool,
 }
--- a/crates/model/src/status.rs
+++ b/crates/model/src/status.rs
@@ -1,34 +1,34 @@
-//! Status of a declared object, written by the system from what it observed.
+//! Status objects, written by the system for operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// What became of one version of a declared object.
+/// Status of one version of a declared object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// `Kind/name` of the object.
     pub object: Name,
-    /// Version of the object that this speaks of.
+    /// Version of the object that the status refers to.
     pub version: u64,
-    /// Whether that version was accepted.
+    /// Whether this version was accepted.
     pub accepted: bool,
-    /// Why not, or empty.
+    /// Reason of a rejection, otherwise empty.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub reason: String,
-    /// Manifest that first holds it.
+    /// First manifest that contains this version.
     pub number: u64,
 }
 
-/// How far the newest manifest has spread; object `fleet` of kind `status`.
+/// Propagation of the newest manifest; stored as object `fleet` of kind `status`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Newest manifest.
+    /// Number of the newest manifest.
     pub number: u64,
-    /// Nodes known to be alive.
+    /// Number of live nodes.
     pub nodes: u32,
-    /// Of those, nodes that have it in force.
+    /// Number of live nodes that have applied it.
     pub applied: u32,
-    /// Lowest manifest in force on any of them.
+    /// Lowest manifest number applied on a live node.
     pub lowest: u64,
 }
--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -1,13 +1,13 @@
-//! The Object API as the system uses it: kinds, values and versions.
+//! Messages of the Object API: kinds, values and versions.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 use crate::Name;
 
-/// Kinds of the system's own objects.
+/// Kinds of the objects that the system itself stores.
 pub mod kind {
-    /// The manifest of accepted configuration.
+    /// Manifest of the accepted configuration.
     pub const MANIFEST: &str = "manifest";
     /// Content-addressed chunks of the configuration.
     pub const CHUNK: &str = "chunk";
@@ -17,33 +17,33 @@
     pub const CLAIM: &str = "claim";
     /// Status of declared objects.
     pub const STATUS: &str = "status";
-    /// First peers of each failure domain.
+    /// Seed peers of each failure domain.
     pub const REGISTRY: &str = "registry";
 }
 
-/// A stored object; `value` is `None` once deleted.
+/// Stored object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Stored {
-    /// Name within its kind.
+    /// Name, unique within its kind.
     pub name: Name,
-    /// Grows with each accepted write of this name, deletion included; 0 if never written.
+    /// Increases with each accepted write of this name, including deletion; 0 if never written.
     pub version: u64,
-    /// Content.
+    /// Content; `None` once deleted.
     pub value: Option<Value>,
 }
 
-/// Answer to a list or a watch.
+/// Response to a list or a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Revision of the kind; a watch goes on from here.
+    /// Revision of the kind, from which a watch continues.
     pub revision: u64,
-    /// Objects, deleted ones included on a watch.
+    /// Objects; a watch includes deleted ones.
     pub objects: Vec<Stored>,
 }
 
-/// Answer to an accepted write.
+/// Response to an accepted write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Written {
-    /// Version that the write made.
+    /// Version that the write created.
     pub version: u64,
 }
--- a/crates/model/src/view.rs
+++ b/crates/model/src/view.rs
@@ -1,5 +1,4 @@
-//! What a control node tells its own entry node, and nodes tell each other
-//! about the configuration.
+//! Messages from a control node to its entry node, and between nodes about the configuration.
 
 use std::sync::Arc;
 
@@ -9,7 +8,7 @@
 use crate::load::TargetStatus;
 use crate::member::Node;
 
-/// Paths of the control server, for POST with rmp-serde bodies.
+/// Paths for POST requests with MessagePack bodies, on the control server unless noted.
 pub mod path {
     /// [`super::ViewRequest`] to [`super::View`].
     pub const VIEW: &str = "/v1/view";
@@ -17,7 +16,7 @@
     pub const DELTA: &str = "/v1/delta";
     /// [`super::ChunksRequest`] to [`super::Chunks`].
     pub const CHUNKS: &str = "/v1/chunks";
-    /// [`super::Refusal`] to nothing.
+    /// [`super::Refusal`]; the response has no body.
     pub const REFUSED: &str = "/v1/refused";
     /// Entry node: [`crate::claim::ClaimRequest`] to [`crate::claim::ClaimOutcome`].
     pub const CLAIM: &str = "/v1/claim";
@@ -25,72 +24,72 @@
     pub const LEND: &str = "/v1/lend";
 }
 
-/// Asks for what changed.
+/// Asks for the changes to a [`View`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRequest {
-    /// Change of the load board last seen; 0 for all.
+    /// Last change number received; 0 requests all targets.
     pub changes: u64,
 }
 
-/// What a control node knows.
+/// View of a control node of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// Manifest in force on the control node.
+    /// Manifest applied on the control node.
     pub number: u64,
-    /// Nodes that are up, the asker's own included.
+    /// Nodes that are up, including the requesting one.
     pub members: Vec<Node>,
-    /// Change of the load board that this brings the asker to.
+    /// Change number that the view is up to date with.
     pub changes: u64,
-    /// Targets that changed.
+    /// Targets whose status changed.
     pub news: Vec<TargetStatus>,
-    /// Hosts that are leaving.
+    /// Hosts that are being withdrawn.
     pub leaving: Vec<Name>,
 }
 
-/// Asks for the slots that differ from a manifest.
+/// Asks for the slots that changed since a manifest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeltaRequest {
-    /// Manifest in force on the asker.
+    /// Manifest applied on the requesting node.
     pub have: u64,
 }
 
 /// Asks for chunks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunksRequest {
-    /// Content addresses.
+    /// Content addresses of the chunks.
     pub hashes: Vec<Name>,
 }
 
-/// Texts in the order asked; empty where a chunk is not held.
+/// Contents of the requested chunks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunks {
-    /// Texts.
+    /// Texts in the order of the request; empty if the node does not have a chunk.
     pub texts: Vec<Arc<str>>,
 }
 
-/// A target refused new work because it is leaving.
+/// Report that a target rejected new work because it is draining.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Target.
+    /// Target that rejected work.
     pub target: Name,
 }
 
-/// Asks a workspace's home node for a slice of its rate on one pipeline.
+/// Asks a workspace's home node for a share of the workspace's request rate on a pipeline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LendRequest {
-    /// Workspace.
+    /// Workspace whose rate is shared.
     pub workspace: Name,
-    /// Pipeline.
+    /// Pipeline that the rate applies to.
     pub pipeline: Name,
-    /// Node that asks.
+    /// Node that asks for the share.
     pub node: Name,
-    /// Requests a second that it sees.
+    /// Request rate at this node, per second.
     pub demand: f64,
 }
 
-/// A slice.
+/// Lent share of a workspace's request rate.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LentRate {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
--- a/crates/model/tests/fingerprint.rs
+++ b/crates/model/tests/fingerprint.rs
@@ -1,9 +1,9 @@
-//! What makes two requests the same.
+//! Equality and text form of request fingerprints.
 
 use model::forward::Fingerprint;
 
 #[test]
-fn parts_are_told_apart_and_their_limits_too() {
+fn fingerprints_distinguish_parts_and_their_boundaries() {
     let of = |parts: &[&str]| {
         let parts: Vec<&[u8]> = parts.iter().map(|p| p.as_bytes()).collect();
         Fingerprint::of(&parts)
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn it_reads_what_it_writes() {
-    let one = Fingerprint::of(&[b"x"]);
-    assert_eq!(one.to_string().parse(), Ok(one));
-    for wrong in ["", "zz", "+1234567890123456789012345678901", "é", &"0".repeat(33)] {
-        assert!(wrong.parse::<Fingerprint>().is_err(), "{wrong}");
+fn text_form_round_trips() {
+    let fingerprint = Fingerprint::of(&[b"x"]);
+    assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
+    for invalid in ["", "zz", "+1234567890123456789012345678901", "é", &"0".repeat(33)] {
+        assert!(invalid.parse::<Fingerprint>().is_err(), "{invalid}");
     }
 }
--- a/crates/model/tests/rank.rs
+++ b/crates/model/tests/rank.rs
@@ -1,9 +1,9 @@
-//! Ranks of workspaces and routes together.
+//! Order and priority levels of combined workspace and route ranks.
 
 use model::forward::Rank;
 
 #[test]
-fn a_workspaces_rank_goes_first_and_its_routes_keep_their_order() {
+fn workspace_rank_precedes_route_rank() {
     let order = [
         Rank::new(Some(0), 2),
         Rank::new(Some(1), 0),
@@ -13,7 +13,11 @@
     ];
     assert!(order.is_sorted());
     assert!(order.is_sorted_by_key(|r| r.level()));
-    assert_eq!(Rank::new(None, 2), Rank::new(Some(2), 2), "without a rank the route's counts");
+    assert_eq!(
+        Rank::new(None, 2),
+        Rank::new(Some(2), 2),
+        "a workspace without a rank has that of the route"
+    );
     let high = Rank::new(Some(200), 200);
-    assert_eq!(high.level(), 9, "levels end");
+    assert_eq!(high.level(), 9, "levels are capped");
 }
