--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -3,35 +3,31 @@
 #[path = "../../util/tests/support/settings.rs"]
 mod support;
 
-use support::{Case, examples_pass_and_bad_files_are_refused};
+use support::{Case, check_settings_files};
 
 #[test]
 fn the_examples_pass_and_bad_files_are_refused_with_their_place() {
     let program = env!("CARGO_BIN_EXE_pumicevale-entry");
     let cases = [
-        Case { name: "unknown", from: "near:", to: "nearby:", says: "unknown.yaml:3:1" },
+        Case { name: "unknown", from: "near:", to: "nearby:", expected: "unknown.yaml:3:1" },
         Case {
             name: "type",
             from: "callers: 127.0.0.1:7200",
             to: "callers: [1]",
-            says: "type.yaml:4:",
+            expected: "type.yaml:4:",
         },
         Case {
             name: "address",
             from: "callers: 127.0.0.1:7200",
             to: "callers: localhost:80",
-            says: "not an IP address and port",
+            expected: "not an IP address and port",
         },
         Case {
             name: "name",
             from: "name: hall-a-1",
             to: "name: Hall A",
-            says: "name: a name uses",
+            expected: "name: a name uses",
         },
     ];
-    examples_pass_and_bad_files_are_refused(
-        program,
-        &["entry-hall-a.yaml", "entry-hall-b.yaml"],
-        &cases,
-    );
+    check_settings_files(program, &["entry-hall-a.yaml", "entry-hall-b.yaml"], &cases);
 }
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -1,5 +1,5 @@
-//! One node's calls of the Object API: counted by reason, and held to a budget
-//! in which what matters most goes first.
+//! Budget of one node's calls of the Object API. Calls are counted by reason, and the more
+//! important reasons have precedence.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,10 +12,10 @@
 use crate::store::{Future, Store};
 use crate::{ErrorKind, StoreError};
 
-/// Why a call is made; earlier reasons may use more of the budget.
+/// Reason of a call; earlier reasons may use more of the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// Claims of requests that wait.
+    /// Claims, which requests wait for.
     Claim,
     /// Leases.
     Lease,
@@ -23,19 +23,19 @@
     Config,
     /// Status for operators.
     Status,
-    /// Cleaning up.
+    /// Deletion of old objects.
     Sweep,
 }
 
-/// Count of reasons.
+/// Number of reasons.
 const REASONS: usize = 5;
 
 impl Reason {
-    /// Every reason.
+    /// All reasons, in order of precedence.
     pub const ALL: [Reason; REASONS] =
         [Reason::Claim, Reason::Lease, Reason::Config, Reason::Status, Reason::Sweep];
 
-    /// Name in metrics.
+    /// Name of the reason in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::Claim => "claim",
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Share of the bucket that must be left for earlier reasons.
+    /// Fraction of the token bucket that is reserved for earlier reasons.
     fn reserve(self) -> f64 {
         self as usize as f64 / REASONS as f64 * 0.75
     }
 }
 
-/// Calls made, by reason.
+/// Numbers of calls by reason.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     calls: [AtomicU64; REASONS],
@@ -60,12 +60,12 @@
 }
 
 impl CallCounts {
-    /// Calls sent for a reason.
+    /// Number of calls sent for a reason.
     pub fn calls(&self, reason: Reason) -> u64 {
         self.calls[reason as usize].load(Ordering::Relaxed)
     }
 
-    /// Calls not sent, for want of budget.
+    /// Number of calls not sent because the budget was exhausted.
     pub fn refused(&self, reason: Reason) -> u64 {
         self.refused[reason as usize].load(Ordering::Relaxed)
     }
@@ -77,7 +77,7 @@
     at: Instant,
 }
 
-/// A store whose calls are counted and held to a rate.
+/// Store whose calls are counted and rate-limited.
 pub struct BudgetedStore {
     inner: Box<dyn Store>,
     rate: f64,
@@ -86,24 +86,24 @@
 }
 
 impl BudgetedStore {
-    /// At most `rate` calls a second over time, in bursts of four seconds' worth.
+    /// Allows `rate` calls per second on average, in bursts of up to [`BURST_SECONDS`].
     pub fn new(inner: Box<dyn Store>, rate: f64) -> Self {
         let tokens = Mutex::new(Tokens { left: rate * BURST_SECONDS, at: Instant::now() });
         BudgetedStore { inner, rate, tokens, counts: CallCounts::default() }
     }
 
-    /// Calls so far.
+    /// Numbers of calls so far.
     pub fn counts(&self) -> &CallCounts {
         &self.counts
     }
 
-    /// The store for one reason.
+    /// Store whose calls are charged to `reason`.
     pub fn for_reason(&self, reason: Reason) -> ReasonStore<'_> {
         ReasonStore { budget: self, reason }
     }
 
     fn spend(&self, reason: Reason, operation: impl Fn() -> String) -> Result<(), StoreError> {
-        let mut t = self.tokens.lock().expect("no panic while held");
+        let mut t = self.tokens.lock().expect("the lock is not poisoned");
         let now = Instant::now();
         let capacity = self.rate * BURST_SECONDS;
         t.left = (t.left + now.duration_since(t.at).as_secs_f64() * self.rate).min(capacity);
@@ -122,10 +122,10 @@
     }
 }
 
-/// Seconds' worth of calls that may be made at once.
+/// Size of the token bucket, in seconds of the call rate.
 const BURST_SECONDS: f64 = 4.0;
 
-/// A [`BudgetedStore`] store on behalf of one reason.
+/// View of a [`BudgetedStore`] that charges calls to one reason.
 #[derive(Clone, Copy)]
 pub struct ReasonStore<'b> {
     budget: &'b BudgetedStore,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,6 +1,6 @@
-//! Errors of the Object API, with the step and the peer.
+//! Errors of calls of the Object API.
 
-/// What went wrong; callers tell these apart.
+/// Kind of a failed call, which determines how callers handle it.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum ErrorKind {
     /// the version did not match
@@ -15,25 +15,25 @@
     Budget,
 }
 
-/// A failed call of the Object API.
+/// Failed call of the Object API.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 #[displaydoc("{operation} at {peer}: {kind}")]
 pub struct StoreError {
-    /// Call and object, such as `put manifest/current`.
+    /// Operation and object, such as `put manifest/current`.
     pub operation: String,
-    /// Address called.
+    /// Address of the API.
     pub peer: String,
-    /// What went wrong.
+    /// Kind of the failure.
     pub kind: ErrorKind,
 }
 
 impl StoreError {
-    /// Whether a write met another version.
+    /// Whether a write failed because the object had another version.
     pub fn is_conflict(&self) -> bool {
         self.kind == ErrorKind::Conflict
     }
 
-    /// Whether a write may have landed.
+    /// Whether a failed write may have been applied.
     pub fn may_be_applied(&self) -> bool {
         matches!(self.kind, ErrorKind::Lost(_))
     }
--- a/crates/store/src/hosts.rs
+++ b/crates/store/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list: which hosts are live and which are leaving, with a lag.
+//! Host list of the platform: live hosts and hosts about to be withdrawn, updated with a delay.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 
 use crate::store::Future;
 
-/// One host.
+/// State of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostState {
-    /// Host.
+    /// Name of the host.
     pub host: Name,
-    /// Whether it is leaving.
+    /// Whether the host is about to be withdrawn.
     pub leaving: bool,
 }
 
-/// Reads the host list.
+/// Source of the host list.
 pub trait HostList: Send + Sync {
-    /// The list as the platform has it.
+    /// Fetches the platform's current list.
     fn hosts(&self) -> Future<'_, Result<Vec<HostState>, CallError>>;
 }
 
-/// The host list over HTTP and JSON.
+/// Host list over HTTP and JSON.
 #[derive(Debug, Clone)]
 pub struct HttpHosts {
     client: Client,
@@ -32,7 +32,7 @@
 }
 
 impl HttpHosts {
-    /// A client of the list at `address`.
+    /// Creates a client of the host list at `address`.
     pub fn new(client: Client, address: Name) -> Self {
         HttpHosts { client, address }
     }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,4 +1,4 @@
-//! The Object API over HTTP and JSON.
+//! Client of the Object API over HTTP and JSON.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use crate::store::{Future, Store};
 use crate::{ErrorKind, StoreError};
 
-/// Longest wait for an answer, a watch's own wait aside.
+/// Timeout of a response, in addition to the wait of a watch.
 const TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Client of the Object API at one address.
+/// Client of the Object API at a fixed address.
 #[derive(Debug, Clone)]
 pub struct HttpStore {
     client: Client,
@@ -23,7 +23,7 @@
 }
 
 impl HttpStore {
-    /// A client of the API at `address`.
+    /// Creates a client of the API at `address`.
     pub fn new(client: Client, address: Name) -> Self {
         HttpStore { client, address }
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform as the system sees it: the Object API and the host list, each a
-//! trait object at this border, with hyper clients and a budget of calls.
+//! Interface to the platform: traits for the Object API and the host list, their HTTP clients and a
+//! budget of calls.
 
 mod budget;
 mod error;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The Object API as a trait object.
+//! Trait of the Object API.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -8,15 +8,16 @@
 
 use crate::StoreError;
 
-/// A boxed future, so that [`Store`] can be a trait object.
+/// Boxed future, which makes [`Store`] usable as a trait object.
 pub type Future<'a, T> = Pin<Box<dyn std::future::Future<Output = T> + Send + 'a>>;
 
-/// Versions, conditional updates and watches; no more is assumed.
+/// The Object API. Only versions, conditional updates and watches are required of it.
 pub trait Store: Send + Sync {
-    /// Reads one object; version 0 and no value if it was never written.
+    /// Reads an object; one that was never written has version 0 and no value.
     fn get<'a>(&'a self, kind: &'a str, name: &'a str) -> Future<'a, Result<Stored, StoreError>>;
 
-    /// Writes (`Some`) or deletes (`None`) if the version is `expect`; returns the new version.
+    /// Writes (`Some`) or deletes (`None`) an object if its version is `expect`; returns the new
+    /// version.
     fn put<'a>(
         &'a self,
         kind: &'a str,
@@ -25,10 +26,10 @@
         value: Option<Value>,
     ) -> Future<'a, Result<u64, StoreError>>;
 
-    /// Every object of a kind, and the revision to watch from.
+    /// Lists all objects of a kind, with the revision to watch from.
     fn list<'a>(&'a self, kind: &'a str) -> Future<'a, Result<Listing, StoreError>>;
 
-    /// What changed after `revision`, deletions included; empty after `wait`.
+    /// Waits for changes after `revision`, including deletions; empty if none come within `wait`.
     fn watch<'a>(
         &'a self,
         kind: &'a str,
--- a/crates/util/src/cli.rs
+++ b/crates/util/src/cli.rs
@@ -1,4 +1,4 @@
-//! The frame of every `main`: run, print the chain of an error, set the exit code.
+//! Common parts of all `main` functions: startup, error output and exit codes.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -8,10 +8,10 @@
 
 use crate::settings::{self, Check, Logs, SettingsError};
 
-/// Exit code for settings or arguments that cannot be used.
+/// Exit code for invalid settings or arguments.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Turns a result into an exit code, printing the error's chain.
+/// Converts a result to an exit code and prints the error with its causes.
 pub fn exit(result: anyhow::Result<()>) -> ExitCode {
     let Err(e) = result else {
         return ExitCode::SUCCESS;
@@ -24,9 +24,8 @@
     }
 }
 
-/// The frame of a server program: settings, logs, runtime, then `main`. With
-/// `check` it only says that the settings are valid. `workers` of 0 means one
-/// for each core.
+/// Runs a server program: loads the settings, starts logging and the runtime, then runs `main`.
+/// With `check` it only validates the settings. With 0 `workers` the runtime has one per core.
 pub fn serve<S, F, R>(
     file: &Path,
     check: bool,
--- a/crates/util/src/clock.rs
+++ b/crates/util/src/clock.rs
@@ -1,7 +1,7 @@
-//! The process's steady clock, handed to decisions as [`Time`].
+//! Monotonic clock of the process, which passes [`Time`] to the state machines.
 //!
-//! The operating system's steady clock stands still while the machine is suspended. Leases, ages,
-//! windows and deadlines do not, so that [`Clock`] counts that time too.
+//! The operating system's monotonic clock stops while the machine is suspended. Leases, ages,
+//! windows and deadlines continue, so [`Clock`] includes that time.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,34 +11,34 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Least time that counts as a suspension: the two clocks are not read at one moment, and a
-/// process may be left without its processor in between for some tens of milliseconds.
+/// Minimum duration that counts as a suspension. The two clocks are not read at the same moment,
+/// and the process may be descheduled between the reads for some tens of milliseconds.
 const MIN_SUSPENSION: Duration = Duration::from_millis(200);
-/// Time between two looks at whether the machine was suspended, by the clock that stands still
-/// meanwhile. With one at each reading of the clock a node took a tenth more of its processor.
+/// Time between two checks for a suspension, by the clock that stops during one. A check at each
+/// reading of the clock took a node 10 % more processor time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// A century away is never; `Instant` would overflow.
+/// Maximum time to wait for, one century, because `Instant` overflows on larger values.
 const MAX_WAIT_MICROS: u64 = 100 * 365 * 86_400 * 1_000_000;
 
-/// Time for which the machine was suspended.
+/// Tracks the time for which the machine was suspended.
 #[derive(Debug)]
 pub struct Suspensions {
-    /// Time by which the clock that counts suspension is ahead of the one that does not.
+    /// Reads how far the clock that includes suspensions is ahead of the one that does not.
     offset: fn() -> Duration,
-    /// The same at the start.
+    /// `offset` at the start.
     base_offset: Duration,
-    /// When that was.
+    /// Time of the start.
     start: Instant,
-    /// Time suspended since then, in microseconds.
+    /// Time suspended since the start, in microseconds.
     total: AtomicU64,
-    /// When the clocks were last compared, in microseconds after the start.
+    /// Time of the last comparison of the clocks, in microseconds since the start.
     checked: AtomicU64,
     resumed: watch::Sender<()>,
 }
 
 impl Suspensions {
-    /// Counts from now on; `ahead` tells by how much the clock that counts suspension is ahead
-    /// of the steady one.
+    /// Tracks suspensions from now on. `offset` returns how far the clock that includes
+    /// suspensions is ahead of the monotonic one.
     pub fn new(offset: fn() -> Duration) -> Self {
         let base_offset = offset().max(offset());
         Suspensions {
@@ -87,12 +87,12 @@
     Duration::ZERO
 }
 
-/// Reads the steady clock and counts suspension; follows `tokio::time::pause` in tests.
+/// Monotonic clock that includes suspensions; follows `tokio::time::pause` in tests.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
     suspensions: &'static Suspensions,
-    /// Time suspended before the clock was made.
+    /// Time suspended before the clock was created.
     suspended_before: Duration,
 }
 
@@ -103,33 +103,33 @@
 }
 
 impl Clock {
-    /// A clock that counts these suspensions.
+    /// Creates a clock that includes these suspensions.
     pub fn with_suspensions(suspensions: &'static Suspensions) -> Self {
         let start = Instant::now();
         Clock { start, suspensions, suspended_before: suspensions.total(start) }
     }
 
-    /// Time since the clock was made.
+    /// Time since the clock was created, including suspensions.
     pub fn now(&self) -> Time {
         let now = Instant::now();
         let suspended = self.suspensions.total(now).saturating_sub(self.suspended_before);
         Time((now - self.start + suspended).as_micros() as u64)
     }
 
-    /// Time for which the machine was suspended since the clock was made.
+    /// Time for which the machine was suspended since the clock was created.
     pub fn suspended(&self) -> Duration {
         self.suspensions.total(Instant::now()).saturating_sub(self.suspended_before)
     }
 
-    /// The instant at which [`Clock::now`] reads `at`, unless the machine is suspended before.
+    /// Instant at which [`Clock::now`] returns `at`, unless the machine is suspended before.
     fn instant(&self, at: Time) -> Instant {
         let at = Duration::from_micros(at.0.min(MAX_WAIT_MICROS));
         self.start + at.saturating_sub(self.suspended())
     }
 
-    /// Returns once [`Clock::now`] reads `at`. Timers stand still with the machine: whoever waits
-    /// is woken when anybody reads the clock after a suspension. A time that is over is left to
-    /// the runtime's timer too, which gives other tasks their turn.
+    /// Waits until [`Clock::now`] returns `at`. Timers stop during a suspension, so waiting tasks
+    /// are woken by the first reading of the clock after it. A time in the past also goes through
+    /// the runtime's timer, which yields to other tasks.
     pub async fn sleep_until(&self, at: Time) {
         let mut resumed = self.suspensions.resumed.subscribe();
         loop {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// What `work` brings, if that is before [`Clock::now`] reads `at`.
+    /// Output of `work`, or `None` if [`Clock::now`] reaches `at` before it completes.
     pub async fn timeout_at<T>(&self, at: Time, work: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -150,7 +150,7 @@
     }
 }
 
-/// Wall-clock milliseconds since 1970, for keys and for what operators read.
+/// Wall-clock Unix time in milliseconds, for keys and for output to operators.
 pub fn unix_ms() -> u64 {
     let d = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     d.as_millis() as u64
--- a/crates/util/src/http/client.rs
+++ b/crates/util/src/http/client.rs
@@ -1,5 +1,5 @@
-//! The client. An error tells whether the call was certainly not sent, which
-//! is what the retry rules turn on.
+//! HTTP client. Its errors tell whether the call was certainly not sent, which the retry rules
+//! depend on.
 
 use std::time::Duration;
 
@@ -12,24 +12,25 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Largest body that a client takes in whole.
+/// Maximum size of a body that is read completely, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Rest after which a connection is probed, and time between probes: the least that the
-/// operating system takes.
+/// Idle time after which a connection is probed, and time between probes: the minimum that the
+/// operating system accepts.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection where [`TCP_USER_TIMEOUT`] cannot be set.
+/// Unanswered probes that close a connection where [`TCP_USER_TIMEOUT`] cannot be set.
 pub const KEEPALIVE_RETRIES: u32 = 1;
-/// Time after which unanswered bytes or probes end a connection. Nodes are held to what changed
-/// from 3 s after a disturbance of their connections on; this leaves one for the next question.
+/// Time after which unacknowledged bytes or probes close a connection. Nodes must have caught up
+/// with changes 3 s after a disturbance of their connections; this leaves 1 s for the next request.
 pub const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Rest after which a connection is not used again. One that fell silent while it rested may never
-/// end, and the next call would wait on it for its whole time; none from before a silence is
-/// used once nodes are held to have noticed it. Calls that come more often keep theirs.
+/// Idle time after which a connection is not reused. One that went dead while idle may never be
+/// closed, and the next call would wait on it for its whole timeout. With this limit no connection
+/// from before an outage is used once nodes must have noticed the outage. More frequent calls keep
+/// their connection.
 const POOL_IDLE_TIMEOUT: Duration = TCP_USER_TIMEOUT;
-/// Longest line of a streamed answer.
+/// Maximum size of a line of a streamed body, in bytes.
 const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// What went wrong in a call.
+/// Kind of a failed call.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum CallKind {
     /// not sent: {0}
@@ -44,23 +45,23 @@
     Decode(String),
 }
 
-/// A failed call and its peer.
+/// Failed call.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 #[displaydoc("{peer}: {kind}")]
 pub struct CallError {
-    /// Address called.
+    /// Address of the peer.
     pub peer: String,
-    /// What went wrong.
+    /// Kind of the failure.
     pub kind: CallKind,
 }
 
 impl CallError {
-    /// Whether the peer certainly never saw the call.
+    /// Whether the call certainly never reached the peer.
     pub fn not_sent(&self) -> bool {
         matches!(self.kind, CallKind::NotSent(_))
     }
 
-    /// The status that the peer answered with.
+    /// Status of the peer's answer, if it was an error status.
     pub fn status(&self) -> Option<u16> {
         match self.kind {
             CallKind::Status(s, _) => Some(s),
@@ -69,28 +70,29 @@
     }
 }
 
-/// How long a large answer may take.
+/// Timeouts of a large answer.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// Until its head is there.
+    /// Time until the head is received.
     pub head: Duration,
-    /// Between two of its parts.
+    /// Time between two parts of the body.
     pub idle: Duration,
-    /// In all.
+    /// Total time.
     pub total: Duration,
 }
 
-/// A pooled client; clones share the pool. The operating system probes its connections, so that
-/// those that fall silent without an end are gone from the pool, and with them the calls that
-/// wait there, after [`TCP_USER_TIMEOUT`]. It does not show a peer whose host answers and whose process
-/// does not: calls have time-outs of their own.
+/// HTTP client with a connection pool that its clones share.
+///
+/// The operating system probes the connections, so dead ones that were never closed are removed
+/// from the pool after [`TCP_USER_TIMEOUT`], and the calls waiting on them fail. Probes do not
+/// detect a hung process on a host that still answers, so calls have their own timeouts.
 #[derive(Debug, Clone)]
 pub struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Client {
-    /// A client that gives up connecting after `connect`.
+    /// Creates a client with a connect timeout.
     pub fn new(connect: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect));
@@ -106,7 +108,8 @@
         Client { inner }
     }
 
-    /// Sends a request and returns the answer's head, whatever its status.
+    /// Sends a request and returns the response once its head is received, regardless of its
+    /// status.
     pub async fn send(
         &self,
         peer: &str,
@@ -119,7 +122,7 @@
         })
     }
 
-    /// Posts a body; an answer outside 2xx is an error.
+    /// Sends a POST request; a response outside 2xx is an error.
     pub async fn post(
         &self,
         peer: &str,
@@ -136,7 +139,7 @@
         require_success(peer, self.send(peer, request).await?).await
     }
 
-    /// Sends JSON, if any, and reads JSON.
+    /// Sends an optional JSON body and parses a JSON response.
     pub async fn json<Q: Serialize, A: DeserializeOwned>(
         &self,
         peer: &str,
@@ -164,7 +167,8 @@
         with_timeout(peer, timeout, call).await
     }
 
-    /// Posts rmp-serde and reads rmp-serde, as our own processes do.
+    /// Sends a POST request with a MessagePack body and parses a MessagePack response, as used
+    /// between the project's processes.
     pub async fn rmp<Q: Serialize, A: DeserializeOwned>(
         &self,
         peer: &str,
@@ -176,7 +180,7 @@
         read_rmp_answer(peer, &self.rmp_bytes(peer, path, bytes, timeout).await?)
     }
 
-    /// Posts what is rmp-serde already, and returns such an answer as it is.
+    /// Sends a POST request with an encoded MessagePack body and returns the encoded response.
     pub async fn rmp_bytes(
         &self,
         peer: &str,
@@ -191,8 +195,8 @@
         with_timeout(peer, timeout, call).await
     }
 
-    /// Sends a request and returns an answer that may be large: as long as it comes it is waited
-    /// for.
+    /// Sends a request for a response that may be large and waits for it as long as parts of it
+    /// keep arriving.
     pub async fn send_streamed(
         &self,
         peer: &str,
@@ -208,7 +212,7 @@
         with_timeout(peer, timeouts.total, call).await
     }
 
-    /// Puts a body; an answer outside 2xx is an error.
+    /// Sends a PUT request; a response outside 2xx is an error.
     pub async fn put(
         &self,
         peer: &str,
@@ -228,7 +232,7 @@
         with_timeout(peer, timeout, call).await
     }
 
-    /// Deletes; an answer outside 2xx is an error.
+    /// Sends a DELETE request; a response outside 2xx is an error.
     pub async fn delete(&self, peer: &str, path: &str, timeout: Duration) -> Result<(), CallError> {
         let request = Request::delete(format!("http://{peer}{path}"))
             .body(Full::default())
@@ -240,7 +244,7 @@
         with_timeout(peer, timeout, call).await
     }
 
-    /// Reads a text body; what is not UTF-8 in it is replaced.
+    /// Fetches a body as text; invalid UTF-8 is replaced.
     pub async fn text(
         &self,
         peer: &str,
@@ -251,7 +255,7 @@
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Reads a body as it is.
+    /// Fetches a body as bytes.
     pub async fn bytes(
         &self,
         peer: &str,
@@ -261,7 +265,7 @@
         Ok(self.get(peer, path, timeout).await?.into_body())
     }
 
-    /// Reads an answer, head and body.
+    /// Sends a GET request and reads the complete response.
     pub async fn get(
         &self,
         peer: &str,
@@ -280,12 +284,12 @@
     }
 }
 
-/// Reads a peer's rmp-serde answer.
+/// Parses a MessagePack response of `peer`.
 pub fn read_rmp_answer<A: DeserializeOwned>(peer: &str, answer: &[u8]) -> Result<A, CallError> {
     rmp_serde::from_slice(answer).map_err(|e| call_error(peer, CallKind::Decode(e.to_string())))
 }
 
-/// Lines of a streamed body.
+/// Reader of the lines of a streamed body.
 #[derive(Debug)]
 pub struct Lines {
     peer: String,
@@ -295,12 +299,12 @@
 }
 
 impl Lines {
-    /// Reads `response` line by line.
+    /// Creates a reader of the body of `response`.
     pub fn new(peer: &str, response: Response<Incoming>) -> Self {
         Lines { peer: peer.into(), body: response.into_body(), buffer: Vec::new(), start: 0 }
     }
 
-    /// The next line without its end; `None` once the body has ended.
+    /// Reads the next line without its line break; `None` at the end of the body.
     pub async fn next(&mut self) -> Result<Option<Vec<u8>>, CallError> {
         loop {
             if let Some(n) = self.buffer[self.start..].iter().position(|b| *b == b'\n') {
@@ -333,7 +337,7 @@
     CallError { peer: peer.into(), kind }
 }
 
-/// The causes of an error on one line.
+/// Formats an error and its causes on one line.
 fn error_chain(e: &dyn std::error::Error) -> String {
     let mut text = e.to_string();
     let mut next = e.source();
@@ -378,7 +382,7 @@
     Ok(whole.to_bytes())
 }
 
-/// Reads a body whose parts are at most `idle` apart.
+/// Reads a complete body whose parts arrive at most `idle` apart.
 async fn collect_streamed(peer: &str, body: Incoming, idle: Duration) -> Result<Bytes, CallError> {
     let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut whole = BytesMut::new();
--- a/crates/util/src/http/mod.rs
+++ b/crates/util/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 by hyper on both sides.
+//! HTTP/1.1 client and server based on hyper.
 
 mod client;
 mod server;
@@ -12,5 +12,5 @@
     text,
 };
 
-/// Media type of rmp-serde bodies between our own processes.
+/// Media type of MessagePack bodies between the project's processes.
 pub const RMP: &str = "application/msgpack";
--- a/crates/util/src/http/server.rs
+++ b/crates/util/src/http/server.rs
@@ -1,5 +1,5 @@
-//! The server: one task a connection, limits on headers and slow senders, and
-//! a planned stop that lets every answer finish.
+//! HTTP server: one task per connection, limits on headers and slow senders, and a graceful
+//! shutdown that completes open responses.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,28 +21,28 @@
 
 use crate::stop::Stop;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
-/// Sending half of a streamed body; dropping it ends the body.
+/// Sender of a streamed body; dropping it ends the body.
 pub type Sender = http_body_util::channel::Sender<Bytes, Infallible>;
 
-/// Answers requests.
+/// Handler of requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles a request.
     fn call(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// What a server accepts.
+/// Limits on requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Headers in one request.
+    /// Maximum number of headers in a request.
     pub max_headers: usize,
-    /// Bytes of one request's head.
+    /// Maximum size of a request head.
     pub max_head_bytes: usize,
-    /// Time for a sender to finish the head.
+    /// Time for a sender to complete the head.
     pub head_timeout: Duration,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// A listening server.
+/// Server that is bound to its address.
 #[derive(Debug)]
 pub struct Server {
     listener: TcpListener,
@@ -60,20 +60,20 @@
 }
 
 impl Server {
-    /// Listens at `address`; port 0 picks a free one.
+    /// Listens on `address`; port 0 selects a free port.
     pub async fn bind(address: &str) -> anyhow::Result<Self> {
         let listener = TcpListener::bind(address)
             .await
-            .with_context(|| format!("could not listen at {address}"))?;
+            .with_context(|| format!("could not listen on {address}"))?;
         Ok(Server { listener, limits: Limits::default() })
     }
 
-    /// Where it listens.
+    /// Address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("a bound listener has an address")
     }
 
-    /// Serves until `stop`, then lets open answers finish.
+    /// Serves requests until `stop`, then completes the open responses.
     pub async fn run<H: Handler>(self, handler: Arc<H>, mut stop: Stop) {
         let mut tasks = JoinSet::new();
         loop {
@@ -83,7 +83,7 @@
             };
             while tasks.try_join_next().is_some() {}
             let Ok((socket, _)) = accepted else {
-                // Out of descriptors, most likely; let some close.
+                // Most likely out of file descriptors: wait until some are closed.
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
@@ -122,13 +122,13 @@
     }
 }
 
-/// Reads a whole body of at most `max_bytes` bytes.
+/// Reads a complete body of at most `max_bytes` bytes.
 async fn read(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, String> {
     let whole = Limited::new(request.into_body(), max_bytes).collect().await;
     Ok(whole.map_err(|e| e.to_string())?.to_bytes())
 }
 
-/// Reads a JSON body; the error says what is wrong with it.
+/// Parses a JSON body; the error is the parser's or the reader's message.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     max_bytes: usize,
@@ -136,7 +136,7 @@
     serde_json::from_slice(&read(request, max_bytes).await?).map_err(|e| e.to_string())
 }
 
-/// Reads an rmp-serde body, if it is one.
+/// Parses a MessagePack body; `None` if it is invalid or too large.
 pub async fn read_rmp<T: DeserializeOwned>(
     request: Request<Incoming>,
     max_bytes: usize,
@@ -144,7 +144,7 @@
     rmp_serde::from_slice(&read(request, max_bytes).await.ok()?).ok()
 }
 
-/// An answer with a body in one piece.
+/// Response with a complete body.
 pub fn full(status: StatusCode, media: &str, body: impl Into<Bytes>) -> Response<Body> {
     Response::builder()
         .status(status)
@@ -153,30 +153,30 @@
         .expect("status and media type are valid")
 }
 
-/// A plain text answer.
+/// Plain text response.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Response<Body> {
     full(status, "text/plain; charset=utf-8", body.into())
 }
 
-/// A JSON answer.
+/// JSON response.
 pub fn json<T: Serialize>(status: StatusCode, body: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(body).expect("messages have string keys");
     full(status, "application/json", bytes)
 }
 
-/// An rmp-serde answer.
+/// MessagePack response encoded by position.
 pub fn rmp<T: Serialize>(body: &T) -> Response<Body> {
     let bytes = rmp_serde::to_vec(body).expect("messages encode");
     full(StatusCode::OK, super::RMP, bytes)
 }
 
-/// The same with the names of fields, for messages between different builds.
+/// MessagePack response with field names, for messages between different builds.
 pub fn rmp_named<T: Serialize>(body: &T) -> Response<Body> {
     let bytes = rmp_serde::to_vec_named(body).expect("messages encode");
     full(StatusCode::OK, super::RMP, bytes)
 }
 
-/// A streamed answer of at most `depth` unsent pieces.
+/// Streamed response that buffers at most `depth` unsent chunks.
 pub fn stream(media: &str, depth: usize) -> (Sender, Response<Body>) {
     let (sender, channel) = Channel::new(depth);
     let response = Response::builder()
--- a/crates/util/src/lib.rs
+++ b/crates/util/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every program needs and nothing decides on: settings files, logs, the
-//! clock, an HTTP server and an HTTP client.
+//! Infrastructure shared by all programs: settings files, logging, the clock, shutdown, and an HTTP
+//! server and client.
 
 pub mod cli;
 pub mod clock;
--- a/crates/util/src/logs.rs
+++ b/crates/util/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logs by log4rs, on standard error or standard output. Each message starts with
-//! the fixed prefix of its part, such as `claim:` or `lease:`, or is one JSON object;
+//! Logging by log4rs to standard error or standard output. Each message starts with the fixed
+//! prefix of its component, such as `claim:` or `lease:`, or is one JSON object;
 //! docs/OPERATIONS.md lists them.
 
 use anyhow::Context;
@@ -30,6 +30,6 @@
         .appender(Appender::builder().build("console", Box::new(console)))
         .build(Root::builder().appender("console").build(logs.level))
         .context("could not build the log configuration")?;
-    log4rs::init_config(config).context("could not start the logs")?;
+    log4rs::init_config(config).context("could not install the logger")?;
     Ok(())
 }
--- a/crates/util/src/settings.rs
+++ b/crates/util/src/settings.rs
@@ -1,28 +1,28 @@
-//! Settings files: YAML, read whole and refused with file, line and column.
+//! Settings files in YAML; errors report file, line and column.
 
 use std::path::{Path, PathBuf};
 
 use serde::{Deserialize, de::DeserializeOwned};
 
-/// Why a file was refused.
+/// Error of loading a settings file.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum SettingsError {
     /// {path}: could not read: {error}
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         error: std::io::Error,
     },
     /// {path}:{line}:{column}: {error}
     Syntax {
         /// The file.
         path: PathBuf,
-        /// Line, from 1.
+        /// Line, starting at 1.
         line: u64,
-        /// Column, from 1.
+        /// Column, starting at 1.
         column: u64,
-        /// What is wrong.
+        /// Message of the parser.
         error: String,
     },
     /// {path}: {field}: {error}
@@ -36,7 +36,7 @@
     },
 }
 
-/// A value that is out of its range.
+/// Value that is out of range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BadValue {
     /// Path of the field.
@@ -46,25 +46,25 @@
 }
 
 impl BadValue {
-    /// Names a field and what is wrong with it.
+    /// Creates the error of a field.
     pub fn new(field: impl Into<String>, error: impl Into<String>) -> Self {
         BadValue { field: field.into(), error: error.into() }
     }
 }
 
-/// Settings that can check their own values.
+/// Settings that can validate their values.
 pub trait Check {
-    /// The first value that is wrong.
+    /// Returns the first invalid value as an error.
     fn check(&self) -> Result<(), BadValue>;
 }
 
-/// Logging, the same in every settings file.
+/// Logging settings, the same in all settings files.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Logs {
-    /// error, warn, info, debug or trace.
+    /// Maximum level: error, warn, info, debug or trace.
     pub level: log::LevelFilter,
-    /// One JSON object a line in place of plain text.
+    /// Whether to log one JSON object per line instead of plain text.
     pub json: bool,
 }
 
@@ -74,12 +74,12 @@
     }
 }
 
-/// Parses `text` and keeps the place of an error.
+/// Parses `text`; an error reports its position.
 pub fn parse<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, SettingsError> {
     serde_saphyr::from_str(text).map_err(|e| syntax_error(path, 0, &e))
 }
 
-/// An error of the parser, moved down by `skipped` lines.
+/// Converts an error of the parser, adding `skipped` to its line number.
 pub fn syntax_error(path: &Path, skipped: u64, e: &serde_saphyr::Error) -> SettingsError {
     let at = e.location();
     let whole = e.to_string();
@@ -92,7 +92,7 @@
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn load<T: DeserializeOwned + Check>(path: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| SettingsError::Read { path: path.into(), error })?;
--- a/crates/util/tests/keepalive.rs
+++ b/crates/util/tests/keepalive.rs
@@ -1,7 +1,7 @@
-//! Connections of the client that fall silent are found out by the operating system.
+//! The operating system detects dead connections of the client.
 //!
-//! Loopback never loses a byte, so the test reads in the kernel's own table that a connection
-//! which waits for an answer has its keep-alive timer running.
+//! Loopback loses no packets, so the test reads from the kernel's socket table that the keep-alive
+//! timer of a connection waiting for a response is running.
 
 #![cfg(target_os = "linux")]
 
@@ -11,16 +11,15 @@
 use tokio::net::TcpListener;
 use util::http::{Client, KEEPALIVE_INTERVAL};
 
-/// Column of the peer's address in the kernel's table, and that of its timer.
+/// Columns of the peer's address and of the timer in the kernel's table.
 const PEER: usize = 2;
 const TIMER: usize = 5;
-/// Kind of the timer that probes a connection at rest; its time follows, in hundredths of a
-/// second.
+/// Prefix of a keep-alive timer; the time until it expires follows, in hundredths of a second.
 const KEEPALIVE: &str = "02:";
 
-/// Whether the timer of a connection to `peer` probes it in time.
+/// Whether a connection to `peer` is due to be probed within [`KEEPALIVE_INTERVAL`].
 fn is_probed(peer: SocketAddr) -> bool {
-    let table = std::fs::read_to_string("/proc/self/net/tcp").expect("Linux tells its sockets");
+    let table = std::fs::read_to_string("/proc/self/net/tcp").expect("Linux lists its sockets");
     let port = format!(":{:04X}", peer.port());
     table.lines().any(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
@@ -32,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_waits_for_an_answer_is_probed() {
+async fn connection_waiting_for_a_response_is_probed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has ports");
     let peer = listener.local_addr().expect("bound");
     let client = Client::new(Duration::from_secs(5));
@@ -41,10 +40,10 @@
         client.text(&peer.to_string(), "/", never).await
     });
     let _silent = listener.accept().await.expect("the client connects");
-    let mut looks = 0;
+    let mut checks = 0;
     while !is_probed(peer) {
-        looks += 1;
-        assert!(looks < 1000, "no keep-alive on the connection to {peer}");
+        checks += 1;
+        assert!(checks < 1000, "no keep-alive on the connection to {peer}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     call.abort();
--- a/crates/util/tests/support/settings.rs
+++ b/crates/util/tests/support/settings.rs
@@ -1,27 +1,27 @@
-//! Checks a program's settings files: used by the tests of each server program.
+//! Checks of a program's settings files, shared by the tests of all server programs.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// One way to spoil a good file, and what the error must say.
+/// Replacement that makes a valid file invalid, and the expected error text.
 pub struct Case {
     pub name: &'static str,
     pub from: &'static str,
     pub to: &'static str,
-    pub says: &'static str,
+    pub expected: &'static str,
 }
 
 fn check(program: &str, file: &Path) -> Output {
     let args = ["--check", "--settings"];
-    Command::new(program).args(args).arg(file).output().expect("it ran")
+    Command::new(program).args(args).arg(file).output().expect("the program runs")
 }
 
 fn example(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/processes").join(name)
 }
 
-/// The examples pass; each spoilt copy of the first is refused with exit code 2.
-pub fn examples_pass_and_bad_files_are_refused(program: &str, examples: &[&str], cases: &[Case]) {
+/// All examples are valid; each modified copy of the first is rejected with exit code 2.
+pub fn check_settings_files(program: &str, examples: &[&str], cases: &[Case]) {
     for name in examples {
         let out = check(program, &example(name));
         assert!(out.status.success(), "{name}: {}", String::from_utf8_lossy(&out.stderr));
@@ -33,10 +33,10 @@
         let text = good.replacen(c.from, c.to, 1);
         assert_ne!(text, good, "{}", c.name);
         let file = folder.join(format!("{}.yaml", c.name));
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("the file is written");
         let out = check(program, &file);
         let error = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(2), "{}: {error}", c.name);
-        assert!(error.contains(c.says), "{}: {error}", c.name);
+        assert!(error.contains(c.expected), "{}: {error}", c.name);
     }
 }
