--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -69,7 +69,8 @@
     /// Whether no worker is available here while another region's coordinator answers queries.
     pub(super) fn should_hand_over(&self, node: &Node) -> bool {
         let now = node.now();
-        let is_dead = self.machine.borrow_mut().waits(now).of(Rank::default()) == Waits::NOBODY;
+        let is_dead =
+            self.machine.borrow_mut().waits(now).for_rank(Rank::default()) == Waits::NOBODY;
         is_dead && self.spill.borrow().has_fresh_waits(now)
     }
 
