--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -86,7 +86,7 @@
 }
 
 impl BudgetedStore {
-    /// Allows `rate` calls per second on average, in bursts of up to [`BURST_SECONDS`].
+    /// Allows `rate` calls per second on average, in bursts of up to four seconds' worth.
     pub fn new(inner: Box<dyn Store>, rate: f64) -> Self {
         let tokens = Mutex::new(Tokens { left: rate * BURST_SECONDS, at: Instant::now() });
         BudgetedStore { inner, rate, tokens, counts: CallCounts::default() }
--- a/crates/util/src/clock.rs
+++ b/crates/util/src/clock.rs
@@ -17,7 +17,7 @@
 /// Time between two checks for a suspension, by the clock that stops during one. A check at each
 /// reading of the clock took a node 10 % more processor time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Maximum time to wait for, one century, because `Instant` overflows on larger values.
+/// Maximum time to wait for, one century, because `Instant` would overflow.
 const MAX_WAIT_MICROS: u64 = 100 * 365 * 86_400 * 1_000_000;
 
 /// Tracks the time for which the machine was suspended.
