--- a/crates/bench/benches/decide.rs
+++ b/crates/bench/benches/decide.rs
@@ -1,6 +1,6 @@
 //! Times of single decisions: criterion, for people; CI holds counted figures only.
 
-use bench::slopes::table;
+use bench::slopes::pool_table;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use decide::rng::Rng;
 use decide::route::{PolicyKind, RouteQuery, make_policy};
@@ -11,20 +11,20 @@
     let mut group = c.benchmark_group("route");
     for kind in [PolicyKind::Home, PolicyKind::SessionHashBound, PolicyKind::LeastOutstanding] {
         for n in [20, 217, 1300] {
-            let t = table(n);
+            let table = pool_table(n);
             let mut policy = make_policy(kind, 1);
             let mut rng = Rng::new(1);
             group.bench_function(BenchmarkId::new(format!("{kind:?}"), n), |b| {
                 b.iter(|| {
                     let now = Time::from_millis(5);
-                    let ask = RouteQuery {
+                    let query = RouteQuery {
                         now,
                         prefix: rng.next_u64(),
                         model: None,
                         budget: 500.0,
                         tried: &[],
                     };
-                    policy.pick(&ask, &t)
+                    policy.pick(&query, &table)
                 });
             });
         }
--- a/crates/bench/src/cmd/check.rs
+++ b/crates/bench/src/cmd/check.rs
@@ -31,25 +31,25 @@
         let text = std::fs::read_to_string(&self.bounds)
             .with_context(|| format!("could not read {}", self.bounds.display()))?;
         let bounds: Vec<Bound> = util::settings::parse(&self.bounds, &text)?;
-        let broken = check(&bounds, &measure(true));
-        anyhow::ensure!(broken.is_empty(), "{}", broken.join("\n"));
+        let violations = find_violations(&bounds, &measure(true));
+        anyhow::ensure!(violations.is_empty(), "{}", violations.join("\n"));
         println!("{} bounds hold", bounds.len());
         Ok(())
     }
 }
 
 /// One line for each bound that does not hold.
-pub fn check(bounds: &[Bound], figures: &[Figure]) -> Vec<String> {
-    let mut broken = Vec::new();
+pub fn find_violations(bounds: &[Bound], figures: &[Figure]) -> Vec<String> {
+    let mut violations = Vec::new();
     for b in bounds {
         match figures.iter().find(|f| f.name == b.name && f.size == b.size) {
-            None => broken.push(format!("{} at {}: not measured", b.name, b.size)),
+            None => violations.push(format!("{} at {}: not measured", b.name, b.size)),
             Some(f) if f.value > b.most => {
-                broken
+                violations
                     .push(format!("{} at {}: {:.4}, at most {}", b.name, b.size, f.value, b.most));
             }
             Some(_) => {}
         }
     }
-    broken
+    violations
 }
--- a/crates/bench/src/cmd/compare.rs
+++ b/crates/bench/src/cmd/compare.rs
@@ -17,7 +17,7 @@
 impl Compare {
     /// Refuses rows of different plans.
     pub fn run(self) -> anyhow::Result<()> {
-        let (a, b) = (read(&self.a)?, read(&self.b)?);
+        let (a, b) = (read_rows(&self.a)?, read_rows(&self.b)?);
         let plans: std::collections::BTreeSet<&str> =
             a.iter().chain(&b).map(|r| r.plan.as_str()).collect();
         anyhow::ensure!(plans.len() <= 1, "the rows are of different plans: {plans:?}");
@@ -32,7 +32,7 @@
     }
 }
 
-fn read(path: &Path) -> anyhow::Result<Vec<Row>> {
+fn read_rows(path: &Path) -> anyhow::Result<Vec<Row>> {
     let text = std::fs::read_to_string(path)
         .with_context(|| format!("could not read {}", path.display()))?;
     Ok(util::settings::parse(path, &text)?)
--- a/crates/bench/src/cmd/in_force.rs
+++ b/crates/bench/src/cmd/in_force.rs
@@ -9,9 +9,9 @@
 use model::object::{Spec, Workspace};
 
 /// Longest wait for one change.
-const MOST: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 /// Name of the workspace that is changed.
-const NAME: &str = "bench-in-force";
+const WORKSPACE_NAME: &str = "bench-in-force";
 
 /// Measures changes.
 pub struct InForce {
@@ -36,23 +36,23 @@
             let declaration = Declaration {
                 path: "bench".into(),
                 line: 1,
-                name: NAME.into(),
+                name: WORKSPACE_NAME.into(),
                 spec: Spec::Workspace(workspace),
             };
-            let begun = Instant::now();
+            let started = Instant::now();
             let written = cli::cmd::write_all(&remote, vec![declaration]).await?;
-            cli::cmd::wait(&remote, &written, MOST).await.context("a change did not arrive")?;
-            times.push(begun.elapsed().as_secs_f64());
+            cli::cmd::wait(&remote, &written, MAX_WAIT).await.context("a change did not arrive")?;
+            times.push(started.elapsed().as_secs_f64());
         }
         times.sort_by(f64::total_cmp);
         let nodes: u32 = remote.fleets().await?.iter().map(|(_, f)| f.nodes).sum();
-        let at = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
+        let quantile = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
         println!(
             "{} changes, {nodes} nodes: median {:.3} s, p95 {:.3} s, worst {:.3} s",
             times.len(),
-            at(0.5),
-            at(0.95),
-            at(1.0)
+            quantile(0.5),
+            quantile(0.95),
+            quantile(1.0)
         );
         Ok(())
     }
--- a/crates/bench/src/cmd/mod.rs
+++ b/crates/bench/src/cmd/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::args::Args;
 
-pub use check::{Bound, check};
+pub use check::{Bound, find_violations};
 
 /// Runs a subcommand.
 pub fn run(args: Args) -> anyhow::Result<()> {
--- a/crates/bench/src/cmd/overhead.rs
+++ b/crates/bench/src/cmd/overhead.rs
@@ -19,7 +19,7 @@
 /// Steps of the pipeline.
 const STEPS: usize = 4;
 /// Any free port.
-const ANY: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 /// Requests before counting.
 const WARMUP: u32 = 200;
 
@@ -37,7 +37,7 @@
         for i in 0..STEPS {
             let spec = TargetSpec {
                 name: format!("t{i}").into(),
-                address: ANY.into(),
+                address: ANY_PORT.into(),
                 role: Role::Plain,
                 width: 64,
                 service: 0.0,
@@ -46,34 +46,36 @@
                 fenced: false,
                 faults: TargetFaults::default(),
             };
-            let (at, _, _) = standin::run::start_target(spec, stop.clone()).await?;
-            targets.push(at.to_string());
+            let (address, _, _) = standin::run::start_target(spec, stop.clone()).await?;
+            targets.push(address.to_string());
         }
         let node = start_entry(&targets).await?;
         let client = Client::new(Duration::from_secs(1));
         let caller = node.callers.to_string();
-        let new = || Histogram::<u64>::new(3).context("a histogram");
-        let (mut bare, mut through) = (new()?, new()?);
+        let new_histogram = || Histogram::<u64>::new(3).context("a histogram");
+        let (mut baseline, mut via_entry) = (new_histogram()?, new_histogram()?);
         for i in 0..WARMUP + self.requests {
-            let begun = Instant::now();
+            let started = Instant::now();
             for (step, t) in targets.iter().enumerate() {
-                call(&client, t, i, step as u16).await?;
+                call_target(&client, t, i, step as u16).await?;
             }
-            let direct = begun.elapsed();
-            let begun = Instant::now();
-            ask(&client, &caller).await?;
-            let entry = begun.elapsed();
+            let direct = started.elapsed();
+            let started = Instant::now();
+            send_request(&client, &caller).await?;
+            let entry = started.elapsed();
             if i >= WARMUP {
-                bare.record(direct.as_micros() as u64)?;
-                through.record(entry.as_micros() as u64)?;
+                baseline.record(direct.as_micros() as u64)?;
+                via_entry.record(entry.as_micros() as u64)?;
             }
         }
         println!("| µs for {STEPS} steps | p50 | p99 |\n|---|---|---|");
-        for (name, h) in [("bare client", &bare), ("through the entry node", &through)] {
+        for (name, h) in [("bare client", &baseline), ("through the entry node", &via_entry)] {
             println!("| {name} | {} | {} |", h.value_at_quantile(0.5), h.value_at_quantile(0.99));
         }
-        let added = |q: f64| through.value_at_quantile(q) as f64 - bare.value_at_quantile(q) as f64;
-        let ratio = |q: f64| through.value_at_quantile(q) as f64 / bare.value_at_quantile(q) as f64;
+        let added =
+            |q: f64| via_entry.value_at_quantile(q) as f64 - baseline.value_at_quantile(q) as f64;
+        let ratio =
+            |q: f64| via_entry.value_at_quantile(q) as f64 / baseline.value_at_quantile(q) as f64;
         println!("| added | {:.0} | {:.0} |", added(0.5), added(0.99));
         println!("| ratio | {:.2} | {:.2} |", ratio(0.5), ratio(0.99));
         node.abort();
@@ -111,7 +113,7 @@
     Ok(node)
 }
 
-async fn call(client: &Client, target: &str, i: u32, step: u16) -> anyhow::Result<()> {
+async fn call_target(client: &Client, target: &str, i: u32, step: u16) -> anyhow::Result<()> {
     let call = Call {
         attempt: Attempt { request: format!("bare-{i}").into(), step, number: 0 },
         step: "s".into(),
@@ -134,7 +136,7 @@
     Ok(())
 }
 
-async fn ask(client: &Client, caller: &str) -> anyhow::Result<()> {
+async fn send_request(client: &Client, caller: &str) -> anyhow::Result<()> {
     let request = Request::post(format!("http://{caller}/v1/pipelines/line"))
         .header("pumicevale-workspace", "w")
         .body(Full::new(Bytes::from_static(b"{\"text\":\"hello\"}")))?;
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -1,9 +1,9 @@
 //! `pumicevale-bench slopes`: the figures behind docs/CAPACITY.md.
 
-use crate::slopes::{DOMAIN, Figure, deaths, measure, measure_fleets};
+use crate::slopes::{DOMAIN_SIZE, Figure, measure, measure_detection, measure_fleets};
 
 /// Loss and kills of the long run.
-const LOSS: f64 = 0.01;
+const LOSS_RATE: f64 = 0.01;
 const KILLS: usize = 20;
 
 /// Prints the figures as a table.
@@ -27,13 +27,13 @@
             }
         }
         for name in names {
-            println!("{}", line(name, &figures));
+            println!("{}", table_row(name, &figures));
         }
         if !self.counted && !self.fleet {
-            let d = deaths(DOMAIN, LOSS, self.hours, KILLS);
+            let d = measure_detection(DOMAIN_SIZE, LOSS_RATE, self.hours, KILLS);
             println!(
-                "| {DOMAIN} nodes, {:.0} % loss, {} h: false deaths | {} |",
-                LOSS * 100.0,
+                "| {DOMAIN_SIZE} nodes, {:.0} % loss, {} h: false deaths | {} |",
+                LOSS_RATE * 100.0,
                 d.hours,
                 d.false_deaths
             );
@@ -46,8 +46,8 @@
     }
 }
 
-fn line(name: &str, figures: &[Figure]) -> String {
-    let own = figures.iter().filter(|f| f.name == name);
-    let values: Vec<String> = own.map(|f| format!("{}: {:.4}", f.size, f.value)).collect();
+fn table_row(name: &str, figures: &[Figure]) -> String {
+    let matching = figures.iter().filter(|f| f.name == name);
+    let values: Vec<String> = matching.map(|f| format!("{}: {:.4}", f.size, f.value)).collect();
     format!("| {name} | {} |", values.join(" · "))
 }
--- a/crates/bench/src/cmd/streams.rs
+++ b/crates/bench/src/cmd/streams.rs
@@ -9,9 +9,9 @@
 use util::http::{Client, Lines};
 
 /// Requests sent at a time while streams are opened.
-const AT_ONCE: usize = 500;
+const MAX_CONCURRENT: usize = 500;
 /// Time for the node to settle before its memory is read.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Opens streams and reads the node's memory.
 pub struct Streams {
@@ -31,24 +31,25 @@
     /// Prints KB for each stream, the kernel's socket buffers aside.
     pub async fn run(self) -> anyhow::Result<()> {
         let client = Client::new(Duration::from_secs(5));
-        let before = memory(self.pid)?;
+        let before = resident_kb(self.pid)?;
         let mut open = Vec::new();
         while open.len() < self.count {
-            let n = AT_ONCE.min(self.count - open.len());
-            let tasks: Vec<_> = (0..n).map(|_| tokio::spawn(self.open(client.clone()))).collect();
+            let n = MAX_CONCURRENT.min(self.count - open.len());
+            let tasks: Vec<_> =
+                (0..n).map(|_| tokio::spawn(self.open_stream(client.clone()))).collect();
             for t in tasks {
                 open.push(t.await.context("a task ended")??);
             }
         }
-        tokio::time::sleep(SETTLE).await;
-        let after = memory(self.pid)?;
+        tokio::time::sleep(SETTLE_TIME).await;
+        let after = resident_kb(self.pid)?;
         let each = after.saturating_sub(before) as f64 / open.len() as f64;
         println!("{} open streams: {before} to {after} KB, {each:.1} KB each", open.len());
         Ok(())
     }
 
     /// Opens one stream and reads its first line.
-    fn open(&self, client: Client) -> impl Future<Output = anyhow::Result<Lines>> + use<> {
+    fn open_stream(&self, client: Client) -> impl Future<Output = anyhow::Result<Lines>> + use<> {
         let (peer, path) = (self.entry.clone(), format!("/v1/pipelines/{}", self.pipeline));
         let workspace = self.workspace.clone();
         async move {
@@ -67,7 +68,7 @@
 }
 
 /// Resident memory of a process, KB.
-fn memory(pid: u32) -> anyhow::Result<u64> {
+fn resident_kb(pid: u32) -> anyhow::Result<u64> {
     let file = format!("/proc/{pid}/status");
     let text = std::fs::read_to_string(&file).with_context(|| format!("could not read {file}"))?;
     let line = text.lines().find(|l| l.starts_with("VmRSS:")).context("no VmRSS line")?;
--- a/crates/bench/src/experiment/fleet.rs
+++ b/crates/bench/src/experiment/fleet.rs
@@ -18,16 +18,16 @@
 use super::plan::{Cell, Fault, Plan, PolicyPlan};
 
 /// Any free port.
-const ANY: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 /// Milliseconds between two reports of a target.
-const REPORT: u64 = 250;
+const REPORT_INTERVAL_MS: u64 = 250;
 /// The same under a lag.
-const LAG: u64 = 2000;
+const LAGGED_INTERVAL_MS: u64 = 2000;
 /// Targets of each small stage.
-const SMALL: usize = 3;
+const SMALL_STAGE_TARGETS: usize = 3;
 /// Cost of an engine's second, and of another target's.
 const ENGINE_COST: f64 = 1.0;
-const SMALL_COST: f64 = 0.1;
+const OTHER_COST: f64 = 0.1;
 
 /// A running system.
 pub struct Fleet {
@@ -42,7 +42,7 @@
     stopper: Stopper,
 }
 
-struct Started {
+struct StartedTarget {
     server: Arc<TargetServer>,
     target: Target,
     task: JoinHandle<()>,
@@ -57,24 +57,24 @@
         let mut servers: Vec<Vec<Arc<TargetServer>>> = Vec::new();
         let pools = [
             ("engines", Role::Engine, plan.engines),
-            ("encoders", Role::Encoder, SMALL),
-            ("stores", Role::Plain, SMALL),
+            ("encoders", Role::Encoder, SMALL_STAGE_TARGETS),
+            ("stores", Role::Plain, SMALL_STAGE_TARGETS),
         ];
         for (name, role, count) in pools {
             let mut targets = Vec::new();
-            let mut list = Vec::new();
+            let mut pool_servers = Vec::new();
             for i in 0..count {
                 let s = start_target(plan, name, role, i, stop.clone()).await?;
                 tasks.push(s.task);
                 targets.push(s.target);
-                list.push(s.server);
+                pool_servers.push(s.server);
             }
-            let cost = if role == Role::Engine { ENGINE_COST } else { SMALL_COST };
+            let cost = if role == Role::Engine { ENGINE_COST } else { OTHER_COST };
             let pool = Pool { role, cost, fenced: false, targets };
             change.upserts.push((format!("Pool/{name}").into(), Spec::Pool(pool)));
-            servers.push(list);
+            servers.push(pool_servers);
         }
-        declare(plan, &mut change);
+        add_objects(plan, &mut change);
         let mut entries = Vec::new();
         for i in 0..cell.entries {
             let node = entry::Entry::start(settings(i, policy)).await?;
@@ -88,42 +88,43 @@
     }
 
     /// Passes the targets' reports on to every entry node, as control nodes would.
-    pub async fn report(&self, cell: &Cell) {
-        let every = if cell.fault == Fault::Lag { LAG } else { REPORT };
+    pub async fn forward_reports(&self, cell: &Cell) {
+        let interval_ms =
+            if cell.fault == Fault::Lag { LAGGED_INTERVAL_MS } else { REPORT_INTERVAL_MS };
         let mut seq = 0;
         loop {
             seq += 1;
             for t in self.engines.iter().chain(&self.encoders) {
                 let mut report = t.report().await;
                 report.seq = seq;
-                let news = TargetStatus { report, seq, ready: true, polled: true };
+                let status = TargetStatus { report, seq, ready: true, polled: true };
                 for e in &self.entries {
-                    e.fleet().hear(e.now(), &news);
+                    e.fleet().hear(e.now(), &status);
                 }
             }
-            tokio::time::sleep(Duration::from_millis(every)).await;
+            tokio::time::sleep(Duration::from_millis(interval_ms)).await;
         }
     }
 
     /// Where callers come in.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|e| e.callers).collect()
     }
 
     /// Switches the cell's fault on.
-    pub fn fault(&self, fault: Fault) {
-        let f = TargetFaults::default;
+    pub fn inject_fault(&self, fault: Fault) {
+        let defaults = TargetFaults::default;
         match fault {
-            Fault::Killed => self.engines[0].set_faults(TargetFaults { fail: true, ..f() }),
-            Fault::Slow => self.engines[0].set_faults(TargetFaults { slow: 10.0, ..f() }),
+            Fault::Killed => self.engines[0].set_faults(TargetFaults { fail: true, ..defaults() }),
+            Fault::Slow => self.engines[0].set_faults(TargetFaults { slow: 10.0, ..defaults() }),
             Fault::Half => {
                 for e in self.engines.iter().step_by(2) {
-                    e.set_faults(TargetFaults { refuse: true, ..f() });
+                    e.set_faults(TargetFaults { refuse: true, ..defaults() });
                 }
             }
             Fault::StageDown => {
                 for e in &self.encoders {
-                    e.set_faults(TargetFaults { fail: true, ..f() });
+                    e.set_faults(TargetFaults { fail: true, ..defaults() });
                 }
             }
             Fault::None | Fault::Lag | Fault::Burst => {}
@@ -131,7 +132,7 @@
     }
 
     /// Prompt tokens asked for, and those found cached.
-    pub async fn cache(&self) -> (u64, u64) {
+    pub async fn cache_tokens(&self) -> (u64, u64) {
         let mut sum = (0, 0);
         for e in &self.engines {
             let (prompt, cached) = e.cache().await;
@@ -142,7 +143,7 @@
     }
 
     /// Calls at engines and encoders, refused and failed ones included.
-    pub fn runs(&self) -> usize {
+    pub fn target_calls(&self) -> usize {
         self.engines.iter().chain(&self.encoders).map(|t| t.call_count()).sum()
     }
 
@@ -164,11 +165,11 @@
     role: Role,
     i: usize,
     stop: util::stop::Stop,
-) -> anyhow::Result<Started> {
+) -> anyhow::Result<StartedTarget> {
     let name: Name = format!("{pool}-{i}").into();
     let spec = TargetSpec {
         name: name.clone(),
-        address: ANY.into(),
+        address: ANY_PORT.into(),
         role,
         width: 32,
         service: 2.0,
@@ -177,17 +178,17 @@
         fenced: false,
         faults: TargetFaults::default(),
     };
-    let (at, server, task) = standin::run::start_target(spec, stop).await?;
+    let (address, server, task) = standin::run::start_target(spec, stop).await?;
     let target = Target {
         name,
-        address: at.to_string().into(),
+        address: address.to_string().into(),
         domain: "a".into(),
         host: format!("{pool}-h{i}").into(),
     };
-    Ok(Started { server, target, task })
+    Ok(StartedTarget { server, target, task })
 }
 
-fn declare(plan: &Plan, change: &mut Change) {
+fn add_objects(plan: &Plan, change: &mut Change) {
     let stage = |name: &str, pool: &str, model: Option<&str>| Stage {
         name: name.into(),
         pool: pool.into(),
--- a/crates/bench/src/experiment/plots.rs
+++ b/crates/bench/src/experiment/plots.rs
@@ -28,21 +28,21 @@
 }
 
 fn median(rows: &[Row], cell: &str, policy: &str) -> f64 {
-    let own = rows.iter().filter(|r| r.cell == cell && r.policy == policy);
-    let mut values: Vec<f64> = own.map(|r| r.goodput).collect();
+    let matching = rows.iter().filter(|r| r.cell == cell && r.policy == policy);
+    let mut values: Vec<f64> = matching.map(|r| r.goodput).collect();
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
 fn draw(rows: &[Row], cells: &[&str], policies: &[&str], file: &Path) -> anyhow::Result<()> {
-    let most = rows.iter().map(|r| r.goodput).fold(1.0, f64::max);
+    let max_goodput = rows.iter().map(|r| r.goodput).fold(1.0, f64::max);
     let root = SVGBackend::new(file, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .margin(20)
         .x_label_area_size(30)
         .y_label_area_size(50)
-        .build_cartesian_2d(0f64..(cells.len().max(2) - 1) as f64, 0f64..most * 1.1)?;
+        .build_cartesian_2d(0f64..(cells.len().max(2) - 1) as f64, 0f64..max_goodput * 1.1)?;
     chart.configure_mesh().disable_mesh().draw()?;
     for (i, policy) in policies.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
--- a/crates/bench/src/experiment/rows.rs
+++ b/crates/bench/src/experiment/rows.rs
@@ -69,50 +69,52 @@
     }
     let mut out = String::new();
     for cell in cells {
-        out.push_str(&table(cell, rows));
+        out.push_str(&cell_table(cell, rows));
     }
     out
 }
 
-fn table(cell: &str, rows: &[Row]) -> String {
-    let own: Vec<&Row> = rows.iter().filter(|r| r.cell == cell).collect();
+fn cell_table(cell: &str, rows: &[Row]) -> String {
+    let cell_rows: Vec<&Row> = rows.iter().filter(|r| r.cell == cell).collect();
     let mut names: Vec<&str> = Vec::new();
-    for r in &own {
+    for r in &cell_rows {
         if !names.contains(&r.policy.as_str()) {
             names.push(&r.policy);
         }
     }
-    let of = |name: &str, f: fn(&Row) -> f64| {
-        range(own.iter().filter(|r| r.policy == name).map(|r| f(r)).collect())
+    let range_of = |name: &str, f: fn(&Row) -> f64| {
+        range(cell_rows.iter().filter(|r| r.policy == name).map(|r| f(r)).collect())
     };
-    let best =
-        names.iter().map(|n| of(n, |r| r.goodput)).max_by(|a, b| a.median.total_cmp(&b.median));
-    let rate = own.first().map_or(0.0, |r| r.rate);
+    let best = names
+        .iter()
+        .map(|n| range_of(n, |r| r.goodput))
+        .max_by(|a, b| a.median.total_cmp(&b.median));
+    let rate = cell_rows.first().map_or(0.0, |r| r.rate);
     let mut out = format!(
         "### {cell} ({rate:.0} requests/s offered)\n\n\
          | policy | goodput /s (range) | | in time | cached | cost | attempts | p50 ms | p99 ms | stock p99 |\n\
          |---|---|---|---|---|---|---|---|---|---|\n"
     );
     for n in names {
-        let g = of(n, |r| r.goodput);
+        let g = range_of(n, |r| r.goodput);
         let mark = match best {
             Some(b) if g.median == b.median => "best",
             Some(b) if g.high >= b.low => "tied",
             _ => "",
         };
-        let m = |f: fn(&Row) -> f64| of(n, f).median;
+        let median = |f: fn(&Row) -> f64| range_of(n, f).median;
         out.push_str(&format!(
             "| {n} | {:.1} ({:.1}–{:.1}) | {mark} | {:.1} % | {:.1} % | {:.4} | {:.2} | {:.0} | {:.0} | {:.1} |\n",
             g.median,
             g.low,
             g.high,
-            m(|r| r.share) * 100.0,
-            m(|r| r.cached) * 100.0,
-            m(|r| r.cost),
-            m(|r| r.attempts),
-            m(|r| r.p50),
-            m(|r| r.p99),
-            m(|r| r.stock99),
+            median(|r| r.share) * 100.0,
+            median(|r| r.cached) * 100.0,
+            median(|r| r.cost),
+            median(|r| r.attempts),
+            median(|r| r.p50),
+            median(|r| r.p99),
+            median(|r| r.stock99),
         ));
     }
     out.push('\n');
--- a/crates/bench/src/experiment/work.rs
+++ b/crates/bench/src/experiment/work.rs
@@ -9,15 +9,15 @@
 use super::plan::{Cell, Fault, Mix, Plan};
 
 /// Words of a turn behind its prefix.
-const TURN: usize = 12;
+const TURN_WORDS: usize = 12;
 /// Share of arrivals that are long minutes during a burst.
 const BURST_SHARE: f64 = 0.25;
 /// Length of long minutes against an ordinary answer.
-const BURST_LENGTH: usize = 4;
+const BURST_LENGTH_FACTOR: usize = 4;
 /// Stock checks a second.
 const STOCK_RATE: f64 = 40.0;
 /// Length of a catalogue rewrite against an ordinary answer.
-const CATALOGUE_LENGTH: usize = 3;
+const CATALOGUE_LENGTH_FACTOR: usize = 3;
 
 /// One request to send.
 #[derive(Debug, Clone)]
@@ -45,7 +45,7 @@
     /// As many conversations as fill `working_set` of all caches.
     pub fn new(plan: &Plan, cell: &Cell) -> Self {
         let tokens = (plan.engines * plan.engine.cache) as f64 * cell.working_set;
-        let count = ((tokens / (plan.prefix + TURN) as f64) as usize).max(1);
+        let count = ((tokens / (plan.prefix + TURN_WORDS) as f64) as usize).max(1);
         let mut sum = 0.0;
         let weight = |i: usize| 1.0 / ((i + 1) as f64).powf(cell.skew);
         let cumulative = (0..count)
@@ -57,7 +57,7 @@
         Sessions { cumulative, prefix: plan.prefix, seed: plan.seed }
     }
 
-    fn draw(&self, rng: &mut Rng) -> usize {
+    fn sample(&self, rng: &mut Rng) -> usize {
         let total = self.cumulative.last().copied().unwrap_or(1.0);
         let x = rng.next_f64() * total;
         self.cumulative.partition_point(|c| *c < x).min(self.cumulative.len() - 1)
@@ -65,12 +65,12 @@
 
     /// The prompt of a conversation's turn: its prefix, then new words.
     fn prompt(&self, session: usize, rng: &mut Rng) -> String {
-        let mut own = Rng::new(self.seed ^ (session as u64) << 20);
-        let mut text = String::with_capacity((self.prefix + TURN) * 7);
+        let mut prefix_rng = Rng::new(self.seed ^ (session as u64) << 20);
+        let mut text = String::with_capacity((self.prefix + TURN_WORDS) * 7);
         for _ in 0..self.prefix {
-            text.push_str(&format!("{:05x} ", own.next_u64() & 0xf_ffff));
+            text.push_str(&format!("{:05x} ", prefix_rng.next_u64() & 0xf_ffff));
         }
-        for _ in 0..TURN {
+        for _ in 0..TURN_WORDS {
             text.push_str(&format!("{:05x} ", rng.next_u64() & 0xf_ffff));
         }
         text
@@ -78,7 +78,7 @@
 
     /// One turn of a conversation.
     pub fn turn(&self, rng: &mut Rng, words: usize) -> (String, Value) {
-        let session = self.draw(rng);
+        let session = self.sample(rng);
         let prompt = self.prompt(session, rng);
         (format!("s{session}"), json!({ "prompt": prompt, "text": "a b c", "tokens": words }))
     }
@@ -93,8 +93,8 @@
     if cell.mix != Mix::Stock {
         poisson(&mut rng, rate, end, |rng, at| {
             let (words, workspace) = match cell.mix {
-                Mix::Catalogue => (plan.words * CATALOGUE_LENGTH, "patient"),
-                _ => (burst(plan, cell, rng, at), "turns"),
+                Mix::Catalogue => (plan.words * CATALOGUE_LENGTH_FACTOR, "patient"),
+                _ => (answer_words(plan, cell, rng, at), "turns"),
             };
             let (session, body) = sessions.turn(rng, words);
             out.push(arrival(at, "chat", workspace, session, body));
@@ -111,11 +111,11 @@
     out
 }
 
-fn burst(plan: &Plan, cell: &Cell, rng: &mut Rng, at: f64) -> usize {
+fn answer_words(plan: &Plan, cell: &Cell, rng: &mut Rng, at: f64) -> usize {
     let third = plan.seconds / 3.0;
-    let within = at >= plan.warmup + third && at < plan.warmup + 2.0 * third;
-    let long = cell.fault == Fault::Burst && within && rng.next_f64() < BURST_SHARE;
-    if long { plan.words * BURST_LENGTH } else { plan.words }
+    let in_burst = at >= plan.warmup + third && at < plan.warmup + 2.0 * third;
+    let long = cell.fault == Fault::Burst && in_burst && rng.next_f64() < BURST_SHARE;
+    if long { plan.words * BURST_LENGTH_FACTOR } else { plan.words }
 }
 
 fn arrival(
@@ -128,7 +128,7 @@
     Arrival { at: Duration::from_secs_f64(at), pipeline, workspace, session, body }
 }
 
-fn poisson(rng: &mut Rng, rate: f64, end: f64, mut each: impl FnMut(&mut Rng, f64)) {
+fn poisson(rng: &mut Rng, rate: f64, end: f64, mut on_arrival: impl FnMut(&mut Rng, f64)) {
     if rate <= 0.0 {
         return;
     }
@@ -138,6 +138,6 @@
         if at >= end {
             return;
         }
-        each(rng, at);
+        on_arrival(rng, at);
     }
 }
--- a/crates/bench/src/slopes/claims.rs
+++ b/crates/bench/src/slopes/claims.rs
@@ -13,21 +13,21 @@
 /// Claims a second at one home node.
 const RATES: [u64; 4] = [1, 10, 100, 1000];
 /// Seconds measured.
-const SECONDS: u64 = 10;
+const MEASURED_SECONDS: u64 = 10;
 /// Milliseconds of one store call.
-const CALL: Duration = Duration::from_millis(5);
-const UNIX_MS: u64 = 1_700_000_000_000;
+const STORE_LATENCY: Duration = Duration::from_millis(5);
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 
 #[derive(Default)]
-struct Store {
+struct CountingStore {
     objects: BTreeMap<Name, (u64, Claims)>,
     reads: u64,
     writes: u64,
     bytes: u64,
 }
 
-impl Store {
-    fn act(&mut self, action: Action) -> Option<Event> {
+impl CountingStore {
+    fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Answer { .. } => None,
             Action::ReadFloor => {
@@ -52,45 +52,49 @@
     }
 }
 
-fn at(rate: u64) -> Vec<Figure> {
+fn measure_rate(rate: u64) -> Vec<Figure> {
     let mut committer = Committer::default();
-    let mut store = Store::default();
-    let mut todo: BTreeMap<(Time, u64), Event> = BTreeMap::new();
-    let total = rate * SECONDS;
+    let mut store = CountingStore::default();
+    let mut queue: BTreeMap<(Time, u64), Event> = BTreeMap::new();
+    let total = rate * MEASURED_SECONDS;
     for i in 0..total {
         let at = Time(i * 1_000_000 / rate);
-        let unix_ms = UNIX_MS + at.0 / 1000;
+        let unix_ms = START_UNIX_MS + at.0 / 1000;
         let key = Key::new(unix_ms, u128::from(i) * 0x9e37_79b9_7f4a_7c15);
         let ask = ClaimRequest { key, request: format!("hall-a-1-0a1b2c3d-{i}").into() };
         let expires = at + Duration::from_secs(2);
-        todo.insert((at, i), Event::Claim { ask, ticket: i, unix_ms, expires });
+        queue.insert((at, i), Event::Claim { ask, ticket: i, unix_ms, expires });
     }
     let mut seq = total;
-    while let Some(((at, _), event)) = todo.pop_first() {
+    while let Some(((at, _), event)) = queue.pop_first() {
         for action in committer.handle_event(at, event) {
-            if let Some(event) = store.act(action) {
+            if let Some(event) = store.execute(action) {
                 seq += 1;
-                todo.insert((at + CALL, seq), event);
+                queue.insert((at + STORE_LATENCY, seq), event);
             }
         }
         let tick = committer.next_tick();
         if let Some(tick) = tick
-            && todo.keys().next().is_none_or(|(t, _)| *t > tick)
+            && queue.keys().next().is_none_or(|(t, _)| *t > tick)
         {
             seq += 1;
-            todo.insert((tick.max(at), seq), Event::Tick);
+            queue.insert((tick.max(at), seq), Event::Tick);
         }
     }
     let rate_size = rate as usize;
-    let per = |x: u64| x as f64 / total as f64;
+    let per_claim = |x: u64| x as f64 / total as f64;
     vec![
-        counted("store writes per claim, by claims a second", rate_size, per(store.writes)),
-        counted("store reads per claim, by claims a second", rate_size, per(store.reads)),
-        counted("store bytes written per claim, by claims a second", rate_size, per(store.bytes)),
+        counted("store writes per claim, by claims a second", rate_size, per_claim(store.writes)),
+        counted("store reads per claim, by claims a second", rate_size, per_claim(store.reads)),
+        counted(
+            "store bytes written per claim, by claims a second",
+            rate_size,
+            per_claim(store.bytes),
+        ),
     ]
 }
 
 /// Writes, reads and bytes per claim.
 pub fn measure() -> Vec<Figure> {
-    RATES.iter().flat_map(|r| at(*r)).collect()
+    RATES.iter().flat_map(|r| measure_rate(*r)).collect()
 }
--- a/crates/bench/src/slopes/config.rs
+++ b/crates/bench/src/slopes/config.rs
@@ -15,7 +15,7 @@
 use super::{Figure, counted, timed};
 
 /// Workspaces at which the slope is measured; 11,000 is the size to design for.
-const WORKSPACES: [usize; 4] = [300, 1000, 3300, 11_000];
+const WORKSPACE_COUNTS: [usize; 4] = [300, 1000, 3300, 11_000];
 /// Pools, pipelines and targets beside them, as planned.
 const POOLS: usize = 28;
 const PIPELINES: usize = 25;
@@ -33,7 +33,7 @@
     Declared { key: key.into(), version, spec: Some(Ok(spec)) }
 }
 
-fn everything(workspaces: usize) -> Vec<Declared> {
+fn all_objects(workspaces: usize) -> Vec<Declared> {
     let mut all: Vec<Declared> = (0..workspaces).map(|i| workspace(i, 1000)).collect();
     for p in 0..POOLS {
         let target = |t: usize| Target {
@@ -60,23 +60,23 @@
 }
 
 /// A store that takes everything, one publisher and one follower.
-struct Line {
+struct ConfigHarness {
     publisher: Publisher,
     follower: Follower,
     manifests: Vec<Manifest>,
     chunks: std::collections::BTreeMap<Name, Arc<str>>,
-    put: usize,
+    puts: usize,
     put_bytes: usize,
 }
 
-impl Line {
+impl ConfigHarness {
     fn new() -> Self {
-        Line {
+        ConfigHarness {
             publisher: Publisher::new(1),
             follower: Follower::default(),
             manifests: Vec::new(),
             chunks: Default::default(),
-            put: 0,
+            puts: 0,
             put_bytes: 0,
         }
     }
@@ -93,7 +93,7 @@
                         events.push(PublisherEvent::Base { version, manifest, chunks });
                     }
                     PublisherAction::PutChunk(hash, text) => {
-                        self.put += 1;
+                        self.puts += 1;
                         self.put_bytes += text.len();
                         self.chunks.insert(hash.clone(), text);
                         events.push(PublisherEvent::Chunk(hash, PutOutcome::Done));
@@ -110,24 +110,24 @@
     }
 
     /// The follower takes the newest manifest from a neighbour; returns the bytes moved.
-    fn follow(&mut self, neighbour: &Follower) -> usize {
+    fn sync_follower(&mut self, peer: &Follower) -> usize {
         let from = Source::Peer("n".into());
-        let number = neighbour.number();
-        let heard = FollowerEvent::Announced { number, from: from.clone() };
+        let number = peer.number();
+        let announcement = FollowerEvent::Announced { number, from: from.clone() };
         let mut bytes = 0;
-        let mut actions = self.follower.handle_event(Time::ZERO, heard);
+        let mut actions = self.follower.handle_event(Time::ZERO, announcement);
         while let Some(action) = actions.pop() {
             match action {
                 FollowerAction::FetchDelta { have, .. } => {
-                    let delta = neighbour.delta(have);
-                    bytes += encoded(&delta);
+                    let delta = peer.delta(have);
+                    bytes += encoded_len(&delta);
                     let event = FollowerEvent::Delta { delta, from: from.clone() };
                     actions.extend(self.follower.handle_event(Time::ZERO, event));
                 }
                 FollowerAction::FetchChunks { hashes, .. } => {
                     let texts: Vec<Arc<str>> =
-                        hashes.iter().filter_map(|h| neighbour.chunk(h).cloned()).collect();
-                    bytes += encoded(&Chunks { texts: texts.clone() });
+                        hashes.iter().filter_map(|h| peer.chunk(h).cloned()).collect();
+                    bytes += encoded_len(&Chunks { texts: texts.clone() });
                     for (hash, text) in hashes.into_iter().zip(texts) {
                         let event = FollowerEvent::Chunk { hash, text };
                         actions.extend(self.follower.handle_event(Time::ZERO, event));
@@ -140,58 +140,66 @@
     }
 
     /// A neighbour that read the newest manifest from the store.
-    fn neighbour(&self, at: &mut Follower) {
+    fn read_store(&self, peer: &mut Follower) {
         let manifest = self.manifests.last().cloned().unwrap_or_default();
         let slots = manifest.slots.clone();
-        at.handle_event(Time::ZERO, FollowerEvent::Manifest(manifest));
+        peer.handle_event(Time::ZERO, FollowerEvent::Manifest(manifest));
         for hash in slots {
             let text = self.chunks[&hash].clone();
-            at.handle_event(Time::ZERO, FollowerEvent::Chunk { hash, text });
+            peer.handle_event(Time::ZERO, FollowerEvent::Chunk { hash, text });
         }
     }
 }
 
-fn encoded<T: serde::Serialize>(message: &T) -> usize {
+fn encoded_len<T: serde::Serialize>(message: &T) -> usize {
     rmp_serde::to_vec(message).map_or(0, |b| b.len())
 }
 
 /// Bytes, calls and times by count of workspaces.
 pub fn measure(only_counted: bool) -> Vec<Figure> {
-    let sizes = if only_counted { &WORKSPACES[..2] } else { &WORKSPACES[..] };
-    sizes.iter().flat_map(|n| at(*n)).collect()
+    let sizes = if only_counted { &WORKSPACE_COUNTS[..2] } else { &WORKSPACE_COUNTS[..] };
+    sizes.iter().flat_map(|n| measure_size(*n)).collect()
 }
 
-fn at(n: usize) -> Vec<Figure> {
-    let mut line = Line::new();
-    line.publish(PublisherEvent::Objects(everything(n)));
-    line.publish(PublisherEvent::Lease(Some(1)));
-    let mut neighbour = Follower::default();
-    line.neighbour(&mut neighbour);
-    line.follow(&neighbour);
-    let whole: usize = line.follower.bytes();
+fn measure_size(n: usize) -> Vec<Figure> {
+    let mut harness = ConfigHarness::new();
+    harness.publish(PublisherEvent::Objects(all_objects(n)));
+    harness.publish(PublisherEvent::Lease(Some(1)));
+    let mut peer = Follower::default();
+    harness.read_store(&mut peer);
+    harness.sync_follower(&peer);
+    let held_bytes: usize = harness.follower.bytes();
     let manifest =
-        line.manifests.last().map_or(0, |m| serde_json::to_vec(m).map_or(0, |b| b.len()));
-    (line.put, line.put_bytes) = (0, 0);
-    let (mut moved, mut publish, mut apply) = (0, 0.0, 0.0);
+        harness.manifests.last().map_or(0, |m| serde_json::to_vec(m).map_or(0, |b| b.len()));
+    (harness.puts, harness.put_bytes) = (0, 0);
+    let (mut fetched_bytes, mut publish_secs, mut apply_secs) = (0, 0.0, 0.0);
     for c in 0..CHANGES {
         let mut change = workspace(c * 7 % n, 2000 + c as u64);
         change.version = 2 + c as u64;
-        let begun = Instant::now();
-        line.publish(PublisherEvent::Objects(vec![change]));
-        publish += begun.elapsed().as_secs_f64();
-        line.neighbour(&mut neighbour);
-        let begun = Instant::now();
-        moved += line.follow(&neighbour);
-        apply += begun.elapsed().as_secs_f64();
+        let started = Instant::now();
+        harness.publish(PublisherEvent::Objects(vec![change]));
+        publish_secs += started.elapsed().as_secs_f64();
+        harness.read_store(&mut peer);
+        let started = Instant::now();
+        fetched_bytes += harness.sync_follower(&peer);
+        apply_secs += started.elapsed().as_secs_f64();
     }
-    let per = |x: f64| x / CHANGES as f64;
+    let per_change = |x: f64| x / CHANGES as f64;
     vec![
-        counted("configuration held, bytes, by workspaces", n, whole as f64),
+        counted("configuration held, bytes, by workspaces", n, held_bytes as f64),
         counted("manifest in the store, bytes, by workspaces", n, manifest as f64),
-        counted("chunks written per change, by workspaces", n, per(line.put as f64)),
-        counted("chunk bytes written per change, by workspaces", n, per(line.put_bytes as f64)),
-        counted("bytes fetched per node and change, by workspaces", n, per(moved as f64)),
-        timed("holder's milliseconds per change, by workspaces", n, per(publish * 1e3)),
-        timed("node's milliseconds per change, by workspaces", n, per(apply * 1e3)),
+        counted("chunks written per change, by workspaces", n, per_change(harness.puts as f64)),
+        counted(
+            "chunk bytes written per change, by workspaces",
+            n,
+            per_change(harness.put_bytes as f64),
+        ),
+        counted(
+            "bytes fetched per node and change, by workspaces",
+            n,
+            per_change(fetched_bytes as f64),
+        ),
+        timed("holder's milliseconds per change, by workspaces", n, per_change(publish_secs * 1e3)),
+        timed("node's milliseconds per change, by workspaces", n, per_change(apply_secs * 1e3)),
     ]
 }
--- a/crates/bench/src/slopes/fleet.rs
+++ b/crates/bench/src/slopes/fleet.rs
@@ -18,24 +18,24 @@
 use super::{Figure, counted};
 
 /// Nodes of a fleet.
-pub const FLEETS: [usize; 4] = [30, 300, 1000, 2000];
+pub const FLEET_SIZES: [usize; 4] = [30, 300, 1000, 2000];
 /// Makers of one stage service for each node.
-const MAKERS_EACH: f64 = 1.5;
+const WORKERS_PER_NODE: f64 = 1.5;
 /// Failure domains.
 const DOMAINS: usize = 5;
 /// Of the hosts, one in this many bears more.
-const HUB_EVERY: usize = 20;
+const NODES_PER_HUB: usize = 20;
 /// Orders and questions that are counted.
-const TRIES: u64 = 500;
+const ROUNDS: u64 = 500;
 /// Time between two orders.
-const ORDER_EVERY: u64 = 4;
+const ORDER_INTERVAL_MS: u64 = 4;
 
 /// Every counted figure of one fleet.
 pub fn measure(nodes: usize) -> Vec<Figure> {
-    let makers = (nodes as f64 * MAKERS_EACH) as usize;
+    let workers = (nodes as f64 * WORKERS_PER_NODE) as usize;
     vec![
-        counted("makers looked at per order, by nodes", nodes, per_order(makers)),
-        counted("peers looked at per question, by nodes", nodes, per_question(nodes)),
+        counted("makers looked at per order, by nodes", nodes, visits_per_order(workers)),
+        counted("peers looked at per question, by nodes", nodes, visits_per_lookup(nodes)),
     ]
 }
 
@@ -43,7 +43,7 @@
     format!("d{}", i % DOMAINS).into()
 }
 
-fn maker(name: &str, i: usize) -> Target {
+fn worker(name: &str, i: usize) -> Target {
     Target {
         id: name.into(),
         service: "encode".into(),
@@ -79,7 +79,7 @@
     }
 }
 
-fn made(call: &Call) -> CallEnd {
+fn successful_end(call: &Call) -> CallEnd {
     let result = |p: &PieceOrder| {
         let text = format!("{}/{}", p.piece, call.number);
         PieceResult::Made(Handle { maker: call.worker.clone(), text })
@@ -88,7 +88,7 @@
 }
 
 /// Makers that a coordinator looks at for an order while one maker in ten orders is replaced.
-fn per_order(makers: usize) -> f64 {
+fn visits_per_order(workers: usize) -> f64 {
     let pool = StagePool {
         slots: 1,
         batch: 8,
@@ -100,62 +100,67 @@
     let map = Map::new(domain(0), Regions::default());
     let id = PoolId { service: "encode".into(), region: None };
     let mut fleet = Fleet::default();
-    for i in 0..makers {
-        fleet.upsert(maker(&format!("m{i}"), i), Time::ZERO);
+    for i in 0..workers {
+        fleet.upsert(worker(&format!("m{i}"), i), Time::ZERO);
     }
     let mut feed = WorkerFeed::default();
     let mut coordinator = Coordinator::new(pool, Policy::default());
-    let mut on = |coordinator: &mut Coordinator, fleet: &Fleet, event, now| {
-        let news = feed.next_event(fleet, &id, &map, None, now);
-        news.map(|news| coordinator.handle(now, news));
+    let mut handle = |coordinator: &mut Coordinator, fleet: &Fleet, event, now| {
+        let update = feed.next_event(fleet, &id, &map, None, now);
+        update.map(|update| coordinator.handle(now, update));
         coordinator.handle(now, event)
     };
-    on(&mut coordinator, &fleet, Event::Tick, Time::ZERO);
+    handle(&mut coordinator, &fleet, Event::Tick, Time::ZERO);
     let before = coordinator.visited();
-    for i in 0..TRIES {
-        let now = Time::from_millis(1 + i * ORDER_EVERY);
+    for i in 0..ROUNDS {
+        let now = Time::from_millis(1 + i * ORDER_INTERVAL_MS);
         if i % 10 == 0 {
             fleet.remove(&format!("m{}", i / 10).as_str().into(), None, now);
-            fleet.upsert(maker(&format!("n{i}"), i as usize), now);
+            fleet.upsert(worker(&format!("n{i}"), i as usize), now);
         }
         let event = Event::Order { id: i, order: order(), pinned: false };
-        for action in on(&mut coordinator, &fleet, event, now) {
+        for action in handle(&mut coordinator, &fleet, event, now) {
             if let Action::Start(call) = action {
-                on(&mut coordinator, &fleet, Event::CallEnded(call.number, made(&call)), now);
+                handle(
+                    &mut coordinator,
+                    &fleet,
+                    Event::CallEnded(call.number, successful_end(&call)),
+                    now,
+                );
             }
         }
     }
-    (coordinator.visited() - before) as f64 / TRIES as f64
+    (coordinator.visited() - before) as f64 / ROUNDS as f64
 }
 
 fn peer(i: usize, start: u64, at: Time) -> PeerView {
     let address = SocketAddr::from(([10, 1, (i / 250) as u8, (i % 250) as u8], 7000));
     let id = NodeId { name: format!("node-{i}").into(), start };
-    let capacity = u8::from((i / DOMAINS).is_multiple_of(HUB_EVERY));
+    let capacity = u8::from((i / DOMAINS).is_multiple_of(NODES_PER_HUB));
     let node = Node { id, address, entry: address, domain: domain(i), capacity };
     PeerView { node, suspect: false, up: Duration::from_secs(60), at }
 }
 
 /// Peers that a node looks at to find a coordinator, the schedulers of all failure domains and
 /// its relays, each once, while one peer is replaced before each.
-fn per_question(nodes: usize) -> f64 {
-    const KINDS: u64 = 2 + DOMAINS as u64;
+fn visits_per_lookup(nodes: usize) -> f64 {
+    const LOOKUPS_PER_ROUND: u64 = 2 + DOMAINS as u64;
     let mut roster = Roster::new("node-1".into(), domain(1), 0);
-    let began = Time::from_millis(60_000);
-    (0..nodes).filter(|i| *i != 1).for_each(|i| roster.put(peer(i, 1, began), began));
+    let joined_at = Time::from_millis(60_000);
+    (0..nodes).filter(|i| *i != 1).for_each(|i| roster.put(peer(i, 1, joined_at), joined_at));
     let now = Time::from_millis(70_000);
     let before = roster.visited();
-    for try_ in 0..TRIES {
-        let i = 2 + try_ as usize % (nodes - 2);
-        roster.remove(&peer(i, 1, began).node.id);
-        roster.put(PeerView { up: Duration::from_millis(50), ..peer(i, 2 + try_, now) }, now);
+    for round in 0..ROUNDS {
+        let i = 2 + round as usize % (nodes - 2);
+        roster.remove(&peer(i, 1, joined_at).node.id);
+        roster.put(PeerView { up: Duration::from_millis(50), ..peer(i, 2 + round, now) }, now);
         roster.coordinates("encode", now);
         for d in 0..DOMAINS {
             roster.scheduler("engine", &domain(d), now);
         }
         roster.relays(now);
-        roster.remove(&peer(i, 2 + try_, now).node.id);
-        roster.put(peer(i, 1, began), now);
+        roster.remove(&peer(i, 2 + round, now).node.id);
+        roster.put(peer(i, 1, joined_at), now);
     }
-    (roster.visited() - before) as f64 / (TRIES * KINDS) as f64
+    (roster.visited() - before) as f64 / (ROUNDS * LOOKUPS_PER_ROUND) as f64
 }
--- a/crates/bench/src/slopes/leases.rs
+++ b/crates/bench/src/slopes/leases.rs
@@ -8,29 +8,29 @@
 use super::{Figure, counted};
 
 /// Failure domains.
-const DOMAINS: [usize; 4] = [1, 2, 3, 6];
+const DOMAIN_COUNTS: [usize; 4] = [1, 2, 3, 6];
 /// Candidates of one failure domain.
 const CANDIDATES: usize = 3;
 /// Seconds measured.
-const SECONDS: u64 = 600;
+const MEASURED_SECONDS: u64 = 600;
 /// Milliseconds of one step.
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 
 /// Reads and writes a second of `n` candidates for one lease.
-fn calls(n: usize) -> (f64, f64) {
-    let mut holders: Vec<LeaseClient> =
+fn call_rates(n: usize) -> (f64, f64) {
+    let mut candidates: Vec<LeaseClient> =
         (0..n).map(|i| LeaseClient::new(format!("n{i}").into(), PERIOD, i as u64)).collect();
     let mut stored: Option<(u64, Lease)> = None;
     let (mut reads, mut writes) = (0u64, 0u64);
-    for ms in (0..SECONDS * 1000).step_by(STEP as usize) {
+    for ms in (0..MEASURED_SECONDS * 1000).step_by(STEP_MS as usize) {
         let now = Time::from_millis(ms);
-        for h in &mut holders {
-            if h.next_tick() > now {
+        for candidate in &mut candidates {
+            if candidate.next_tick() > now {
                 continue;
             }
             let mut events = vec![Event::Tick];
             while let Some(event) = events.pop() {
-                for action in h.handle_event(now, event) {
+                for action in candidate.handle_event(now, event) {
                     match action {
                         Action::Read => {
                             reads += 1;
@@ -54,18 +54,26 @@
             }
         }
     }
-    (reads as f64 / SECONDS as f64, writes as f64 / SECONDS as f64)
+    (reads as f64 / MEASURED_SECONDS as f64, writes as f64 / MEASURED_SECONDS as f64)
 }
 
 /// Calls of all leases together.
 pub fn measure() -> Vec<Figure> {
-    let (own_reads, own_writes) = calls(CANDIDATES);
-    let all = DOMAINS.iter().flat_map(|d| {
-        let (reads, writes) = calls(CANDIDATES * d);
+    let (domain_reads, domain_writes) = call_rates(CANDIDATES);
+    let all = DOMAIN_COUNTS.iter().flat_map(|d| {
+        let (manifest_reads, manifest_writes) = call_rates(CANDIDATES * d);
         let total = |one: f64, shared: f64| one * *d as f64 + shared;
         [
-            counted("lease reads a second, by failure domains", *d, total(own_reads, reads)),
-            counted("lease writes a second, by failure domains", *d, total(own_writes, writes)),
+            counted(
+                "lease reads a second, by failure domains",
+                *d,
+                total(domain_reads, manifest_reads),
+            ),
+            counted(
+                "lease writes a second, by failure domains",
+                *d,
+                total(domain_writes, manifest_writes),
+            ),
         ]
     });
     all.collect()
--- a/crates/bench/src/slopes/members.rs
+++ b/crates/bench/src/slopes/members.rs
@@ -9,41 +9,41 @@
 use model::Time;
 use model::member::{Health, LoadRumor, Node, NodeId, Packet};
 
-use super::wire::{Todo, Wire, address, length};
+use super::wire::{Scheduled, SimNetwork, address, encoded_len};
 use super::{Figure, counted, timed};
 
 /// Targets for each node: 217 before 57 nodes in one failure domain.
-const TARGETS: f64 = 217.0 / 57.0;
+const TARGETS_PER_NODE: f64 = 217.0 / 57.0;
 /// Seconds between two changes worth telling of one target's load.
-const CHANGE_EVERY: f64 = 8.0;
+const LOAD_CHANGE_SECONDS: f64 = 8.0;
 /// Seconds measured.
-const SECONDS: u64 = 60;
+const MEASURED_SECONDS: u64 = 60;
 /// Seconds until a domain has found itself.
-const SETTLE: u64 = 150;
+const SETTLE_SECONDS: u64 = 150;
 
 /// The load of a target changes.
-struct Change(u32);
+struct LoadChange(u32);
 
 /// A failure domain over a network that loses datagrams, by events.
-struct Domain {
-    wire: Wire<Change>,
+struct SimDomain {
+    network: SimNetwork<LoadChange>,
     nodes: Vec<Option<Member>>,
-    spent: Duration,
-    loads: Vec<BTreeMap<u32, u16>>,
-    dead: Vec<(usize, usize, Time)>,
+    cpu_time: Duration,
+    known_loads: Vec<BTreeMap<u32, u16>>,
+    observed_deaths: Vec<(usize, usize, Time)>,
 }
 
-impl Domain {
+impl SimDomain {
     fn new(n: usize, loss: f64, seed: u64) -> Self {
-        let mut d = Domain {
-            wire: Wire::new(loss, seed),
+        let mut d = SimDomain {
+            network: SimNetwork::new(loss, seed),
             nodes: Vec::new(),
-            spent: Duration::ZERO,
-            loads: vec![BTreeMap::new(); n],
-            dead: Vec::new(),
+            cpu_time: Duration::ZERO,
+            known_loads: vec![BTreeMap::new(); n],
+            observed_deaths: Vec::new(),
         };
         for i in 0..n {
-            let start = d.wire.rng.next_u64().max(1);
+            let start = d.network.rng.next_u64().max(1);
             let id = NodeId { name: format!("hall-a-{i}").into(), start };
             let node = Node {
                 id,
@@ -52,79 +52,79 @@
                 domain: "a".into(),
                 capacity: 0,
             };
-            let mut m = Member::new(node, Tuning::default(), d.wire.rng.next_u64());
+            let mut m = Member::new(node, Tuning::default(), d.network.rng.next_u64());
             m.handle_event(Time::ZERO, Event::Seeds((0..3.min(n)).map(address).collect()));
             d.nodes.push(Some(m));
-            let at = Time(d.wire.rng.below(1_000_000) as u64);
-            d.wire.at(at, Todo::Tick(i));
+            let at = Time(d.network.rng.below(1_000_000) as u64);
+            d.network.schedule(at, Scheduled::Tick(i));
         }
         d
     }
 
     /// Every target's load changes now and then, as its pollers see it.
     fn with_loads(mut self) -> Self {
-        let targets = (self.nodes.len() as f64 * TARGETS) as u32;
+        let targets = (self.nodes.len() as f64 * TARGETS_PER_NODE) as u32;
         for t in 0..targets {
-            let at = Time((self.wire.rng.next_f64() * CHANGE_EVERY * 1e6) as u64);
-            self.wire.at(at, Todo::Own(Change(t)));
+            let at = Time((self.network.rng.next_f64() * LOAD_CHANGE_SECONDS * 1e6) as u64);
+            self.network.schedule(at, Scheduled::Custom(LoadChange(t)));
         }
         self
     }
 
     fn run(&mut self, seconds: u64) {
-        let end = self.wire.now + Duration::from_secs(seconds);
-        while let Some(what) = self.wire.next_before(end) {
-            match what {
-                Todo::Packet(from, to, packet) => {
-                    self.feed(to, Event::Packet { from, packet: *packet });
+        let end = self.network.now + Duration::from_secs(seconds);
+        while let Some(item) = self.network.next_before(end) {
+            match item {
+                Scheduled::Packet(from, to, packet) => {
+                    self.deliver(to, Event::Packet { from, packet: *packet });
                 }
-                Todo::Tick(i) => self.tick(i),
-                Todo::Own(Change(t)) => self.change(t),
+                Scheduled::Tick(i) => self.tick(i),
+                Scheduled::Custom(LoadChange(t)) => self.change_load(t),
             }
         }
     }
 
     fn tick(&mut self, i: usize) {
-        self.feed(i, Event::Tick);
+        self.deliver(i, Event::Tick);
         if let Some(m) = &self.nodes[i] {
-            let next = m.next_tick().max(self.wire.now + Duration::from_millis(1));
-            self.wire.at(next, Todo::Tick(i));
+            let next = m.next_tick().max(self.network.now + Duration::from_millis(1));
+            self.network.schedule(next, Scheduled::Tick(i));
         }
     }
 
-    fn change(&mut self, t: u32) {
+    fn change_load(&mut self, t: u32) {
         let poller = t as usize % self.nodes.len();
-        let seq = (self.wire.now.0 / 100_000) as u16;
-        let wait = self.wire.rng.below(500) as u16;
+        let seq = (self.network.now.0 / 100_000) as u16;
+        let wait = self.network.rng.below(500) as u16;
         let load = LoadRumor { target: t, wait, seq, flags: 1 };
-        self.loads[poller].insert(t, seq);
-        self.feed(poller, Event::Load(load));
-        let next = self.wire.now
-            + Duration::from_secs_f64(CHANGE_EVERY * (0.5 + self.wire.rng.next_f64()));
-        self.wire.at(next, Todo::Own(Change(t)));
+        self.known_loads[poller].insert(t, seq);
+        self.deliver(poller, Event::Load(load));
+        let next = self.network.now
+            + Duration::from_secs_f64(LOAD_CHANGE_SECONDS * (0.5 + self.network.rng.next_f64()));
+        self.network.schedule(next, Scheduled::Custom(LoadChange(t)));
     }
 
-    fn feed(&mut self, i: usize, event: Event) {
+    fn deliver(&mut self, i: usize, event: Event) {
         let Some(m) = &mut self.nodes[i] else {
             return;
         };
-        let begun = Instant::now();
-        let actions = m.handle_event(self.wire.now, event);
-        self.spent += begun.elapsed();
+        let started = Instant::now();
+        let actions = m.handle_event(self.network.now, event);
+        self.cpu_time += started.elapsed();
         for action in actions {
             match action {
                 Action::Send(to, packet) => self.send(i, to, packet),
                 Action::Load(load) => {
-                    let known = self.loads[i].get(&load.target).copied();
+                    let known = self.known_loads[i].get(&load.target).copied();
                     let newer = known.is_none_or(|k| (load.seq.wrapping_sub(k) as i16) > 0);
                     if newer {
-                        self.loads[i].insert(load.target, load.seq);
-                        self.feed(i, Event::Load(load));
+                        self.known_loads[i].insert(load.target, load.seq);
+                        self.deliver(i, Event::Load(load));
                     }
                 }
                 Action::Changed(r) if r.health == Health::Dead => {
-                    let who = (0..self.nodes.len()).find(|n| address(*n) == r.node.address);
-                    self.dead.extend(who.map(|w| (i, w, self.wire.now)));
+                    let subject = (0..self.nodes.len()).find(|n| address(*n) == r.node.address);
+                    self.observed_deaths.extend(subject.map(|w| (i, w, self.network.now)));
                 }
                 Action::Changed(_) | Action::NewerManifest(..) => {}
             }
@@ -132,44 +132,49 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, packet: Packet) {
-        let begun = Instant::now();
-        let bytes = length(&packet);
-        self.spent += begun.elapsed();
-        self.wire.send(from, to, packet, bytes);
+        let started = Instant::now();
+        let bytes = encoded_len(&packet);
+        self.cpu_time += started.elapsed();
+        self.network.send(from, to, packet, bytes);
     }
 }
 
 /// Messages, bytes and time of one node in a domain of `n`, in the steady state.
 pub fn measure(n: usize) -> Vec<Figure> {
-    let mut quiet = Domain::new(n, 0.01, 7);
-    quiet.run(SETTLE);
-    let (packets, bytes) = (quiet.wire.packets, quiet.wire.bytes);
-    quiet.run(SECONDS);
-    let per = |total: u64| total as f64 / n as f64 / SECONDS as f64;
+    let mut idle = SimDomain::new(n, 0.01, 7);
+    idle.run(SETTLE_SECONDS);
+    let (packets, bytes) = (idle.network.packets, idle.network.bytes);
+    idle.run(MEASURED_SECONDS);
+    let per_node_second = |total: u64| total as f64 / n as f64 / MEASURED_SECONDS as f64;
     let mut out = vec![
         counted(
             "membership packets sent per node and second",
             n,
-            per(quiet.wire.packets - packets),
+            per_node_second(idle.network.packets - packets),
+        ),
+        counted(
+            "membership bytes sent per node and second",
+            n,
+            per_node_second(idle.network.bytes - bytes),
         ),
-        counted("membership bytes sent per node and second", n, per(quiet.wire.bytes - bytes)),
     ];
-    let mut busy = Domain::new(n, 0.01, 7).with_loads();
-    busy.run(SETTLE);
-    let (bytes, spent) = (busy.wire.bytes, busy.spent);
-    busy.run(SECONDS);
-    let micros = (busy.spent - spent).as_secs_f64() * 1e6;
+    let mut loaded = SimDomain::new(n, 0.01, 7).with_loads();
+    loaded.run(SETTLE_SECONDS);
+    let (bytes, cpu_before) = (loaded.network.bytes, loaded.cpu_time);
+    loaded.run(MEASURED_SECONDS);
+    let micros = (loaded.cpu_time - cpu_before).as_secs_f64() * 1e6;
     out.push(counted(
         "with load news: bytes sent per node and second",
         n,
-        per(busy.wire.bytes - bytes),
+        per_node_second(loaded.network.bytes - bytes),
     ));
-    let share = micros / n as f64 / SECONDS as f64 / 1e4;
+    let share = micros / n as f64 / MEASURED_SECONDS as f64 / 1e4;
     out.push(timed("with load news: per cent of a core per node", n, share));
-    let targets = (n as f64 * TARGETS) as usize;
-    let now = (busy.wire.now.0 / 100_000) as u16;
-    let ages = busy.loads.iter().flat_map(|l| l.values()).map(|s| f64::from(now.wrapping_sub(*s)));
-    let known = busy.loads.iter().map(|l| l.len()).sum::<usize>();
+    let targets = (n as f64 * TARGETS_PER_NODE) as usize;
+    let now = (loaded.network.now.0 / 100_000) as u16;
+    let ages =
+        loaded.known_loads.iter().flat_map(|l| l.values()).map(|s| f64::from(now.wrapping_sub(*s)));
+    let known = loaded.known_loads.iter().map(|l| l.len()).sum::<usize>();
     out.push(counted(
         "load news: share of targets known per node",
         n,
@@ -185,7 +190,7 @@
 
 /// Deaths seen over a long run.
 #[derive(Debug, Clone, Copy)]
-pub struct Deaths {
+pub struct DetectionStats {
     /// Hours run.
     pub hours: f64,
     /// Live nodes that somebody took for dead.
@@ -201,31 +206,32 @@
 }
 
 /// A domain of `n` with `loss`: `hours` without a death, then `kills` deaths.
-pub fn deaths(n: usize, loss: f64, hours: f64, kills: usize) -> Deaths {
-    let mut d = Domain::new(n, loss, 11);
-    d.run(SETTLE);
-    d.dead.clear();
+pub fn measure_detection(n: usize, loss: f64, hours: f64, kills: usize) -> DetectionStats {
+    let mut d = SimDomain::new(n, loss, 11);
+    d.run(SETTLE_SECONDS);
+    d.observed_deaths.clear();
     d.run((hours * 3600.0) as u64);
-    let false_deaths: std::collections::BTreeSet<_> = d.dead.iter().map(|(_, w, _)| *w).collect();
+    let false_deaths: std::collections::BTreeSet<_> =
+        d.observed_deaths.iter().map(|(_, w, _)| *w).collect();
     let mut times = Vec::new();
     let mut first: f64 = 0.0;
     for k in 0..kills {
-        d.dead.clear();
-        let killed = d.wire.now;
+        d.observed_deaths.clear();
+        let killed_at = d.network.now;
         let victim = 3 + k;
         d.nodes[victim] = None;
         d.run(20);
-        let own: Vec<f64> = d
-            .dead
+        let delays: Vec<f64> = d
+            .observed_deaths
             .iter()
             .filter(|(_, w, _)| *w == victim)
-            .map(|(_, _, at)| at.since(killed).as_secs_f64())
+            .map(|(_, _, at)| at.since(killed_at).as_secs_f64())
             .collect();
-        first = first.max(own.iter().copied().fold(f64::INFINITY, f64::min));
-        times.extend(own);
+        first = first.max(delays.iter().copied().fold(f64::INFINITY, f64::min));
+        times.extend(delays);
     }
     times.sort_by(f64::total_cmp);
-    Deaths {
+    DetectionStats {
         hours,
         false_deaths: false_deaths.len(),
         killed: kills,
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -12,15 +12,15 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use members::{Deaths, deaths};
-pub use routes::table;
+pub use members::{DetectionStats, measure_detection};
+pub use routes::pool_table;
 
 /// Sizes at which slopes are measured.
 pub const SIZES: [usize; 4] = [10, 30, 100, 340];
 /// The same, and a failure domain's own size.
-const MEMBERS: [usize; 5] = [10, 30, DOMAIN, 100, 340];
+const MEMBER_SIZES: [usize; 5] = [10, 30, DOMAIN_SIZE, 100, 340];
 /// Nodes of one failure domain at the size to design for: 340 in 6.
-pub const DOMAIN: usize = 57;
+pub const DOMAIN_SIZE: usize = 57;
 
 /// One figure at one size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -48,10 +48,14 @@
 /// Every figure, or only the counted ones that are quick to get.
 pub fn measure(only_counted: bool) -> Vec<Figure> {
     let mut all = Vec::new();
-    let sizes: &[usize] = if only_counted { &[DOMAIN] } else { &MEMBERS };
+    let sizes: &[usize] = if only_counted { &[DOMAIN_SIZE] } else { &MEMBER_SIZES };
     all.extend(sizes.iter().flat_map(|n| members::measure(*n)));
     // A start of 2,000 nodes takes too long for each run of the tests.
-    all.extend(fleets(if only_counted { &fleet::FLEETS[2..3] } else { &fleet::FLEETS }));
+    all.extend(fleet_figures(if only_counted {
+        &fleet::FLEET_SIZES[2..3]
+    } else {
+        &fleet::FLEET_SIZES
+    }));
     all.extend(config::measure(only_counted));
     all.extend(claims::measure());
     all.extend(leases::measure());
@@ -64,10 +68,10 @@
 
 /// Figures of whole fleets at every size.
 pub fn measure_fleets() -> Vec<Figure> {
-    fleets(&fleet::FLEETS)
+    fleet_figures(&fleet::FLEET_SIZES)
 }
 
-fn fleets(started: &[usize]) -> Vec<Figure> {
-    let work = fleet::FLEETS.iter().flat_map(|n| fleet::measure(*n));
+fn fleet_figures(started: &[usize]) -> Vec<Figure> {
+    let work = fleet::FLEET_SIZES.iter().flat_map(|n| fleet::measure(*n));
     work.chain(started.iter().flat_map(|n| starts::measure(*n))).collect()
 }
--- a/crates/bench/src/slopes/routes.rs
+++ b/crates/bench/src/slopes/routes.rs
@@ -9,44 +9,44 @@
 use super::{Figure, counted, timed};
 
 /// Candidate targets: a small pool, a failure domain's, everybody's.
-pub const TARGETS: [usize; 3] = [20, 217, 1300];
+pub const TARGET_COUNTS: [usize; 3] = [20, 217, 1300];
 /// Decisions timed.
 const DECISIONS: u64 = 200_000;
 
 /// A pool of `n` targets.
-pub fn table(n: usize) -> PoolTable {
-    let mut t = PoolTable::default();
+pub fn pool_table(n: usize) -> PoolTable {
+    let mut table = PoolTable::default();
     let info = |i: usize| TargetInfo {
         name: format!("engine-{i}").into(),
         address: "10.0.0.1:9000".into(),
         domain: "a".into(),
         distance: 0,
     };
-    t.set_targets((0..n).map(info).collect());
-    t
+    table.set_targets((0..n).map(info).collect());
+    table
 }
 
 /// Microseconds of a decision, and bytes of a target's slot.
 pub fn measure() -> Vec<Figure> {
     let mut out = Vec::new();
-    for n in TARGETS {
-        let t = table(n);
+    for n in TARGET_COUNTS {
+        let table = pool_table(n);
         let mut policy = make_policy(PolicyKind::Home, 1);
         let mut rng = Rng::new(1);
         let mut sum = 0;
-        let begun = Instant::now();
+        let started = Instant::now();
         for _ in 0..DECISIONS / n as u64 * 20 {
-            let ask = RouteQuery {
+            let query = RouteQuery {
                 now: Time::from_millis(5),
                 prefix: rng.next_u64(),
                 model: None,
                 budget: 500.0,
                 tried: &[],
             };
-            sum += policy.pick(&ask, &t).unwrap_or(0);
+            sum += policy.pick(&query, &table).unwrap_or(0);
         }
         let rounds = DECISIONS / n as u64 * 20;
-        let micros = begun.elapsed().as_secs_f64() * 1e6 / rounds as f64;
+        let micros = started.elapsed().as_secs_f64() * 1e6 / rounds as f64;
         assert!(sum > 0, "decisions were made");
         out.push(timed("microseconds of one routing decision, by targets", n, micros));
     }
--- a/crates/bench/tests/bounds.rs
+++ b/crates/bench/tests/bounds.rs
@@ -1,6 +1,6 @@
 //! The counted figures keep the committed bounds; the same on every machine.
 
-use bench::cmd::{Bound, check};
+use bench::cmd::{Bound, find_violations};
 use bench::slopes::{Figure, measure};
 
 /// Measured once for all tests.
@@ -15,15 +15,15 @@
     let text = std::fs::read_to_string(file).expect("bounds.yaml");
     let bounds: Vec<Bound> = util::settings::parse(file.as_ref(), &text).expect("valid");
     assert!(!bounds.is_empty());
-    assert_eq!(check(&bounds, figures()), Vec::<String>::new());
+    assert_eq!(find_violations(&bounds, figures()), Vec::<String>::new());
 }
 
 #[test]
 fn a_bound_that_is_passed_or_not_measured_is_reported() {
     let bound = |name: &str, most: f64| Bound { name: name.into(), size: 1, most };
-    let broken = check(
+    let violations = find_violations(
         &[bound("store writes per claim, by claims a second", 0.5), bound("no such figure", 1.0)],
         figures(),
     );
-    assert_eq!(broken.len(), 2, "{broken:?}");
+    assert_eq!(violations.len(), 2, "{violations:?}");
 }
