--- a/crates/bench/src/args.rs
+++ b/crates/bench/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments of `pumicevale-bench`.
+//! Command line of `pumicevale-bench`.
 
 use std::path::PathBuf;
 
@@ -8,77 +8,77 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum Args {
-    /// Run a plan's cells, every policy on the same arrivals
+    /// Run every cell of a plan, each policy on the same arrivals
     #[bpaf(command)]
     Run {
-        /// Folder for rows.yaml, summary.md and plots
+        /// Output directory for rows.yaml, summary.md and plots
         #[bpaf(argument("DIR"))]
         out: PathBuf,
-        /// Plan, YAML
+        /// Plan file, YAML
         #[bpaf(positional("PLAN"))]
         plan: PathBuf,
     },
     /// Compare the rows of two runs of the same plan
     #[bpaf(command)]
     Compare {
-        /// rows.yaml of one run
+        /// rows.yaml of the first run
         #[bpaf(positional("A"))]
         a: PathBuf,
-        /// rows.yaml of the other
+        /// rows.yaml of the second run
         #[bpaf(positional("B"))]
         b: PathBuf,
     },
-    /// Measure what each role costs at 10, 30, 100 and 340 nodes' worth of events
+    /// Measure the cost of each role under the events of 10, 30, 100 and 340 nodes
     #[bpaf(command)]
     Slopes {
-        /// Only the counted figures, which repeat exactly
+        /// Only counted figures, which are the same on every run and machine
         counted: bool,
-        /// Only those of whole fleets, at 30 to 2,000 nodes
+        /// Only figures of whole fleets, at 30 to 2,000 nodes
         fleet: bool,
-        /// Hours of the long run without a death
+        /// Simulated hours of the failure-detection run without a crash
         #[bpaf(argument("HOURS"), fallback(8.0))]
         hours: f64,
     },
-    /// Measure an entry node's own time per request against a bare client
+    /// Measure the latency that an entry node adds to a request, against a direct client
     #[bpaf(command)]
     Overhead {
-        /// Requests
+        /// Number of requests
         #[bpaf(argument("N"), fallback(2000))]
         requests: u32,
     },
-    /// Time from a change to in force everywhere, on running processes
+    /// Measure the time until a change is applied on every node, on running processes
     #[bpaf(command("in-force"))]
     InForce {
         /// Address of the Object API
         #[bpaf(argument("ADDRESS"))]
         store: String,
-        /// Changes
+        /// Number of changes
         #[bpaf(argument("N"), fallback(100))]
         changes: u32,
     },
-    /// Memory of a running entry node for each open stream
+    /// Measure the memory that a running entry node uses per open stream
     #[bpaf(command)]
     Streams {
-        /// Entry node's caller address
+        /// Address at which the entry node serves callers
         #[bpaf(argument("ADDRESS"))]
         entry: String,
-        /// Its process
+        /// Process id of the entry node
         #[bpaf(argument("PID"))]
         pid: u32,
-        /// Streams
+        /// Number of streams
         #[bpaf(argument("N"), fallback(1000))]
         count: usize,
-        /// Pipeline
+        /// Pipeline to request
         #[bpaf(argument("NAME"), fallback("minutes".into()))]
         pipeline: String,
-        /// Workspace
+        /// Workspace of the requests
         #[bpaf(argument("NAME"), fallback("ward-councillors".into()))]
         workspace: String,
     },
-    /// Compare the counted figures with committed bounds
+    /// Check the counted figures against the committed bounds
     #[bpaf(command)]
     Check {
-        /// Bounds, YAML
+        /// Bounds file, YAML
         #[bpaf(argument("FILE"), fallback(PathBuf::from("bounds.yaml")))]
         bounds: PathBuf,
     },
--- a/crates/bench/src/cmd/check.rs
+++ b/crates/bench/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `pumicevale-bench check`: counted figures against committed bounds.
+//! `pumicevale-bench check`: compares the counted figures with the committed bounds.
 
 use std::path::PathBuf;
 
@@ -7,26 +7,26 @@
 
 use crate::slopes::{Figure, measure};
 
-/// A figure must not exceed this.
+/// Upper bound of a counted figure.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// Figure.
+    /// Name of the figure.
     pub name: String,
-    /// Size.
+    /// Size at which the figure is measured.
     pub size: usize,
-    /// Most.
+    /// Largest allowed value, inclusive.
     pub most: f64,
 }
 
-/// Compares with bounds.
+/// Arguments of the subcommand.
 pub struct Check {
-    /// Bounds.
+    /// Bounds file, YAML.
     pub bounds: PathBuf,
 }
 
 impl Check {
-    /// Fails where a figure passes its bound, or was not measured.
+    /// Fails if a figure exceeds its bound or was not measured.
     pub fn run(self) -> anyhow::Result<()> {
         let text = std::fs::read_to_string(&self.bounds)
             .with_context(|| format!("could not read {}", self.bounds.display()))?;
@@ -38,7 +38,7 @@
     }
 }
 
-/// One line for each bound that does not hold.
+/// One line per bound that is exceeded or whose figure was not measured.
 pub fn find_violations(bounds: &[Bound], figures: &[Figure]) -> Vec<String> {
     let mut violations = Vec::new();
     for b in bounds {
--- a/crates/bench/src/cmd/compare.rs
+++ b/crates/bench/src/cmd/compare.rs
@@ -1,4 +1,4 @@
-//! `pumicevale-bench compare`: two runs of one plan side by side.
+//! `pumicevale-bench compare`: prints the summaries of two runs of one plan.
 
 use std::path::{Path, PathBuf};
 
@@ -6,21 +6,21 @@
 
 use crate::experiment::{Row, summary};
 
-/// Compares two runs.
+/// Arguments of the subcommand.
 pub struct Compare {
-    /// One.
+    /// `rows.yaml` of the first run.
     pub a: PathBuf,
-    /// The other.
+    /// `rows.yaml` of the second run.
     pub b: PathBuf,
 }
 
 impl Compare {
-    /// Refuses rows of different plans.
+    /// Fails if the rows belong to different plans, whose results are not comparable.
     pub fn run(self) -> anyhow::Result<()> {
         let (a, b) = (read_rows(&self.a)?, read_rows(&self.b)?);
         let plans: std::collections::BTreeSet<&str> =
             a.iter().chain(&b).map(|r| r.plan.as_str()).collect();
-        anyhow::ensure!(plans.len() <= 1, "the rows are of different plans: {plans:?}");
+        anyhow::ensure!(plans.len() <= 1, "the rows belong to different plans: {plans:?}");
         println!(
             "{}\n\n{}\n\n{}\n\n{}",
             self.a.display(),
--- a/crates/bench/src/cmd/in_force.rs
+++ b/crates/bench/src/cmd/in_force.rs
@@ -1,5 +1,5 @@
-//! `pumicevale-bench in-force`: time from an operator's write until the status
-//! says that it is in force on every node.
+//! `pumicevale-bench in-force`: time from an operator's write until the status reports the change
+//! as applied on every node.
 
 use std::time::{Duration, Instant};
 
@@ -8,21 +8,21 @@
 use cli::declare::Declaration;
 use model::object::{Spec, Workspace};
 
-/// Longest wait for one change.
+/// Timeout of one change.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Name of the workspace that is changed.
+/// Workspace that is rewritten with a new deadline each time.
 const WORKSPACE_NAME: &str = "bench-in-force";
 
-/// Measures changes.
+/// Arguments of the subcommand.
 pub struct InForce {
     /// Address of the Object API.
     pub store: String,
-    /// Changes.
+    /// Number of changes.
     pub changes: u32,
 }
 
 impl InForce {
-    /// Prints median and worst.
+    /// Prints the median, 95th percentile and maximum in seconds.
     pub async fn run(self) -> anyhow::Result<()> {
         let remote = Remote::new(&self.store)?;
         let mut times = Vec::new();
@@ -41,7 +41,9 @@
             };
             let started = Instant::now();
             let written = cli::cmd::write_all(&remote, vec![declaration]).await?;
-            cli::cmd::wait(&remote, &written, MAX_WAIT).await.context("a change did not arrive")?;
+            cli::cmd::wait(&remote, &written, MAX_WAIT)
+                .await
+                .context("a change was not applied on every node")?;
             times.push(started.elapsed().as_secs_f64());
         }
         times.sort_by(f64::total_cmp);
--- a/crates/bench/src/cmd/mod.rs
+++ b/crates/bench/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file a subcommand.
+//! Subcommands, one module each.
 
 mod check;
 mod compare;
@@ -14,9 +14,9 @@
 
 pub use check::{Bound, find_violations};
 
-/// Runs a subcommand.
+/// Runs the subcommand on a new Tokio runtime.
 pub fn run(args: Args) -> anyhow::Result<()> {
-    let runtime = tokio::runtime::Runtime::new().context("could not start the runtime")?;
+    let runtime = tokio::runtime::Runtime::new().context("could not start the Tokio runtime")?;
     match args {
         Args::Run { out, plan } => runtime.block_on(run::Run { out, plan }.run()),
         Args::Compare { a, b } => compare::Compare { a, b }.run(),
--- a/crates/bench/src/cmd/overhead.rs
+++ b/crates/bench/src/cmd/overhead.rs
@@ -1,5 +1,5 @@
-//! `pumicevale-bench overhead`: an entry node's own time per request, against a
-//! bare client that calls the same stand-ins directly, in one run.
+//! `pumicevale-bench overhead`: latency that an entry node adds to a request, against a client
+//! that calls the same stand-in targets directly.
 
 use std::time::{Duration, Instant};
 
@@ -16,21 +16,22 @@
 use util::http::{Client, Lines};
 use util::stop;
 
-/// Steps of the pipeline.
+/// Steps of the pipeline, each on a target of its own.
 const STEPS: usize = 4;
-/// Any free port.
+/// Loopback address with a port chosen by the operating system.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Requests before counting.
+/// Requests sent before latencies are recorded.
 const WARMUP: u32 = 200;
 
-/// Measures overhead.
+/// Arguments of the subcommand.
 pub struct Overhead {
-    /// Requests.
+    /// Number of measured requests.
     pub requests: u32,
 }
 
 impl Overhead {
-    /// Bare and through the entry node in turn, so that both see the same machine.
+    /// Alternates direct calls and requests through the entry node, so that the load of the
+    /// machine affects both alike.
     pub async fn run(self) -> anyhow::Result<()> {
         let (_stopper, stop) = stop::channel();
         let mut targets = Vec::new();
@@ -52,7 +53,7 @@
         let node = start_entry(&targets).await?;
         let client = Client::new(Duration::from_secs(1));
         let caller = node.callers.to_string();
-        let new_histogram = || Histogram::<u64>::new(3).context("a histogram");
+        let new_histogram = || Histogram::<u64>::new(3).context("could not create a histogram");
         let (mut baseline, mut via_entry) = (new_histogram()?, new_histogram()?);
         for i in 0..WARMUP + self.requests {
             let started = Instant::now();
@@ -141,7 +142,11 @@
         .header("pumicevale-workspace", "w")
         .body(Full::new(Bytes::from_static(b"{\"text\":\"hello\"}")))?;
     let response = client.send(caller, request).await?;
-    anyhow::ensure!(response.status().is_success(), "the request got {}", response.status());
+    anyhow::ensure!(
+        response.status().is_success(),
+        "the entry node answered with status {}",
+        response.status()
+    );
     response.into_body().collect().await?;
     Ok(())
 }
--- a/crates/bench/src/cmd/run.rs
+++ b/crates/bench/src/cmd/run.rs
@@ -1,4 +1,4 @@
-//! `pumicevale-bench run`: every cell of a plan, every policy, some repetitions.
+//! `pumicevale-bench run`: runs every cell of a plan under every policy, with repetitions.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -7,20 +7,21 @@
 
 use crate::experiment::{Plan, Row, plot, run_cell, summary};
 
-/// Runs a plan.
+/// Arguments of the subcommand.
 pub struct Run {
-    /// Folder for the results.
+    /// Output directory.
     pub out: PathBuf,
-    /// Plan.
+    /// Plan file, YAML.
     pub plan: PathBuf,
 }
 
 impl Run {
-    /// Runs all cells; rows are written after each, so that a cut run keeps its own.
+    /// Runs all cells. The rows are written after each run, so that an interrupted plan keeps its
+    /// results so far.
     pub async fn run(self) -> anyhow::Result<()> {
         let plan: Plan = util::settings::load(&self.plan)?;
         std::fs::create_dir_all(&self.out)
-            .with_context(|| format!("could not make {}", self.out.display()))?;
+            .with_context(|| format!("could not create directory {}", self.out.display()))?;
         let cells = plan.cells();
         let total = cells.len() * plan.policies.len() * plan.repetitions;
         let mut rows: Vec<Row> = Vec::new();
@@ -39,13 +40,13 @@
         eprintln!();
         let text = summary(&rows);
         println!("{text}");
-        std::fs::write(self.out.join("summary.md"), text).context("could not write")?;
+        std::fs::write(self.out.join("summary.md"), text).context("could not write summary.md")?;
         plot(&rows, &self.out)?;
         Ok(())
     }
 
     fn write(&self, rows: &[Row]) -> anyhow::Result<()> {
-        let text = serde_saphyr::to_string(&rows).context("could not print rows")?;
+        let text = serde_saphyr::to_string(&rows).context("could not serialize the rows")?;
         let file = self.out.join("rows.yaml");
         std::fs::write(&file, text).with_context(|| format!("could not write {}", file.display()))
     }
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -1,23 +1,24 @@
-//! `pumicevale-bench slopes`: the figures behind docs/CAPACITY.md.
+//! `pumicevale-bench slopes`: prints the cost figures on which docs/CAPACITY.md is based.
 
 use crate::slopes::{DOMAIN_SIZE, Figure, measure, measure_detection, measure_fleets};
 
-/// Loss and kills of the long run.
+/// Share of datagrams lost in the failure-detection run.
 const LOSS_RATE: f64 = 0.01;
+/// Nodes killed one after another in the failure-detection run.
 const KILLS: usize = 20;
 
-/// Prints the figures as a table.
+/// Arguments of the subcommand.
 pub struct Slopes {
-    /// Only the counted ones.
+    /// Only counted figures, which are the same on every run and machine.
     pub counted: bool,
-    /// Only those of whole fleets.
+    /// Only figures of whole fleets.
     pub fleet: bool,
-    /// Hours of the long run without a death.
+    /// Simulated hours of the failure-detection run without a crash.
     pub hours: f64,
 }
 
 impl Slopes {
-    /// Measures and prints.
+    /// Measures and prints one table row per figure.
     pub fn run(self) -> anyhow::Result<()> {
         let figures = if self.fleet { measure_fleets() } else { measure(self.counted) };
         let mut names: Vec<&str> = Vec::new();
--- a/crates/bench/src/cmd/streams.rs
+++ b/crates/bench/src/cmd/streams.rs
@@ -1,4 +1,4 @@
-//! `pumicevale-bench streams`: memory of a running entry node for each open stream.
+//! `pumicevale-bench streams`: memory that a running entry node uses per open stream.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use hyper::Request;
 use util::http::{Client, Lines};
 
-/// Requests sent at a time while streams are opened.
+/// Streams opened concurrently.
 const MAX_CONCURRENT: usize = 500;
-/// Time for the node to settle before its memory is read.
+/// Time for the node's memory use to settle before it is read.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Opens streams and reads the node's memory.
+/// Arguments of the subcommand.
 pub struct Streams {
-    /// Entry node's caller address.
+    /// Address at which the entry node serves callers.
     pub entry: String,
-    /// Its process.
+    /// Process id of the entry node.
     pub pid: u32,
-    /// Streams.
+    /// Number of streams.
     pub count: usize,
-    /// Pipeline and workspace.
+    /// Pipeline to request.
     pub pipeline: String,
-    /// Workspace.
+    /// Workspace of the requests.
     pub workspace: String,
 }
 
 impl Streams {
-    /// Prints KB for each stream, the kernel's socket buffers aside.
+    /// Prints resident KB per stream. The kernel's socket buffers are not included.
     pub async fn run(self) -> anyhow::Result<()> {
         let client = Client::new(Duration::from_secs(5));
         let before = resident_kb(self.pid)?;
@@ -38,7 +38,7 @@
             let tasks: Vec<_> =
                 (0..n).map(|_| tokio::spawn(self.open_stream(client.clone()))).collect();
             for t in tasks {
-                open.push(t.await.context("a task ended")??);
+                open.push(t.await.context("a task that opens a stream failed")??);
             }
         }
         tokio::time::sleep(SETTLE_TIME).await;
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Opens one stream and reads its first line.
+    /// Opens a stream and reads its first line.
     fn open_stream(&self, client: Client) -> impl Future<Output = anyhow::Result<Lines>> + use<> {
         let (peer, path) = (self.entry.clone(), format!("/v1/pipelines/{}", self.pipeline));
         let workspace = self.workspace.clone();
@@ -59,19 +59,26 @@
                 .header("accept", "text/event-stream")
                 .body(Full::new(body))?;
             let response = client.send(&peer, request).await?;
-            anyhow::ensure!(response.status().is_success(), "got {}", response.status());
+            anyhow::ensure!(
+                response.status().is_success(),
+                "the entry node answered with status {}",
+                response.status()
+            );
             let mut lines = Lines::new(&peer, response);
-            lines.next().await?.context("the stream ended at once")?;
+            lines.next().await?.context("the stream ended before its first line")?;
             Ok(lines)
         }
     }
 }
 
-/// Resident memory of a process, KB.
+/// Resident memory of a process in KB, from procfs.
 fn resident_kb(pid: u32) -> anyhow::Result<u64> {
     let file = format!("/proc/{pid}/status");
     let text = std::fs::read_to_string(&file).with_context(|| format!("could not read {file}"))?;
-    let line = text.lines().find(|l| l.starts_with("VmRSS:")).context("no VmRSS line")?;
-    let kb = line.split_whitespace().nth(1).context("no figure")?;
+    let line = text
+        .lines()
+        .find(|l| l.starts_with("VmRSS:"))
+        .context("the process status has no VmRSS line")?;
+    let kb = line.split_whitespace().nth(1).context("the VmRSS line has no value")?;
     Ok(kb.parse()?)
 }
--- a/crates/bench/src/experiment/cell.rs
+++ b/crates/bench/src/experiment/cell.rs
@@ -1,4 +1,4 @@
-//! One run of one cell under one policy.
+//! Runs a cell of a plan under one policy.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,23 +18,28 @@
 use super::rows::Row;
 use super::work::{Arrival, Sessions, arrivals};
 
-/// Seconds of a calibration.
+/// Seconds in which a calibration counts completed requests.
 const CALIBRATION_SECONDS: f64 = 2.5;
 
-/// What one request came to.
+/// Result of one request.
 #[derive(Debug, Clone)]
 struct RequestResult {
+    /// Sent after the warmup.
     counted: bool,
+    /// Sent to the stock-check pipeline.
     stock: bool,
+    /// `None` if there was no readable answer.
     outcome: Option<Outcome>,
     timely: bool,
     latency_ms: f64,
+    /// Step and its cost.
     costs: Vec<(String, f64)>,
     attempts: u64,
 }
 
-/// Requests a second that the engines complete for this cell's work in a closed
-/// loop under the session hash; arrivals are a share of it.
+/// Arrival rate of a cell, in requests per second: the cell's load times the throughput of the
+/// engines in a closed loop under bounded session-hash routing. Zero for stock checks alone, which arrive at
+/// a fixed rate.
 pub async fn calibrate(plan: &Plan, cell: &Cell) -> anyhow::Result<f64> {
     if cell.mix == Mix::Stock {
         return Ok(0.0);
@@ -84,7 +89,7 @@
     Ok(count as f64 / CALIBRATION_SECONDS * cell.load)
 }
 
-/// Runs a cell once.
+/// Runs a cell once. Fails only if the system cannot be started.
 pub async fn run_cell(
     plan: &Plan,
     cell: &Cell,
@@ -128,7 +133,7 @@
     if prompt == 0 { 0.0 } else { cached as f64 / prompt as f64 }
 }
 
-/// Sends every arrival at its time, whatever became of those before.
+/// Sends each request at its arrival time (open loop), however long the earlier ones take.
 async fn send_arrivals(
     plan: &Plan,
     fleet: &Fleet,
@@ -155,7 +160,7 @@
     results
 }
 
-async fn send(client: &Client, address: SocketAddr, arrival: &Arrival) -> RequestResult {
+async fn send(client: &Client, to: SocketAddr, arrival: &Arrival) -> RequestResult {
     let started = Instant::now();
     let mut result = RequestResult {
         counted: false,
@@ -166,12 +171,12 @@
         costs: Vec::new(),
         attempts: 0,
     };
-    let request = Request::post(format!("http://{address}/v1/pipelines/{}", arrival.pipeline))
+    let request = Request::post(format!("http://{to}/v1/pipelines/{}", arrival.pipeline))
         .header("pumicevale-workspace", arrival.workspace)
         .header("pumicevale-session", &arrival.session)
         .body(Full::new(Bytes::from(arrival.body.to_string())))
-        .expect("a request");
-    if let Ok(response) = client.send(&address.to_string(), request).await
+        .expect("valid request");
+    if let Ok(response) = client.send(&to.to_string(), request).await
         && let Ok(body) = response.into_body().collect().await
     {
         let bytes = body.to_bytes();
--- a/crates/bench/src/experiment/fleet.rs
+++ b/crates/bench/src/experiment/fleet.rs
@@ -1,5 +1,5 @@
-//! The system under measurement: entry nodes and stand-in targets on loopback,
-//! with a poller in the place of control nodes.
+//! The system under test: entry nodes and stand-in targets on loopback, with one poller in place
+//! of the control nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,28 +17,29 @@
 
 use super::plan::{Cell, Fault, Plan, PolicyPlan};
 
-/// Any free port.
+/// Loopback address with a port chosen by the operating system.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Milliseconds between two reports of a target.
+/// Interval of load reports.
 const REPORT_INTERVAL_MS: u64 = 250;
-/// The same under a lag.
+/// Interval of load reports under [`Fault::Lag`].
 const LAGGED_INTERVAL_MS: u64 = 2000;
-/// Targets of each small stage.
+/// Targets of each stage other than the engines'.
 const SMALL_STAGE_TARGETS: usize = 3;
-/// Cost of an engine's second, and of another target's.
+/// Cost of one second of an engine.
 const ENGINE_COST: f64 = 1.0;
+/// Cost of one second of any other target.
 const OTHER_COST: f64 = 0.1;
 
-/// A running system.
+/// Running entry nodes and targets.
 pub struct Fleet {
-    /// Entry nodes.
+    /// Entry nodes that receive the requests.
     pub entries: Vec<entry::Running>,
-    /// Engines.
+    /// Targets of the generate stage.
     pub engines: Vec<Arc<TargetServer>>,
-    /// Targets of the encode stage.
+    /// Targets of the encode stage and of the stock check's last stage.
     pub encoders: Vec<Arc<TargetServer>>,
     tasks: Vec<JoinHandle<()>>,
-    /// Held so that the targets go on.
+    /// Dropping it would stop the targets.
     stopper: Stopper,
 }
 
@@ -49,7 +50,7 @@
 }
 
 impl Fleet {
-    /// Starts everything cold.
+    /// Starts all targets and entry nodes with empty caches.
     pub async fn start(plan: &Plan, cell: &Cell, policy: &PolicyPlan) -> anyhow::Result<Fleet> {
         let (stopper, stop) = stop::channel();
         let mut tasks = Vec::new();
@@ -87,7 +88,8 @@
         Ok(Fleet { entries, engines, encoders, tasks, stopper })
     }
 
-    /// Passes the targets' reports on to every entry node, as control nodes would.
+    /// Polls the targets' load reports and forwards them to every entry node, as control nodes do.
+    /// Never returns.
     pub async fn forward_reports(&self, cell: &Cell) {
         let interval_ms =
             if cell.fault == Fault::Lag { LAGGED_INTERVAL_MS } else { REPORT_INTERVAL_MS };
@@ -106,12 +108,13 @@
         }
     }
 
-    /// Where callers come in.
+    /// Addresses at which the entry nodes serve callers.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|e| e.callers).collect()
     }
 
-    /// Switches the cell's fault on.
+    /// Injects a fault at the targets. Lag and burst are applied elsewhere: in the report interval
+    /// and in the arrivals.
     pub fn inject_fault(&self, fault: Fault) {
         let defaults = TargetFaults::default;
         match fault {
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Prompt tokens asked for, and those found cached.
+    /// Prompt tokens requested at the engines, and those of them found cached.
     pub async fn cache_tokens(&self) -> (u64, u64) {
         let mut sum = (0, 0);
         for e in &self.engines {
@@ -142,12 +145,12 @@
         sum
     }
 
-    /// Calls at engines and encoders, refused and failed ones included.
+    /// Calls to engines and encoders, including refused and failed ones.
     pub fn target_calls(&self) -> usize {
         self.engines.iter().chain(&self.encoders).map(|t| t.call_count()).sum()
     }
 
-    /// Stops everything.
+    /// Stops all targets and entry nodes.
     pub async fn stop(self) {
         self.stopper.stop();
         for t in self.tasks {
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments: the same seeded arrivals for every policy, over real entry nodes
-//! and stand-in targets on loopback.
+//! Experiments that send the same seeded arrivals under every policy, through real entry nodes to
+//! stand-in targets on loopback.
 
 mod cell;
 mod fleet;
--- a/crates/bench/src/experiment/plan.rs
+++ b/crates/bench/src/experiment/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what to measure, in YAML.
+//! Experiment plans, read from YAML.
 
 use std::fmt;
 
@@ -7,95 +7,95 @@
 use standin::engine::EngineSpec;
 use util::settings::{BadValue, Check};
 
-/// One policy as an experiment runs it.
+/// A routing policy and the features that run with it.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyPlan {
-    /// Name in the rows.
+    /// Label in the result rows.
     pub name: String,
-    /// Routing.
+    /// How requests are routed to targets.
     pub routing: PolicyKind,
-    /// Admission at the door.
+    /// Whether entry nodes limit admission.
     #[serde(default)]
     pub admission: bool,
-    /// Hedges of short steps.
+    /// Whether short steps are hedged.
     #[serde(default)]
     pub hedging: bool,
 }
 
-/// A fault during the run.
+/// Fault injected during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// One engine is gone from a third of the run on.
+    /// One engine fails every call, from a third of the run on.
     Killed,
-    /// One engine takes ten times as long from a third of the run on.
+    /// One engine is ten times slower, from a third of the run on.
     Slow,
-    /// Half of the engines refuse from a third of the run on.
+    /// Half of the engines refuse calls, from a third of the run on.
     Half,
-    /// Load reports come every two seconds.
+    /// Load reports arrive only every two seconds.
     Lag,
-    /// A burst of long minutes in the middle third.
+    /// A share of the requests has long answers in the middle third of the run.
     Burst,
-    /// Every target of the encode stage fails outright.
+    /// Every target of the encode stage fails every call, from a third of the run on.
     StageDown,
 }
 
-/// Who sends what.
+/// Mix of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mix {
     /// Turns of conversations with long prefixes.
     #[default]
     Turns,
-    /// Stock checks alone.
+    /// Stock checks only.
     Stock,
-    /// Stock checks beside patient catalogue rewrites.
+    /// Stock checks, together with catalogue rewrites of patient priority.
     Catalogue,
 }
 
-/// A plan.
+/// Grid of cells to run under each policy.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Name.
+    /// Name, the first part of the id.
     pub name: String,
-    /// Seed of arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
     /// Runs of each cell and policy.
     pub repetitions: usize,
-    /// Seconds before counting begins.
+    /// Seconds before the measurement starts.
     pub warmup: f64,
-    /// Seconds that count.
+    /// Seconds measured after the warmup.
     pub seconds: f64,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Rates of an engine.
+    /// Speed and capacity of an engine.
     pub engine: EngineSpec,
-    /// Entry nodes; several lists are several cells.
+    /// Numbers of entry nodes. Each combination of values in this and the other lists is a cell.
     pub entries: Vec<usize>,
-    /// Words of a conversation's prefix.
+    /// Words in the prefix of a conversation.
     pub prefix: usize,
-    /// Words of an answer.
+    /// Words in an answer.
     pub words: usize,
-    /// Milliseconds of the deadline.
+    /// Deadline of conversation turns, in milliseconds.
     pub deadline: u64,
-    /// Working set against all caches.
+    /// Size of the working set relative to all caches together.
     pub working_set: Vec<f64>,
-    /// Zipf exponent of the conversations.
+    /// Zipf exponents of the popularity of conversations.
     pub skew: Vec<f64>,
-    /// Arrivals as a share of the capacity measured for the cell.
+    /// Arrival rates as a share of the throughput measured for the cell.
     pub load: Vec<f64>,
-    /// Faults.
+    /// Faults to inject.
     #[serde(default = "no_fault")]
     pub faults: Vec<Fault>,
-    /// Mixes.
+    /// Request mixes.
     #[serde(default = "turns")]
     pub mixes: Vec<Mix>,
-    /// Policies.
+    /// Policies to compare.
     pub policies: Vec<PolicyPlan>,
 }
 
@@ -107,20 +107,20 @@
     vec![Mix::Turns]
 }
 
-/// One cell of a plan's grid.
+/// One combination of a plan's values.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cell {
-    /// Entry nodes.
+    /// Number of entry nodes.
     pub entries: usize,
-    /// Working set.
+    /// Size of the working set relative to all caches together.
     pub working_set: f64,
-    /// Skew.
+    /// Zipf exponent of the popularity of conversations.
     pub skew: f64,
-    /// Load.
+    /// Arrival rate as a share of the throughput measured for the cell.
     pub load: f64,
-    /// Fault.
+    /// Fault injected during the run.
     pub fault: Fault,
-    /// Mix.
+    /// Requests that are sent.
     pub mix: Mix,
 }
 
@@ -135,7 +135,7 @@
 }
 
 impl Plan {
-    /// Every cell.
+    /// All combinations of the plan's values, in a fixed order.
     pub fn cells(&self) -> Vec<Cell> {
         let mut out = Vec::new();
         for &mix in &self.mixes {
@@ -154,7 +154,7 @@
         out
     }
 
-    /// What makes two runs comparable: everything but the policies.
+    /// Identifies comparable runs: the name and a hash of all values except the policies.
     pub fn id(&self) -> String {
         let fixed = Plan { policies: Vec::new(), ..self.clone() };
         let text = format!("{fixed:?}");
@@ -177,7 +177,7 @@
             }
         }
         if self.policies.is_empty() {
-            return Err(BadValue::new("policies", "name at least one"));
+            return Err(BadValue::new("policies", "must name at least one policy"));
         }
         Ok(())
     }
--- a/crates/bench/src/experiment/plots.rs
+++ b/crates/bench/src/experiment/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of goodput by policy, one SVG a plan.
+//! Plots goodput by policy, one SVG per plan.
 
 use std::path::Path;
 
@@ -7,10 +7,10 @@
 
 use super::rows::Row;
 
-/// Size of the drawing.
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (1000, 560);
 
-/// Draws a line for each policy over the cells, by the median of its runs.
+/// Writes `goodput.svg`: one line per policy over the cells, each point the median of its runs.
 pub fn plot(rows: &[Row], out: &Path) -> anyhow::Result<()> {
     let mut cells: Vec<&str> = Vec::new();
     let mut policies: Vec<&str> = Vec::new();
--- a/crates/bench/src/experiment/rows.rs
+++ b/crates/bench/src/experiment/rows.rs
@@ -1,47 +1,48 @@
-//! Result rows, and their summary: median of the repetitions with its range.
+//! Result rows and their summary, which gives the median and range of the repetitions.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// One run of one cell under one policy.
+/// Result of one run of a cell under one policy.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Row {
-    /// Plan and its hash.
+    /// Id of the plan: its name and hash.
     pub plan: String,
-    /// Cell.
+    /// Values of the cell.
     pub cell: String,
-    /// Policy.
+    /// Label of the policy.
     pub policy: String,
-    /// Repetition.
+    /// Number of the repetition, from 0.
     pub repetition: usize,
-    /// Arrivals a second, stock checks aside.
+    /// Arrivals per second, without stock checks.
     pub rate: f64,
-    /// Requests that count.
+    /// Measured requests of the cell's main kind, which is stock checks in the stock mix and chat
+    /// requests otherwise.
     pub offered: usize,
-    /// Complete.
+    /// Requests that completed.
     pub complete: usize,
-    /// Complete within the deadline.
+    /// Requests that completed within the deadline.
     pub timely: usize,
-    /// Truly not run.
+    /// Requests of which truly no step was sent to any target.
     pub not_run: usize,
-    /// Timely a second.
+    /// Timely requests per second.
     pub goodput: f64,
-    /// Timely of all offered.
+    /// Timely requests as a share of those offered.
     pub share: f64,
-    /// Prompt tokens found cached.
+    /// Share of prompt tokens found cached.
     pub cached: f64,
-    /// Cost of one complete request.
+    /// Cost of all measured requests per complete request.
     pub cost: f64,
-    /// Cost of each step, all requests together.
+    /// Cost of each step, summed over all measured requests.
     pub steps: BTreeMap<String, f64>,
-    /// Runs at targets for each step offered.
+    /// Calls to engines and encoders per offered step, at two steps per request.
     pub attempts: f64,
-    /// Median time of complete requests, milliseconds.
+    /// Median latency of complete requests, in milliseconds.
     pub p50: f64,
-    /// 99th percentile.
+    /// 99th percentile of the same, in milliseconds.
     pub p99: f64,
-    /// 99th percentile of stock checks.
+    /// 99th percentile of complete stock checks, in milliseconds.
     pub stock99: f64,
 }
 
@@ -58,8 +59,8 @@
     Range { low: at(0), median: at(values.len() / 2), high: at(values.len().max(1) - 1) }
 }
 
-/// A table for each cell; the best goodput is marked, and what lies within its
-/// range is marked as tied.
+/// Markdown table for each cell. The policy with the highest median goodput is marked as best, and
+/// those whose range reaches into its range as tied.
 pub fn summary(rows: &[Row]) -> String {
     let mut cells: Vec<&str> = Vec::new();
     for r in rows {
--- a/crates/bench/src/experiment/work.rs
+++ b/crates/bench/src/experiment/work.rs
@@ -1,5 +1,5 @@
-//! Seeded arrivals: conversations with long prefixes under a Zipf skew, patient
-//! catalogue rewrites, stock checks.
+//! Seeded arrivals: turns of conversations with long prefixes and Zipf-distributed popularity,
+//! catalogue rewrites of patient priority, and stock checks.
 
 use std::time::Duration;
 
@@ -8,41 +8,42 @@
 
 use super::plan::{Cell, Fault, Mix, Plan};
 
-/// Words of a turn behind its prefix.
+/// New words of a turn, after its prefix.
 const TURN_WORDS: usize = 12;
-/// Share of arrivals that are long minutes during a burst.
+/// Share of arrivals with long answers during a burst.
 const BURST_SHARE: f64 = 0.25;
-/// Length of long minutes against an ordinary answer.
+/// Length of a long answer relative to an ordinary one.
 const BURST_LENGTH_FACTOR: usize = 4;
-/// Stock checks a second.
+/// Stock checks per second.
 const STOCK_RATE: f64 = 40.0;
-/// Length of a catalogue rewrite against an ordinary answer.
+/// Length of a catalogue rewrite relative to an ordinary answer.
 const CATALOGUE_LENGTH_FACTOR: usize = 3;
 
-/// One request to send.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When, from the start.
+    /// Send time, from the start of the run.
     pub at: Duration,
-    /// Pipeline.
+    /// Pipeline to request.
     pub pipeline: &'static str,
-    /// Workspace.
+    /// Workspace of the request.
     pub workspace: &'static str,
-    /// Conversation.
+    /// Session id, one per conversation.
     pub session: String,
-    /// Body.
+    /// JSON body.
     pub body: Value,
 }
 
-/// Conversations and their popularity.
+/// Conversations with their popularity.
 pub struct Sessions {
+    /// Cumulative Zipf weights.
     cumulative: Vec<f64>,
     prefix: usize,
     seed: u64,
 }
 
 impl Sessions {
-    /// As many conversations as fill `working_set` of all caches.
+    /// Creates as many conversations as fill the cell's `working_set` share of all caches.
     pub fn new(plan: &Plan, cell: &Cell) -> Self {
         let tokens = (plan.engines * plan.engine.cache) as f64 * cell.working_set;
         let count = ((tokens / (plan.prefix + TURN_WORDS) as f64) as usize).max(1);
@@ -63,7 +64,7 @@
         self.cumulative.partition_point(|c| *c < x).min(self.cumulative.len() - 1)
     }
 
-    /// The prompt of a conversation's turn: its prefix, then new words.
+    /// Prompt of a turn: the conversation's prefix, which is the same each time, and new words.
     fn prompt(&self, session: usize, rng: &mut Rng) -> String {
         let mut prefix_rng = Rng::new(self.seed ^ (session as u64) << 20);
         let mut text = String::with_capacity((self.prefix + TURN_WORDS) * 7);
@@ -76,7 +77,7 @@
         text
     }
 
-    /// One turn of a conversation.
+    /// Session id and body of a turn in a randomly chosen conversation.
     pub fn turn(&self, rng: &mut Rng, words: usize) -> (String, Value) {
         let session = self.sample(rng);
         let prompt = self.prompt(session, rng);
@@ -84,7 +85,7 @@
     }
 }
 
-/// Every arrival of a run, in order; the same for each policy.
+/// All arrivals of a run in the order of time, the same for each policy.
 pub fn arrivals(plan: &Plan, cell: &Cell, repetition: usize, rate: f64) -> Vec<Arrival> {
     let mut rng = Rng::new(plan.seed ^ (repetition as u64 + 1) << 40);
     let sessions = Sessions::new(plan, cell);
@@ -111,6 +112,8 @@
     out
 }
 
+/// Words in the answer to a turn: a share of the turns in the middle third of the run get long
+/// answers under [`Fault::Burst`].
 fn answer_words(plan: &Plan, cell: &Cell, rng: &mut Rng, at: f64) -> usize {
     let third = plan.seconds / 3.0;
     let in_burst = at >= plan.warmup + third && at < plan.warmup + 2.0 * third;
@@ -128,6 +131,7 @@
     Arrival { at: Duration::from_secs_f64(at), pipeline, workspace, session, body }
 }
 
+/// Calls `on_arrival` at the times of a Poisson process with `rate` per second, until `end` seconds.
 fn poisson(rng: &mut Rng, rate: f64, end: f64, mut on_arrival: impl FnMut(&mut Rng, f64)) {
     if rate <= 0.0 {
         return;
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,5 +1,6 @@
-//! Load, experiments, slopes and bounds. The load tool drives its own stand-ins
-//! in real time, bounded in count and seconds; it simulates no cluster.
+//! Benchmarks of pumicevale: experiments under load, cost by system size (slopes), and checks
+//! against committed bounds. Experiments run in real time against stand-in targets that they start
+//! themselves, bounded in count and seconds; they do not simulate a cluster.
 
 pub mod args;
 pub mod cmd;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Program `pumicevale-bench`.
+//! Entry point of `pumicevale-bench`.
 
 use std::process::ExitCode;
 
