--- a/crates/bench/src/slopes/members.rs
+++ b/crates/bench/src/slopes/members.rs
@@ -28,7 +28,7 @@
 struct SimDomain {
     network: SimNetwork<LoadChange>,
     nodes: Vec<Option<Member>>,
-    cpu_time: Duration,
+    busy_time: Duration,
     known_loads: Vec<BTreeMap<u32, u16>>,
     observed_deaths: Vec<(usize, usize, Time)>,
 }
@@ -38,7 +38,7 @@
         let mut d = SimDomain {
             network: SimNetwork::new(loss, seed),
             nodes: Vec::new(),
-            cpu_time: Duration::ZERO,
+            busy_time: Duration::ZERO,
             known_loads: vec![BTreeMap::new(); n],
             observed_deaths: Vec::new(),
         };
@@ -110,7 +110,7 @@
         };
         let started = Instant::now();
         let actions = m.handle_event(self.network.now, event);
-        self.cpu_time += started.elapsed();
+        self.busy_time += started.elapsed();
         for action in actions {
             match action {
                 Action::Send(to, packet) => self.send(i, to, packet),
@@ -134,7 +134,7 @@
     fn send(&mut self, from: usize, to: SocketAddr, packet: Packet) {
         let started = Instant::now();
         let bytes = encoded_len(&packet);
-        self.cpu_time += started.elapsed();
+        self.busy_time += started.elapsed();
         self.network.send(from, to, packet, bytes);
     }
 }
@@ -160,9 +160,9 @@
     ];
     let mut loaded = SimDomain::new(n, 0.01, 7).with_loads();
     loaded.run(SETTLE_SECONDS);
-    let (bytes, cpu_before) = (loaded.network.bytes, loaded.cpu_time);
+    let (bytes, busy_before) = (loaded.network.bytes, loaded.busy_time);
     loaded.run(MEASURED_SECONDS);
-    let micros = (loaded.cpu_time - cpu_before).as_secs_f64() * 1e6;
+    let micros = (loaded.busy_time - busy_before).as_secs_f64() * 1e6;
     out.push(counted(
         "with load news: bytes sent per node and second",
         n,
--- a/crates/bench/src/slopes/starts.rs
+++ b/crates/bench/src/slopes/starts.rs
@@ -60,7 +60,7 @@
         self.network.schedule(self.network.now, Scheduled::Tick(i));
     }
 
-    fn feed(&mut self, i: usize, event: Event) {
+    fn deliver(&mut self, i: usize, event: Event) {
         let Some(member) = &mut self.nodes[i] else {
             return;
         };
@@ -79,7 +79,7 @@
             match item {
                 Scheduled::Custom(Start(i)) => self.start(i),
                 Scheduled::Packet(from, to, packet) => {
-                    self.feed(to, Event::Packet { from, packet: *packet });
+                    self.deliver(to, Event::Packet { from, packet: *packet });
                 }
                 Scheduled::Tick(i) => self.tick(i),
             }
@@ -87,7 +87,7 @@
     }
 
     fn tick(&mut self, i: usize) {
-        self.feed(i, Event::Tick);
+        self.deliver(i, Event::Tick);
         if let Some(member) = &self.nodes[i] {
             let next = self.started_at[i] + member.next_tick().since(Time::ZERO);
             let next = next.max(self.network.now + Duration::from_millis(1));
