--- a/crates/bench/benches/decide.rs
+++ b/crates/bench/benches/decide.rs
@@ -1,4 +1,5 @@
-//! Times of single decisions: criterion, for people; CI holds counted figures only.
+//! Criterion benchmarks of single decisions. They are for manual runs; CI checks only the counted
+//! figures, which do not depend on the machine.
 
 use bench::slopes::pool_table;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
--- a/crates/bench/src/experiment/cell.rs
+++ b/crates/bench/src/experiment/cell.rs
@@ -38,8 +38,8 @@
 }
 
 /// Arrival rate of a cell, in requests per second: the cell's load times the throughput of the
-/// engines in a closed loop under bounded session-hash routing. Zero for stock checks alone, which arrive at
-/// a fixed rate.
+/// engines in a closed loop under bounded session-hash routing. Zero for stock checks alone, which
+/// arrive at a fixed rate.
 pub async fn calibrate(plan: &Plan, cell: &Cell) -> anyhow::Result<f64> {
     if cell.mix == Mix::Stock {
         return Ok(0.0);
--- a/crates/bench/src/experiment/work.rs
+++ b/crates/bench/src/experiment/work.rs
@@ -131,7 +131,7 @@
     Arrival { at: Duration::from_secs_f64(at), pipeline, workspace, session, body }
 }
 
-/// Calls `on_arrival` at the times of a Poisson process with `rate` per second, until `end` seconds.
+/// Calls `on_arrival` with the times of a Poisson process of `rate` per second, before `end`.
 fn poisson(rng: &mut Rng, rate: f64, end: f64, mut on_arrival: impl FnMut(&mut Rng, f64)) {
     if rate <= 0.0 {
         return;
--- a/crates/bench/src/slopes/claims.rs
+++ b/crates/bench/src/slopes/claims.rs
@@ -1,4 +1,4 @@
-//! Store writes and bytes per claim, by claims a second.
+//! Store calls and bytes written per claim, by claims per second.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,14 +10,16 @@
 
 use super::{Figure, counted};
 
-/// Claims a second at one home node.
+/// Claims per second at one home node.
 const RATES: [u64; 4] = [1, 10, 100, 1000];
-/// Seconds measured.
+/// Simulated seconds.
 const MEASURED_SECONDS: u64 = 10;
-/// Milliseconds of one store call.
+/// Duration of one store call.
 const STORE_LATENCY: Duration = Duration::from_millis(5);
+/// Unix time at the start, in milliseconds.
 const START_UNIX_MS: u64 = 1_700_000_000_000;
 
+/// In-memory store that counts its calls and the bytes written.
 #[derive(Default)]
 struct CountingStore {
     objects: BTreeMap<Name, (u64, Claims)>,
@@ -27,6 +29,7 @@
 }
 
 impl CountingStore {
+    /// Executes an action and returns the event that answers it, if any.
     fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Answer { .. } => None,
@@ -52,6 +55,7 @@
     }
 }
 
+/// Figures at one rate, from evenly spaced claims with distinct keys.
 fn measure_rate(rate: u64) -> Vec<Figure> {
     let mut committer = Committer::default();
     let mut store = CountingStore::default();
@@ -94,7 +98,7 @@
     ]
 }
 
-/// Writes, reads and bytes per claim.
+/// Store writes, reads and bytes per claim at each rate.
 pub fn measure() -> Vec<Figure> {
     RATES.iter().flat_map(|r| measure_rate(*r)).collect()
 }
--- a/crates/bench/src/slopes/config.rs
+++ b/crates/bench/src/slopes/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: bytes and time of one change among so many workspaces.
+//! Bytes and time per configuration change, by the number of workspaces.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,13 +14,15 @@
 
 use super::{Figure, counted, timed};
 
-/// Workspaces at which the slope is measured; 11,000 is the size to design for.
+/// Measured numbers of workspaces; 11,000 is the design size.
 const WORKSPACE_COUNTS: [usize; 4] = [300, 1000, 3300, 11_000];
-/// Pools, pipelines and targets beside them, as planned.
+/// Planned number of pools.
 const POOLS: usize = 28;
+/// Planned number of pipelines.
 const PIPELINES: usize = 25;
+/// Planned number of targets, spread evenly over the pools.
 const TARGETS: usize = 1300;
-/// Changes measured.
+/// Number of measured changes.
 const CHANGES: usize = 10;
 
 fn workspace(i: usize, deadline: u64) -> Declared {
@@ -33,6 +35,7 @@
     Declared { key: key.into(), version, spec: Some(Ok(spec)) }
 }
 
+/// All objects of a configuration with this many workspaces.
 fn all_objects(workspaces: usize) -> Vec<Declared> {
     let mut all: Vec<Declared> = (0..workspaces).map(|i| workspace(i, 1000)).collect();
     for p in 0..POOLS {
@@ -59,13 +62,17 @@
     all
 }
 
-/// A store that takes everything, one publisher and one follower.
+/// Publisher and follower with an in-memory store that accepts every write.
 struct ConfigHarness {
     publisher: Publisher,
     follower: Follower,
+    /// Manifests in the store; the version of one is its position, from 1.
     manifests: Vec<Manifest>,
+    /// Chunks in the store by hash.
     chunks: std::collections::BTreeMap<Name, Arc<str>>,
+    /// Chunks written.
     puts: usize,
+    /// Bytes of the chunks written.
     put_bytes: usize,
 }
 
@@ -81,6 +88,7 @@
         }
     }
 
+    /// Passes an event to the publisher and executes its actions against the store.
     fn publish(&mut self, event: PublisherEvent) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
@@ -109,7 +117,7 @@
         }
     }
 
-    /// The follower takes the newest manifest from a neighbour; returns the bytes moved.
+    /// Updates the follower to a peer's newest manifest and returns the bytes fetched.
     fn sync_follower(&mut self, peer: &Follower) -> usize {
         let from = Source::Peer("n".into());
         let number = peer.number();
@@ -139,7 +147,7 @@
         bytes
     }
 
-    /// A neighbour that read the newest manifest from the store.
+    /// Updates a peer from the store's newest manifest.
     fn read_store(&self, peer: &mut Follower) {
         let manifest = self.manifests.last().cloned().unwrap_or_default();
         let slots = manifest.slots.clone();
@@ -151,11 +159,12 @@
     }
 }
 
+/// Encoded size of a message between nodes, in bytes.
 fn encoded_len<T: serde::Serialize>(message: &T) -> usize {
     rmp_serde::to_vec(message).map_or(0, |b| b.len())
 }
 
-/// Bytes, calls and times by count of workspaces.
+/// Bytes, store writes and times at each number of workspaces.
 pub fn measure(only_counted: bool) -> Vec<Figure> {
     let sizes = if only_counted { &WORKSPACE_COUNTS[..2] } else { &WORKSPACE_COUNTS[..] };
     sizes.iter().flat_map(|n| measure_size(*n)).collect()
--- a/crates/bench/src/slopes/fleet.rs
+++ b/crates/bench/src/slopes/fleet.rs
@@ -1,5 +1,5 @@
-//! Work of single decisions by the size of the fleet: what a coordinator looks at for an order
-//! and a node for the question of who does something.
+//! Work per decision by fleet size: workers that a batch coordinator visits for an order, and peers
+//! that a node visits to look up who has a role.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,20 +17,20 @@
 
 use super::{Figure, counted};
 
-/// Nodes of a fleet.
+/// Fleet sizes in nodes.
 pub const FLEET_SIZES: [usize; 4] = [30, 300, 1000, 2000];
-/// Makers of one stage service for each node.
+/// Workers of one stage service per node.
 const WORKERS_PER_NODE: f64 = 1.5;
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: usize = 5;
-/// Of the hosts, one in this many bears more.
+/// One host in this many is a hub, which has more capacity.
 const NODES_PER_HUB: usize = 20;
-/// Orders and questions that are counted.
+/// Measured orders, and rounds of lookups.
 const ROUNDS: u64 = 500;
-/// Time between two orders.
+/// Time between two orders, in milliseconds.
 const ORDER_INTERVAL_MS: u64 = 4;
 
-/// Every counted figure of one fleet.
+/// All figures of a fleet with this many nodes.
 pub fn measure(nodes: usize) -> Vec<Figure> {
     let workers = (nodes as f64 * WORKERS_PER_NODE) as usize;
     vec![
@@ -79,6 +79,7 @@
     }
 }
 
+/// Answer to a call with a result for every piece.
 fn successful_end(call: &Call) -> CallEnd {
     let result = |p: &PieceOrder| {
         let text = format!("{}/{}", p.piece, call.number);
@@ -87,7 +88,7 @@
     CallEnd::Answered(call.pieces.iter().map(result).collect())
 }
 
-/// Makers that a coordinator looks at for an order while one maker in ten orders is replaced.
+/// Workers that a coordinator visits per order, while one worker is replaced every ten orders.
 fn visits_per_order(workers: usize) -> f64 {
     let pool = StagePool {
         slots: 1,
@@ -141,8 +142,8 @@
     PeerView { node, suspect: false, up: Duration::from_secs(60), at }
 }
 
-/// Peers that a node looks at to find a coordinator, the schedulers of all failure domains and
-/// its relays, each once, while one peer is replaced before each.
+/// Peers that a node visits per lookup. Each round replaces a peer, then looks up a coordinator,
+/// the schedulers of all failure domains and the node's relays once each.
 fn visits_per_lookup(nodes: usize) -> f64 {
     const LOOKUPS_PER_ROUND: u64 = 2 + DOMAINS as u64;
     let mut roster = Roster::new("node-1".into(), domain(1), 0);
--- a/crates/bench/src/slopes/leases.rs
+++ b/crates/bench/src/slopes/leases.rs
@@ -1,5 +1,5 @@
-//! Store calls of the leases, by failure domains: three candidates a domain
-//! watch the manifest's lease and their own domain's.
+//! Store calls for leases, by failure domains. Three candidates per failure domain watch the
+//! manifest's lease and the lease of their own domain.
 
 use decide::lease::{Action, Event, LeaseClient, PERIOD};
 use model::Time;
@@ -7,16 +7,16 @@
 
 use super::{Figure, counted};
 
-/// Failure domains.
+/// Measured numbers of failure domains.
 const DOMAIN_COUNTS: [usize; 4] = [1, 2, 3, 6];
-/// Candidates of one failure domain.
+/// Candidates per failure domain.
 const CANDIDATES: usize = 3;
-/// Seconds measured.
+/// Simulated seconds.
 const MEASURED_SECONDS: u64 = 600;
-/// Milliseconds of one step.
+/// Time step of the simulation, in milliseconds.
 const STEP_MS: u64 = 10;
 
-/// Reads and writes a second of `n` candidates for one lease.
+/// Store reads and writes per second of `n` candidates for one lease.
 fn call_rates(n: usize) -> (f64, f64) {
     let mut candidates: Vec<LeaseClient> =
         (0..n).map(|i| LeaseClient::new(format!("n{i}").into(), PERIOD, i as u64)).collect();
@@ -57,7 +57,7 @@
     (reads as f64 / MEASURED_SECONDS as f64, writes as f64 / MEASURED_SECONDS as f64)
 }
 
-/// Calls of all leases together.
+/// Store calls per second for all leases together.
 pub fn measure() -> Vec<Figure> {
     let (domain_reads, domain_writes) = call_rates(CANDIDATES);
     let all = DOMAIN_COUNTS.iter().flat_map(|d| {
--- a/crates/bench/src/slopes/members.rs
+++ b/crates/bench/src/slopes/members.rs
@@ -1,5 +1,5 @@
-//! Membership of one failure domain: messages, bytes and time per node, and how
-//! often a live node is taken for dead.
+//! Membership of one failure domain: packets, bytes and time spent per node, and how often a live
+//! node is declared dead.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,24 +12,28 @@
 use super::wire::{Scheduled, SimNetwork, address, encoded_len};
 use super::{Figure, counted, timed};
 
-/// Targets for each node: 217 before 57 nodes in one failure domain.
+/// Targets per node: one failure domain has 217 targets and 57 nodes.
 const TARGETS_PER_NODE: f64 = 217.0 / 57.0;
-/// Seconds between two changes worth telling of one target's load.
+/// Mean seconds between two changes of a target's load that are announced.
 const LOAD_CHANGE_SECONDS: f64 = 8.0;
-/// Seconds measured.
+/// Simulated seconds in the steady state.
 const MEASURED_SECONDS: u64 = 60;
-/// Seconds until a domain has found itself.
+/// Simulated seconds until the members of a domain know each other.
 const SETTLE_SECONDS: u64 = 150;
 
-/// The load of a target changes.
+/// Change of the load of the target with this number.
 struct LoadChange(u32);
 
-/// A failure domain over a network that loses datagrams, by events.
+/// Discrete-event simulation of a failure domain over a network that loses datagrams.
 struct SimDomain {
     network: SimNetwork<LoadChange>,
+    /// `None` if killed.
     nodes: Vec<Option<Member>>,
+    /// Time spent in the members' code, all nodes together.
     busy_time: Duration,
+    /// For each node, the sequence number of the latest known load by target.
     known_loads: Vec<BTreeMap<u32, u16>>,
+    /// Observer, node declared dead, and time.
     observed_deaths: Vec<(usize, usize, Time)>,
 }
 
@@ -61,7 +65,7 @@
         d
     }
 
-    /// Every target's load changes now and then, as its pollers see it.
+    /// Schedules changes of every target's load, each seen first by the node that polls the target.
     fn with_loads(mut self) -> Self {
         let targets = (self.nodes.len() as f64 * TARGETS_PER_NODE) as u32;
         for t in 0..targets {
@@ -92,6 +96,7 @@
         }
     }
 
+    /// Feeds a load change to the target's poller and schedules the next one.
     fn change_load(&mut self, t: u32) {
         let poller = t as usize % self.nodes.len();
         let seq = (self.network.now.0 / 100_000) as u16;
@@ -104,6 +109,7 @@
         self.network.schedule(next, Scheduled::Custom(LoadChange(t)));
     }
 
+    /// Passes an event to a node and executes the actions that it returns.
     fn deliver(&mut self, i: usize, event: Event) {
         let Some(m) = &mut self.nodes[i] else {
             return;
@@ -139,7 +145,8 @@
     }
 }
 
-/// Messages, bytes and time of one node in a domain of `n`, in the steady state.
+/// Packets, bytes and time spent per node in a domain of `n` nodes, in the steady state with and
+/// without load changes.
 pub fn measure(n: usize) -> Vec<Figure> {
     let mut idle = SimDomain::new(n, 0.01, 7);
     idle.run(SETTLE_SECONDS);
@@ -188,24 +195,25 @@
     out
 }
 
-/// Deaths seen over a long run.
+/// Failure detection over a long run.
 #[derive(Debug, Clone, Copy)]
 pub struct DetectionStats {
-    /// Hours run.
+    /// Simulated hours without a crash.
     pub hours: f64,
-    /// Live nodes that somebody took for dead.
+    /// Live nodes that any node declared dead.
     pub false_deaths: usize,
-    /// Nodes killed.
+    /// Number of nodes killed.
     pub killed: usize,
-    /// Seconds until the first, the median and the last of the others knew, worst kill.
+    /// Seconds until the first observer declared the node dead, for the slowest kill.
     pub first: f64,
-    /// Median over kills and observers.
+    /// Median seconds until an observer declared the node dead, over all kills and observers.
     pub median: f64,
-    /// Worst over kills and observers.
+    /// Maximum of the same.
     pub worst: f64,
 }
 
-/// A domain of `n` with `loss`: `hours` without a death, then `kills` deaths.
+/// Runs a domain of `n` nodes, which loses the share `loss` of datagrams, for `hours` without a
+/// crash, then kills `kills` nodes one after another.
 pub fn measure_detection(n: usize, loss: f64, hours: f64, kills: usize) -> DetectionStats {
     let mut d = SimDomain::new(n, loss, 11);
     d.run(SETTLE_SECONDS);
--- a/crates/bench/src/slopes/routes.rs
+++ b/crates/bench/src/slopes/routes.rs
@@ -1,4 +1,4 @@
-//! Time of one routing decision and memory of one target, by targets.
+//! Time per routing decision by the number of targets, and memory per target.
 
 use std::time::Instant;
 
@@ -8,12 +8,12 @@
 
 use super::{Figure, counted, timed};
 
-/// Candidate targets: a small pool, a failure domain's, everybody's.
+/// Candidate targets: those of a small pool, of a failure domain, and of the whole fleet.
 pub const TARGET_COUNTS: [usize; 3] = [20, 217, 1300];
-/// Decisions timed.
+/// Timed decisions at 20 targets; larger tables get proportionally fewer.
 const DECISIONS: u64 = 200_000;
 
-/// A pool of `n` targets.
+/// Routing table of a pool with `n` targets.
 pub fn pool_table(n: usize) -> PoolTable {
     let mut table = PoolTable::default();
     let info = |i: usize| TargetInfo {
@@ -26,7 +26,7 @@
     table
 }
 
-/// Microseconds of a decision, and bytes of a target's slot.
+/// Microseconds per decision, and bytes per target slot.
 pub fn measure() -> Vec<Figure> {
     let mut out = Vec::new();
     for n in TARGET_COUNTS {
@@ -47,7 +47,7 @@
         }
         let rounds = DECISIONS / n as u64 * 20;
         let micros = started.elapsed().as_secs_f64() * 1e6 / rounds as f64;
-        assert!(sum > 0, "decisions were made");
+        assert!(sum > 0, "no target was picked");
         out.push(timed("microseconds of one routing decision, by targets", n, micros));
     }
     out.push(counted("bytes of one target's slot, names aside", 1, size_of::<Slot>() as f64));
--- a/crates/bench/src/slopes/starts.rs
+++ b/crates/bench/src/slopes/starts.rs
@@ -1,5 +1,5 @@
-//! A start of all nodes: how long until each knows all others, and what that takes; and what is
-//! told while one node a second is restarted.
+//! Simultaneous start of all nodes: time until each knows all others, and the traffic until then;
+//! also the traffic while one node per second is restarted.
 
 use std::time::Duration;
 
@@ -10,24 +10,25 @@
 use super::wire::{Scheduled, SimNetwork, address, encoded_len};
 use super::{Figure, counted};
 
-/// Of the hosts, one in this many bears more.
+/// One host in this many is a hub, which has more capacity.
 const NODES_PER_HUB: usize = 20;
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: usize = 5;
-/// Time within which all processes start.
+/// Time span in which all processes start.
 const START_SPREAD: Duration = Duration::from_millis(500);
-/// Longest time that is waited for all to know all.
+/// Simulated time after which the wait for convergence is given up.
 const MAX_WAIT: Duration = Duration::from_secs(20);
-/// Seconds in each of which a node is restarted, after the start of all.
+/// Restarts after the simultaneous start, one per second.
 const RESTARTS: u64 = 10;
 
-/// A node is started.
+/// Start of the node with this number.
 struct Start(usize);
 
+/// Discrete-event simulation of the membership of all nodes.
 struct SimFleet {
     network: SimNetwork<Start>,
     nodes: Vec<Option<Member>>,
-    /// When each process started: its time counts from there.
+    /// Start of each process, from which its own clock counts.
     started_at: Vec<Time>,
 }
 
@@ -60,6 +61,7 @@
         self.network.schedule(self.network.now, Scheduled::Tick(i));
     }
 
+    /// Passes an event to a node and sends the packets that it returns.
     fn deliver(&mut self, i: usize, event: Event) {
         let Some(member) = &mut self.nodes[i] else {
             return;
@@ -95,13 +97,14 @@
         }
     }
 
+    /// Whether every node knows all nodes.
     fn is_converged(&self) -> bool {
         let n = self.nodes.len();
         self.nodes.iter().all(|m| m.as_ref().is_some_and(|m| m.count() == n))
     }
 }
 
-/// Figures of a fleet of `n`.
+/// Figures of a fleet with `n` nodes.
 pub fn measure(n: usize) -> Vec<Figure> {
     const CHECK_INTERVAL: Duration = Duration::from_millis(50);
     let mut fleet = SimFleet::new(n);
--- a/crates/bench/src/slopes/wire.rs
+++ b/crates/bench/src/slopes/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams and timers of simulated nodes, taken in the order of their times.
+//! Simulated network and clock: delivers datagrams and timer events in the order of their times.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use model::Time;
 use model::member::Packet;
 
-/// Bytes of IPv4 and UDP headers.
+/// IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: usize = 28;
 
 /// Address of a simulated node.
@@ -16,17 +16,17 @@
     SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250) as u8], 7000))
 }
 
-/// What comes next.
+/// Event with a scheduled time.
 pub enum Scheduled<T> {
-    /// A datagram from an address reaches a node.
+    /// A datagram arrives: sender's address, receiving node and content.
     Packet(SocketAddr, usize, Box<Packet>),
-    /// A node's timer ends.
+    /// The timer of a node expires.
     Tick(usize),
-    /// Something of the simulation's own.
+    /// Event defined by the simulation that uses the network.
     Custom(T),
 }
 
-/// A network that loses datagrams, and the clock of all.
+/// Network that loses a share of the datagrams, with the clock of all nodes.
 pub struct SimNetwork<T> {
     pub rng: Rng,
     pub now: Time,
@@ -38,7 +38,7 @@
 }
 
 impl<T> SimNetwork<T> {
-    /// Nothing is under way.
+    /// Creates a network at time zero with nothing scheduled.
     pub fn new(loss_rate: f64, seed: u64) -> Self {
         SimNetwork {
             rng: Rng::new(seed),
@@ -51,13 +51,14 @@
         }
     }
 
-    /// Something is to come at a time.
+    /// Schedules an event. Events of the same time keep the order in which they were scheduled.
     pub fn schedule(&mut self, at: Time, item: Scheduled<T>) {
         self.seq += 1;
         self.queue.insert((at, self.seq), item);
     }
 
-    /// What comes next before the end of a span, to which the clock goes on.
+    /// Advances the clock to the next event before `end` and returns it, or advances it to `end` if
+    /// there is none.
     pub fn next_before(&mut self, end: Time) -> Option<Scheduled<T>> {
         let next = self.queue.first_entry().filter(|entry| entry.key().0 < end);
         let Some(entry) = next else {
@@ -69,7 +70,7 @@
         Some(item)
     }
 
-    /// A node sends a datagram of so many bytes.
+    /// Counts a datagram with `bytes` of content and schedules its arrival, unless it is lost.
     pub fn send(&mut self, from: usize, to: SocketAddr, packet: Packet, bytes: usize) {
         self.packets += 1;
         self.bytes += (bytes + HEADER_BYTES) as u64;
@@ -86,7 +87,7 @@
     }
 }
 
-/// Bytes of a datagram's content.
+/// Encoded content of a datagram, in bytes.
 pub fn encoded_len(packet: &Packet) -> usize {
     rmp_serde::to_vec(packet).map_or(0, |b| b.len())
 }
