--- a/crates/bench/src/experiment/work.rs
+++ b/crates/bench/src/experiment/work.rs
@@ -1,5 +1,5 @@
-//! Seeded arrivals: conversations with long prefixes under a Zipf skew, patient
-//! catalogue rewrites, stock checks.
+//! Seeded arrivals: turns of conversations with long prefixes and Zipf-distributed popularity,
+//! catalogue rewrites of patient priority, and stock checks.
 
 use std::time::Duration;
 
@@ -8,44 +8,45 @@
 
 use super::plan::{Cell, Fault, Mix, Plan};
 
-/// Words of a turn behind its prefix.
-const TURN: usize = 12;
-/// Share of arrivals that are long minutes during a burst.
+/// New words of a turn, after its prefix.
+const TURN_WORDS: usize = 12;
+/// Share of arrivals with long answers during a burst.
 const BURST_SHARE: f64 = 0.25;
-/// Length of long minutes against an ordinary answer.
-const BURST_LENGTH: usize = 4;
-/// Stock checks a second.
+/// Length of a long answer relative to an ordinary one.
+const BURST_LENGTH_FACTOR: usize = 4;
+/// Stock checks per second.
 const STOCK_RATE: f64 = 40.0;
-/// Length of a catalogue rewrite against an ordinary answer.
-const CATALOGUE_LENGTH: usize = 3;
+/// Length of a catalogue rewrite relative to an ordinary answer.
+const CATALOGUE_LENGTH_FACTOR: usize = 3;
 
-/// One request to send.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When, from the start.
+    /// Send time, from the start of the run.
     pub at: Duration,
-    /// Pipeline.
+    /// Pipeline to request.
     pub pipeline: &'static str,
-    /// Workspace.
+    /// Workspace of the request.
     pub workspace: &'static str,
-    /// Conversation.
+    /// Session id, one per conversation.
     pub session: String,
-    /// Body.
+    /// JSON body.
     pub body: Value,
 }
 
-/// Conversations and their popularity.
+/// Conversations with their popularity.
 pub struct Sessions {
+    /// Cumulative Zipf weights.
     cumulative: Vec<f64>,
     prefix: usize,
     seed: u64,
 }
 
 impl Sessions {
-    /// As many conversations as fill `working_set` of all caches.
+    /// Creates as many conversations as fill the cell's `working_set` share of all caches.
     pub fn new(plan: &Plan, cell: &Cell) -> Self {
         let tokens = (plan.engines * plan.engine.cache) as f64 * cell.working_set;
-        let count = ((tokens / (plan.prefix + TURN) as f64) as usize).max(1);
+        let count = ((tokens / (plan.prefix + TURN_WORDS) as f64) as usize).max(1);
         let mut sum = 0.0;
         let weight = |i: usize| 1.0 / ((i + 1) as f64).powf(cell.skew);
         let cumulative = (0..count)
@@ -57,34 +58,34 @@
         Sessions { cumulative, prefix: plan.prefix, seed: plan.seed }
     }
 
-    fn draw(&self, rng: &mut Rng) -> usize {
+    fn sample(&self, rng: &mut Rng) -> usize {
         let total = self.cumulative.last().copied().unwrap_or(1.0);
         let x = rng.next_f64() * total;
         self.cumulative.partition_point(|c| *c < x).min(self.cumulative.len() - 1)
     }
 
-    /// The prompt of a conversation's turn: its prefix, then new words.
+    /// Prompt of a turn: the conversation's prefix, which is the same each time, and new words.
     fn prompt(&self, session: usize, rng: &mut Rng) -> String {
-        let mut own = Rng::new(self.seed ^ (session as u64) << 20);
-        let mut text = String::with_capacity((self.prefix + TURN) * 7);
+        let mut prefix_rng = Rng::new(self.seed ^ (session as u64) << 20);
+        let mut text = String::with_capacity((self.prefix + TURN_WORDS) * 7);
         for _ in 0..self.prefix {
-            text.push_str(&format!("{:05x} ", own.next_u64() & 0xf_ffff));
+            text.push_str(&format!("{:05x} ", prefix_rng.next_u64() & 0xf_ffff));
         }
-        for _ in 0..TURN {
+        for _ in 0..TURN_WORDS {
             text.push_str(&format!("{:05x} ", rng.next_u64() & 0xf_ffff));
         }
         text
     }
 
-    /// One turn of a conversation.
+    /// Session id and body of a turn in a randomly chosen conversation.
     pub fn turn(&self, rng: &mut Rng, words: usize) -> (String, Value) {
-        let session = self.draw(rng);
+        let session = self.sample(rng);
         let prompt = self.prompt(session, rng);
         (format!("s{session}"), json!({ "prompt": prompt, "text": "a b c", "tokens": words }))
     }
 }
 
-/// Every arrival of a run, in order; the same for each policy.
+/// All arrivals of a run in the order of time, the same for each policy.
 pub fn arrivals(plan: &Plan, cell: &Cell, repetition: usize, rate: f64) -> Vec<Arrival> {
     let mut rng = Rng::new(plan.seed ^ (repetition as u64 + 1) << 40);
     let sessions = Sessions::new(plan, cell);
@@ -93,8 +94,8 @@
     if cell.mix != Mix::Stock {
         poisson(&mut rng, rate, end, |rng, at| {
             let (words, workspace) = match cell.mix {
-                Mix::Catalogue => (plan.words * CATALOGUE_LENGTH, "patient"),
-                _ => (burst(plan, cell, rng, at), "turns"),
+                Mix::Catalogue => (plan.words * CATALOGUE_LENGTH_FACTOR, "patient"),
+                _ => (answer_words(plan, cell, rng, at), "turns"),
             };
             let (session, body) = sessions.turn(rng, words);
             out.push(arrival(at, "chat", workspace, session, body));
@@ -111,11 +112,13 @@
     out
 }
 
-fn burst(plan: &Plan, cell: &Cell, rng: &mut Rng, at: f64) -> usize {
+/// Words in the answer to a turn: a share of the turns in the middle third of the run get long
+/// answers under [`Fault::Burst`].
+fn answer_words(plan: &Plan, cell: &Cell, rng: &mut Rng, at: f64) -> usize {
     let third = plan.seconds / 3.0;
-    let within = at >= plan.warmup + third && at < plan.warmup + 2.0 * third;
-    let long = cell.fault == Fault::Burst && within && rng.next_f64() < BURST_SHARE;
-    if long { plan.words * BURST_LENGTH } else { plan.words }
+    let in_burst = at >= plan.warmup + third && at < plan.warmup + 2.0 * third;
+    let long = cell.fault == Fault::Burst && in_burst && rng.next_f64() < BURST_SHARE;
+    if long { plan.words * BURST_LENGTH_FACTOR } else { plan.words }
 }
 
 fn arrival(
@@ -128,7 +131,8 @@
     Arrival { at: Duration::from_secs_f64(at), pipeline, workspace, session, body }
 }
 
-fn poisson(rng: &mut Rng, rate: f64, end: f64, mut each: impl FnMut(&mut Rng, f64)) {
+/// Calls `on_arrival` with the times of a Poisson process of `rate` per second, before `end`.
+fn poisson(rng: &mut Rng, rate: f64, end: f64, mut on_arrival: impl FnMut(&mut Rng, f64)) {
     if rate <= 0.0 {
         return;
     }
@@ -138,6 +142,6 @@
         if at >= end {
             return;
         }
-        each(rng, at);
+        on_arrival(rng, at);
     }
 }
