--- a/crates/decide/src/request/assembly.rs
+++ b/crates/decide/src/request/assembly.rs
@@ -79,14 +79,14 @@
 
     fn receive_chunk(&mut self, seq: u64, text: String) -> FrameResult {
         if self.end.is_some_and(|e| seq >= e.count) {
-            return corrupt(format!("chunk {seq} is past the end frame"));
+            return corrupt(format!("chunk {seq} behind the end"));
         }
         if seq < self.next_seq {
             return FrameResult::Stray;
         }
         if let Some(buffered) = self.buffered.get(&seq) {
             if *buffered != text {
-                return corrupt(format!("conflicting texts for chunk {seq}"));
+                return corrupt(format!("two texts for chunk {seq}"));
             }
             return FrameResult::Stray;
         }
@@ -100,12 +100,12 @@
     fn receive_end(&mut self, end: End) -> FrameResult {
         match self.end {
             Some(e) if e == end => return FrameResult::Stray,
-            Some(_) => return corrupt("conflicting end frames".into()),
+            Some(_) => return corrupt("two ends".into()),
             None => {}
         }
         let last = self.buffered.keys().next_back().map_or(self.next_seq, |s| s + 1);
         if end.count < last {
-            return corrupt(format!("end frame at {} after chunk {}", end.count, last - 1));
+            return corrupt(format!("end at {} after chunk {}", end.count, last - 1));
         }
         self.end = Some(end);
         self.advance()
@@ -122,7 +122,7 @@
             Some(e) if e.count == self.next_seq && e.digest == self.digest.value() => {
                 FrameResult::Complete(out)
             }
-            Some(e) if e.count == self.next_seq => corrupt("digest mismatch".into()),
+            Some(e) if e.count == self.next_seq => corrupt("digest differs".into()),
             _ => FrameResult::Text(out),
         }
     }
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -106,7 +106,7 @@
 
 async fn follow(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
     let epoch = read_epoch(request.headers());
-    let ask: FollowAsk = read_message(request, "invalid follow request").await?;
+    let ask: FollowAsk = read_message(request, "not a question for news").await?;
     let answer = watch::answer_follower(node, ask, epoch).await;
     let (epoch, answer) =
         answer.ok_or_else(|| text(StatusCode::SERVICE_UNAVAILABLE, "stopping"))?;
@@ -116,19 +116,19 @@
 }
 
 async fn prefill(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let ask = read_message(request, "invalid prefill request").await?;
+    let ask = read_message(request, "not a prompt to be placed").await?;
     Ok(rmp(&node.schedulers.place(node, &ask)))
 }
 
 async fn rollout(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let report = read_message(request, "invalid rollout report").await?;
+    let report = read_message(request, "not a report").await?;
     let answer = rollout::handle_report(node, report);
-    let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such rollout"))?;
+    let answer = answer.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such order"))?;
     Ok(rmp(&answer))
 }
 
 async fn rollout_state(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let StateWrite { order, state } = read_message(request, "invalid rollout state").await?;
+    let StateWrite { order, state } = read_message(request, "not an order's state").await?;
     let in_force = match rollout::write_to_store(node, &order, state).await {
         WriteOutcome::Applied => Some(true),
         WriteOutcome::Conflict => Some(false),
@@ -138,40 +138,39 @@
 }
 
 async fn prefill_end(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let end = read_message(request, "invalid end of a prefill").await?;
+    let end = read_message(request, "not the end of a prompt").await?;
     node.schedulers.record_end(end, node.now());
     Ok(rmp(&()))
 }
 
 async fn quarantine(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let news = read_message(request, "invalid quarantine report").await?;
+    let news = read_message(request, "not news of requests").await?;
     Ok(rmp_named(&node.quarantine.merge_report(node, &news)))
 }
 
 async fn permit(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let ask = read_message(request, "invalid permit request").await?;
+    let ask = read_message(request, "not an ask for a permit").await?;
     let answer = limits::handle_permit_request(node, &ask);
-    let answer =
-        answer.ok_or_else(|| text(StatusCode::CONFLICT, "this node is not the permit issuer"))?;
+    let answer = answer.ok_or_else(|| text(StatusCode::CONFLICT, "another node comes first"))?;
     Ok(rmp_named(&answer))
 }
 
 async fn limit_report(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let news = read_message(request, "invalid limit report").await?;
+    let news = read_message(request, "not news of limits").await?;
     limits::handle_news(node, news);
     Ok(rmp_named(&()))
 }
 
 async fn free(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let FreeRequest { pool, handles } = read_message(request, "invalid free request").await?;
+    let FreeRequest { pool, handles } = read_message(request, "not results to free").await?;
     node.pools.free(node, &pool, handles);
     Ok(rmp(&()))
 }
 
 async fn waits(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let pool: PoolId = read_message(request, "invalid pool id").await?;
+    let pool: PoolId = read_message(request, "not a pool of makers").await?;
     if node.is_stopping() || !node.peers.roster(|r| r.coordinates(&pool, node.now())) {
-        return Err(text(StatusCode::CONFLICT, "this node is not the batch coordinator"));
+        return Err(text(StatusCode::CONFLICT, "another node comes first"));
     }
     let waits = node.pools.waits(node, &pool);
     let waits = waits.ok_or_else(|| text(StatusCode::NOT_FOUND, "no such stage service"))?;
@@ -179,7 +178,7 @@
 }
 
 async fn batch(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
-    let order: BatchOrder = read_message(request, "invalid batch order").await?;
+    let order: BatchOrder = read_message(request, "not a batch order").await?;
     let stopping = || text(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     if node.is_stopping() {
         return Err(stopping());
@@ -187,9 +186,7 @@
     match stages::handle_order(node, order).await {
         Ok(answer) => Ok(rmp(&answer)),
         Err(OrderError::HandedOver) if node.is_stopping() => Err(stopping()),
-        Err(OrderError::HandedOver) => {
-            Err(text(StatusCode::CONFLICT, "this node is not the batch coordinator"))
-        }
+        Err(OrderError::HandedOver) => Err(text(StatusCode::CONFLICT, "another node comes first")),
         Err(OrderError::UnknownService) => {
             Err(text(StatusCode::NOT_FOUND, "no such stage service"))
         }
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -290,7 +290,7 @@
     async fn pick(&self, chosen: Option<Target>) -> Option<Pick> {
         let Some(first) = chosen.filter(|t| self.is_usable(t)).or_else(|| self.choose()) else {
             let reason = self.no_target_reason();
-            self.progress(|p| p.reason = format!("{reason}; previously: {}", p.reason));
+            self.progress(|p| p.reason = format!("{reason}; before: {}", p.reason));
             return None;
         };
         if let Some(pick) = self.pick_scheduled(&first).await {
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -26,7 +26,7 @@
 /// Retry delay for callers of a service without a usable target.
 pub(super) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Reason of a refusal while all targets are backed off.
-const ALL_BACKED_OFF: &str = "all targets asked for a later retry";
+const ALL_BACKED_OFF: &str = "its targets want no requests before a time that they named";
 /// Maximum number of stage runs whose results turn out to be outside of the allowed regions: a
 /// coordinator's data may place a target elsewhere than this node's data, but only briefly.
 const MAX_STAGE_ROUNDS: usize = 2;
@@ -178,10 +178,10 @@
     pub async fn run(self: Rc<Self>) -> Response<Body> {
         let cause = tokio::select! {
             served = self.clone().serve() => return served.unwrap_or_else(|error| error),
-            () = self.node.clock.sleep_until(self.deadline) => "deadline exceeded",
-            () = self.node.wait_for_phase(LifePhase::Ending) => "this node is stopping",
+            () = self.node.clock.sleep_until(self.deadline) => "time was over",
+            () = self.node.wait_for_phase(LifePhase::Ending) => "this node stops",
         };
-        self.progress(|p| p.reason = format!("{cause}; previously: {}", p.reason));
+        self.progress(|p| p.reason = format!("{cause}; before: {}", p.reason));
         self.end_unanswered()
     }
 
@@ -364,7 +364,7 @@
     fn earliest_retry(&self) -> Option<Duration> {
         let backoff = self.backoff_retry_after();
         if backoff.is_some() {
-            self.progress(|p| p.reason = format!("{ALL_BACKED_OFF}; previously: {}", p.reason));
+            self.progress(|p| p.reason = format!("{ALL_BACKED_OFF}; before: {}", p.reason));
         }
         backoff.into_iter().chain(self.refuse_at_limit()).min()
     }
@@ -373,7 +373,7 @@
     fn refuse_at_limit(&self) -> Option<Duration> {
         let wait = self.limit_retry_after()?;
         self.node.metrics.refused_at_limit(&self.route.name);
-        self.progress(|p| p.reason = format!("{AT_LIMIT}; previously: {}", p.reason));
+        self.progress(|p| p.reason = format!("{AT_LIMIT}; before: {}", p.reason));
         Some(wait)
     }
 
--- a/crates/forward/src/serve/send.rs
+++ b/crates/forward/src/serve/send.rs
@@ -120,11 +120,11 @@
     };
     if let Some(reason) = exchange.exclusion_reason(&target.id) {
         // No byte of the request has been sent yet.
-        exchange.progress(|p| p.reason = format!("target became ineligible: {reason}"));
+        exchange.progress(|p| p.reason = format!("its target is barred by now: {reason}"));
         return Outcome::NoResponse;
     }
     if permit.is_expired(exchange.node.now()) {
-        exchange.progress(|p| p.reason = "permit expired before the send".into());
+        exchange.progress(|p| p.reason = "its permit ran out on the way".into());
         return Outcome::NoResponse;
     }
     if !exchange.node.quarantine.try_send(&exchange.node, &exchange.head.id, exchange.fingerprint) {
@@ -153,7 +153,7 @@
     if let Some(sent) = sent {
         sent.record_failure();
     }
-    attempt.interrupted("target was silent for too long".into())
+    attempt.interrupted("silent for too long".into())
 }
 
 fn build_request(
@@ -193,12 +193,11 @@
         let answer_head = self.exchange.node.dialect.read_answer(&head);
         let is_matching = answer_head.id.as_deref() == Some(self.exchange.head.id.as_str());
         if !is_matching && !answer_head.not_run && !answer_head.misdirected {
-            return self.may_have_run("answer has the id of another request".into());
+            return self.may_have_run("answer to another request".into());
         }
         if answer_head.misdirected {
             self.exchange.node.quarantine.crash_observed(self.target, "replaced");
-            return self
-                .not_run(Observation::Replaced, "address now belongs to another target".into());
+            return self.not_run(Observation::Replaced, "another target has the address".into());
         }
         heard::record_answer(&self.exchange.node, self.target, &answer_head, self.started_at);
         if answer_head.not_run && answer_head.input_gone {
@@ -206,7 +205,7 @@
             return Outcome::InputLost;
         }
         if answer_head.not_run {
-            let reason = format!("rejected with {}", head.status);
+            let reason = format!("turned away with {}", head.status);
             return self.not_run(Observation::Rejected, reason);
         }
         if head.status.is_success() && !answer_head.is_signed {
@@ -256,7 +255,7 @@
         let (head, body) = response.into_parts();
         let body = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
-            Err(e) => return self.interrupted(format!("answer was interrupted: {e}")),
+            Err(e) => return self.interrupted(format!("answer broke off: {e}")),
         };
         drop(connection);
         let headers = self.exchange.node.dialect.return_headers(&head.headers);
--- a/crates/forward/src/serve/stream.rs
+++ b/crates/forward/src/serve/stream.rs
@@ -29,11 +29,11 @@
     Truncated,
     /// stream ended before its first event
     Empty,
-    /// event is too large
+    /// an event is too large
     TooLarge,
     /// target was silent for too long
     Silent,
-    /// no event arrived before the deadline
+    /// no event came in time
     DeadlineExceeded,
 }
 
@@ -212,7 +212,7 @@
                 true
             }
             Some(Err(ResumeError::Stages(e))) => {
-                self.exchange.progress(|p| p.reason = format!("stages could not be rerun: {e}"));
+                self.exchange.progress(|p| p.reason = format!("stages were not made again: {e}"));
                 false
             }
             Some(Err(ResumeError::Refused)) | None => false,
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -222,7 +222,7 @@
             return Err(BadValue::new("repeats.ratio", "is not within 0 to 1"));
         }
         if !self.repeats.window_s.is_finite() || self.repeats.window_s <= 0.0 {
-            return Err(BadValue::new("repeats.window_s", "is not a positive number of seconds"));
+            return Err(BadValue::new("repeats.window_s", "is not a time above 0"));
         }
         if !self.repeats.slack.is_finite() || self.repeats.slack < 0.0 {
             return Err(BadValue::new("repeats.slack", "is below 0"));
--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -69,7 +69,7 @@
     let work = async {
         let socket = match upstream::connect(address).await {
             Ok(_) if permit.is_expired(node.now()) => {
-                return (CallEnd::Full, Observation::NotSent, "permit expired".into());
+                return (CallEnd::Full, Observation::NotSent, "its permit ran out".into());
             }
             Ok(socket) => socket,
             Err(e) => return (CallEnd::Failed, Observation::Unreachable, e.to_string()),
@@ -85,7 +85,7 @@
         }
     };
     // The timeout covers the whole body: a worker may stall in the middle of an answer.
-    let too_long = || (CallEnd::Failed, Observation::Interrupted, "call timed out".to_string());
+    let too_long = || (CallEnd::Failed, Observation::Interrupted, "call took too long".to_string());
     let ended = tokio::time::timeout(timeout, work).await;
     let (end, observed, why) = ended.unwrap_or_else(|_| too_long());
     match observed {
--- a/crates/forward/src/stages/order.rs
+++ b/crates/forward/src/stages/order.rs
@@ -219,7 +219,7 @@
     mut order: BatchOrder,
 ) -> Result<BatchAnswer, String> {
     let pool = order.pool();
-    let peer = remote_coordinator(node, &pool).ok_or("no coordinator is up in the region")?;
+    let peer = remote_coordinator(node, &pool).ok_or("nobody there answers")?;
     order.passed_on = false;
     order.skipped = node.peers.roster(|r| r.skipped(&pool, node.now()));
     let answer = send_order(node, &peer, &order).await?;
@@ -242,7 +242,7 @@
     };
     match answer {
         Ok(answer) if answer.results.len() == order.pieces as usize => Ok(answer),
-        Ok(_) => Err("peer answered a different number of pieces".into()),
+        Ok(_) => Err("it answered for other pieces".into()),
         Err(e) => {
             if e.status() == Some(STATUS_STOPPING) {
                 node.peers.roster(|r| r.note_stopping(&peer.id, node.now()));
@@ -262,10 +262,10 @@
         tokio::time::sleep(POLL_INTERVAL).await;
         let sound = node.peers.roster(|r| r.is_awaitable(&peer.id));
         if !sound || !peers::is_responsive(node, peer).await {
-            return "peer is suspected or down";
+            return "it is suspected or gone";
         }
         if node.peers.is_hung(&peer.id, started) {
-            return "connection to the peer hangs";
+            return "its connection fell silent";
         }
     }
 }
--- a/crates/forward/src/stages/plan.rs
+++ b/crates/forward/src/stages/plan.rs
@@ -17,17 +17,17 @@
 /// Reason for which a request's stages failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum StageError {
-    /// a stage missed its deadline
+    /// a stage's time was over
     Late,
-    /// no worker of a stage had room before the deadline
+    /// no maker of a stage had room in time
     NoRoom,
-    /// no worker completed a piece
+    /// no maker made a piece
     Failed,
-    /// an input of a stage was no longer stored
+    /// an input of a stage was gone
     InputGone,
-    /// the request has pieces but no piece key
+    /// the request names pieces without a key
     NoKey,
-    /// a result is stored outside the allowed regions
+    /// a result was made outside of the allowed regions
     WrongRegion,
     /// no target of a stage is in an allowed region
     NoAllowedTarget,
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -108,6 +108,6 @@
     };
     match peers::call::<_, Waits>(&node, peer.entry, WAITS, &pool, WAITS_TIMEOUT).await {
         Ok(waits) => runner.spill.borrow_mut().update_waits(region, waits, node.now()),
-        Err(e) => log::debug!("could not query the waits of {region}: {e}"),
+        Err(e) => log::debug!("waits of {region}: {e}"),
     }
 }
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -30,9 +30,9 @@
 pub enum SendError {
     /// could not connect to {0}: {1}
     Connect(SocketAddr, io::Error),
-    /// connecting to {0} timed out
+    /// {0} took no connection in time
     ConnectTimeout(SocketAddr),
-    /// connection to {0} was lost: {1}
+    /// connection to {0} broke: {1}
     ConnectionLost(SocketAddr, hyper::Error),
 }
 
--- a/crates/forward/src/watch/store.rs
+++ b/crates/forward/src/watch/store.rs
@@ -37,7 +37,7 @@
     Call(#[from] CallError),
     /// {0}
     Malformed(#[from] Malformed),
-    /// the store was restored from an older copy meanwhile
+    /// the store came back from an older copy meanwhile
     Restored,
 }
 
