--- a/crates/bench/src/cmd/mod.rs
+++ b/crates/bench/src/cmd/mod.rs
@@ -16,7 +16,7 @@
 
 /// Runs the subcommand on a new Tokio runtime.
 pub fn run(args: Args) -> anyhow::Result<()> {
-    let runtime = tokio::runtime::Runtime::new().context("could not start the Tokio runtime")?;
+    let runtime = tokio::runtime::Runtime::new().context("could not start the runtime")?;
     match args {
         Args::Run { out, plan } => runtime.block_on(run::Run { out, plan }.run()),
         Args::Compare { a, b } => compare::Compare { a, b }.run(),
