--- a/crates/decide/src/permit/observation.rs
+++ b/crates/decide/src/permit/observation.rs
@@ -30,7 +30,7 @@
         LimitObservation {
             per_s: limit.per_s,
             sent_at: ago(limit.sent_ms) - MAX_TRANSIT,
-            received_at: ago(limit.came_ms),
+            received_at: ago(limit.received_ms),
         }
     }
 
@@ -40,7 +40,7 @@
         LimitReport {
             per_s: self.per_s,
             sent_ms: age(self.sent_at),
-            came_ms: age(self.received_at),
+            received_ms: age(self.received_at),
         }
     }
 
--- a/crates/decide/src/quarantine/record.rs
+++ b/crates/decide/src/quarantine/record.rs
@@ -49,7 +49,7 @@
             crashes: record.targets.iter().map(end).collect(),
             tries: 0,
             tried_ms: 0,
-            came_ms: 0,
+            received_ms: 0,
         };
         // Crashes already known as cleared stay cleared.
         let changes = self.merge(None, &[news], now);
--- a/crates/decide/src/quarantine/suspect.rs
+++ b/crates/decide/src/quarantine/suspect.rs
@@ -182,7 +182,7 @@
             self.last_trial = ago(news.tried_ms);
             is_new = true;
         }
-        self.last_arrival = self.last_arrival.max(ago(news.came_ms));
+        self.last_arrival = self.last_arrival.max(ago(news.received_ms));
         if is_new {
             self.gossip.mark_received(now);
         }
@@ -203,7 +203,7 @@
             crashes: self.crashes.iter().map(end).collect(),
             tries: self.trials,
             tried_ms: age(self.last_trial),
-            came_ms: age(self.last_arrival),
+            received_ms: age(self.last_arrival),
         }
     }
 
--- a/crates/decide/tests/permit.rs
+++ b/crates/decide/tests/permit.rs
@@ -168,8 +168,8 @@
 #[test]
 fn old_observations_of_peers_have_no_effect() {
     let (mut limits, id) = (Limits::default(), target());
-    let from_peer = |per_s, sent_ms, came_ms, now| {
-        LimitObservation::from_peer(&LimitReport { per_s, sent_ms, came_ms }, at(now))
+    let from_peer = |per_s, sent_ms, received_ms, now| {
+        LimitObservation::from_peer(&LimitReport { per_s, sent_ms, received_ms }, at(now))
     };
     limits.record(&id, ReportedLimit::PerSecond(1.0), at(1000), at(1100));
     limits.record(&id, ReportedLimit::None, at(2000), at(2100));
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -154,7 +154,7 @@
         crashes: Vec::new(),
         tries: 0,
         tried_ms: 0,
-        came_ms: 0,
+        received_ms: 0,
     }
 }
 
--- a/crates/model/src/forward/limit.rs
+++ b/crates/model/src/forward/limit.rs
@@ -31,8 +31,8 @@
     #[serde(default)]
     pub sent_ms: u64,
     /// Time since the answer was received.
-    #[serde(default)]
-    pub came_ms: u64,
+    #[serde(default, rename = "came_ms")]
+    pub received_ms: u64,
 }
 
 /// Asks a target's permit issuer for permits to send requests to the target.
@@ -50,8 +50,8 @@
     #[serde(rename = "word")]
     pub limit: LimitReport,
     /// Peers that rank first as issuer but run a build that issues no permits.
-    #[serde(default)]
-    pub strangers: Vec<NodeId>,
+    #[serde(default, rename = "strangers")]
+    pub unsupported: Vec<NodeId>,
 }
 
 /// Answer of a permit issuer.
--- a/crates/model/src/forward/quarantine.rs
+++ b/crates/model/src/forward/quarantine.rs
@@ -39,8 +39,8 @@
     #[serde(default)]
     pub tried_ms: u64,
     /// Time since the request was last received.
-    #[serde(default)]
-    pub came_ms: u64,
+    #[serde(default, rename = "came_ms")]
+    pub received_ms: u64,
 }
 
 /// Quarantine state that a node reports to a peer.
--- a/crates/model/tests/limit_messages.rs
+++ b/crates/model/tests/limit_messages.rs
@@ -20,8 +20,8 @@
     rmp_serde::from_slice(&bytes).expect("unknown and missing fields are accepted")
 }
 
-fn report(per_s: Option<f64>, sent_ms: u64, came_ms: u64) -> LimitReport {
-    LimitReport { per_s, sent_ms, came_ms }
+fn report(per_s: Option<f64>, sent_ms: u64, received_ms: u64) -> LimitReport {
+    LimitReport { per_s, sent_ms, received_ms }
 }
 
 #[test]
@@ -38,7 +38,7 @@
         domain: "hall-a".into(),
         count: 2,
         limit: current,
-        strangers: Vec::new(),
+        unsupported: Vec::new(),
     };
     assert_eq!(reencoded(&request, &["strangers"]), request);
     let limit = TargetLimit { target, domain: "hall-a".into(), limit: current };
