--- a/crates/bench/src/experiment/fleet.rs
+++ b/crates/bench/src/experiment/fleet.rs
@@ -98,7 +98,7 @@
                 report.seq = seq;
                 let news = TargetStatus { report, seq, ready: true, polled: true };
                 for e in &self.entries {
-                    e.fleet().hear(e.now(), &news);
+                    e.fleet().update_target(e.now(), &news);
                 }
             }
             tokio::time::sleep(Duration::from_millis(every)).await;
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -15,10 +15,10 @@
 use model::view::{Chunks, ChunksRequest, DeltaRequest};
 
 use crate::membership::{self, Membership};
-use crate::shared::{Accepted, Shared};
+use crate::shared::{AppliedConfig, Shared};
 
 /// How often fetches that went unanswered are looked over.
-const LOOK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Wraps [`Follower`].
 pub struct Config {
@@ -36,8 +36,8 @@
         let fetcher = Fetcher::new(shared.client.clone(), Some(shared.store.clone()));
         tokio::spawn(async move {
             loop {
-                tokio::time::sleep(LOOK).await;
-                if me.tell(Happened(FollowerEvent::Tick)).await.is_err() {
+                tokio::time::sleep(TICK_INTERVAL).await;
+                if me.tell(HandleEvent(FollowerEvent::Tick)).await.is_err() {
                     return;
                 }
             }
@@ -47,10 +47,10 @@
 }
 
 /// Something for the machine.
-pub struct Happened(pub FollowerEvent);
+pub struct HandleEvent(pub FollowerEvent);
 
 /// Names the membership actor, told of each manifest that comes into force.
-pub struct Meet(pub ActorRef<Membership>);
+pub struct SetMembership(pub ActorRef<Membership>);
 
 /// Asks for what a neighbour at a manifest lacks.
 pub struct GetDelta(pub DeltaRequest);
@@ -66,10 +66,10 @@
 #[derive(kameo::Reply)]
 pub struct ChunksReply(pub Chunks);
 
-impl Message<Meet> for Config {
+impl Message<SetMembership> for Config {
     type Reply = ();
 
-    async fn handle(&mut self, m: Meet, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, m: SetMembership, _: &mut Context<Self, ()>) {
         self.membership = Some(m.0);
     }
 }
@@ -91,18 +91,18 @@
     }
 }
 
-impl Message<Happened> for Config {
+impl Message<HandleEvent> for Config {
     type Reply = ();
 
-    async fn handle(&mut self, h: Happened, ctx: &mut Context<Self, ()>) {
+    async fn handle(&mut self, h: HandleEvent, ctx: &mut Context<Self, ()>) {
         for action in self.machine.handle_event(self.shared.clock.now(), h.0) {
             match action {
-                FollowerAction::Applied(change) => self.applied(change).await,
+                FollowerAction::Applied(change) => self.apply_change(change).await,
                 fetch => {
                     let (fetcher, me) = (self.fetcher.clone(), ctx.actor_ref().clone());
                     tokio::spawn(async move {
                         for event in fetcher.fetch(fetch).await {
-                            let _ = me.tell(Happened(event)).await;
+                            let _ = me.tell(HandleEvent(event)).await;
                         }
                     });
                 }
@@ -112,16 +112,16 @@
 }
 
 impl Config {
-    async fn applied(&mut self, change: Change) {
+    async fn apply_change(&mut self, change: Change) {
         let number = change.number;
-        let mut set = self.shared.accepted.load().set.clone();
+        let mut set = self.shared.applied.load().set.clone();
         change.apply_to(&mut set);
         let targets = set.pools.values().flat_map(|p| &p.targets).map(|t| &t.name);
-        self.shared.board().set_targets(targets);
-        self.shared.accepted.store(Arc::new(Accepted { number, set }));
+        self.shared.load_table().set_targets(targets);
+        self.shared.applied.store(Arc::new(AppliedConfig { number, set }));
         log::info!("config: manifest {number} is in force.");
         if let Some(m) = &self.membership {
-            let _ = m.tell(membership::Happened(MemberEvent::Applied(number))).await;
+            let _ = m.tell(membership::HandleEvent(MemberEvent::Applied(number))).await;
         }
     }
 }
--- a/crates/control/src/domain.rs
+++ b/crates/control/src/domain.rs
@@ -19,47 +19,52 @@
 use crate::shared::Shared;
 
 /// How often orders and status are looked over.
-const LOOK: Duration = Duration::from_millis(250);
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
 /// Least time between two writes of an unchanged registry.
-const REGISTRY: Duration = Duration::from_secs(10);
+const MIN_REGISTRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Runs until the process ends.
 pub async fn run(shared: Arc<Shared>, lease: ActorRef<Lease>) {
     let mut placer = Placer::default();
-    let mut written = Fleet::default();
+    let mut last_written = Fleet::default();
     let mut registry = (Vec::new(), shared.clock.now());
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(RECONCILE_INTERVAL).await;
         let Ok(Some(epoch)) = lease.ask(GetEpoch(LEASE_MARGIN)).await else {
             continue;
         };
-        order(&shared, &lease, &mut placer, epoch).await;
-        report(&shared, &mut written).await;
-        register(&shared, &mut registry).await;
+        send_orders(&shared, &lease, &mut placer, epoch).await;
+        write_status(&shared, &mut last_written).await;
+        write_registry(&shared, &mut registry).await;
     }
 }
 
-async fn order(shared: &Arc<Shared>, lease: &ActorRef<Lease>, placer: &mut Placer, epoch: u64) {
-    let accepted = shared.accepted.load_full();
-    let news: BTreeMap<Name, TargetStatus> = {
-        let board = shared.board();
-        board.reports().map(|n| (n.report.target.clone(), n.clone())).collect()
+async fn send_orders(
+    shared: &Arc<Shared>,
+    lease: &ActorRef<Lease>,
+    placer: &mut Placer,
+    epoch: u64,
+) {
+    let applied = shared.applied.load_full();
+    let load_reports: BTreeMap<Name, TargetStatus> = {
+        let table = shared.load_table();
+        table.reports().map(|n| (n.report.target.clone(), n.clone())).collect()
     };
     let leaving = shared.leaving.load_full();
     let view = View {
-        set: &accepted.set,
-        number: accepted.number,
+        set: &applied.set,
+        number: applied.number,
         domain: &shared.settings.domain,
-        reports: &news,
+        reports: &load_reports,
         leaving: &leaving,
     };
     for order in placer.plan(shared.clock.now(), epoch, view) {
         // The lease is asked again just before each send: the node may have been paused.
-        let held = lease.ask(GetEpoch(LEASE_MARGIN)).await.ok().flatten();
-        if held != Some(epoch) {
+        let current = lease.ask(GetEpoch(LEASE_MARGIN)).await.ok().flatten();
+        if current != Some(epoch) {
             return;
         }
-        send(shared, &accepted.set, order).await;
+        send(shared, &applied.set, order).await;
     }
 }
 
@@ -84,16 +89,16 @@
 }
 
 /// Writes how far the manifest has spread here, when that changed.
-async fn report(shared: &Shared, written: &mut Fleet) {
+async fn write_status(shared: &Shared, last_written: &mut Fleet) {
     let members = shared.members.load_full();
-    let (nodes, applied, lowest) = members.in_force;
+    let (nodes, applied, lowest) = members.manifest_progress;
     let fleet = Fleet {
-        number: shared.accepted.load().number,
+        number: shared.applied.load().number,
         nodes: nodes as u32,
         applied: applied as u32,
         lowest,
     };
-    if fleet == *written {
+    if fleet == *last_written {
         return;
     }
     let name = format!("fleet-{}", shared.settings.domain);
@@ -103,19 +108,21 @@
     };
     let value = serde_json::to_value(&fleet).expect("statuses encode");
     if store.put(kind::STATUS, &name, old.version, Some(value)).await.is_ok() {
-        *written = fleet;
+        *last_written = fleet;
     }
 }
 
-async fn register(shared: &Shared, registry: &mut (Vec<String>, model::Time)) {
+async fn write_registry(shared: &Shared, registry: &mut (Vec<String>, model::Time)) {
     /// Addresses listed; a newcomer needs one that answers.
-    const LISTED: usize = 8;
+    const MAX_ADDRESSES: usize = 8;
     let members = shared.members.load_full();
     let mut addresses: Vec<String> = members.nodes.iter().map(|n| n.address.to_string()).collect();
     addresses.sort_unstable();
-    addresses.truncate(LISTED);
+    addresses.truncate(MAX_ADDRESSES);
     let now = shared.clock.now();
-    if addresses == registry.0 || (!registry.0.is_empty() && now.since(registry.1) < REGISTRY) {
+    if addresses == registry.0
+        || (!registry.0.is_empty() && now.since(registry.1) < MIN_REGISTRY_INTERVAL)
+    {
         return;
     }
     let store = shared.store.for_reason(Reason::Status);
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -16,7 +16,7 @@
 use crate::shared::Shared;
 
 /// Wait of a node that is no relay.
-const IDLE: Duration = Duration::from_millis(500);
+const NON_RELAY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the actor starts with.
 pub struct Args {
@@ -36,7 +36,7 @@
     name: Name,
     machine: LeaseClient,
     epoch: watch::Sender<Option<u64>>,
-    tick: Option<Time>,
+    scheduled_tick: Option<Time>,
 }
 
 impl Actor for Lease {
@@ -46,14 +46,19 @@
     async fn on_start(args: Args, me: ActorRef<Self>) -> Result<Self, Infallible> {
         let period = Duration::from_millis(args.shared.settings.lease_period);
         let machine = LeaseClient::new(args.holder, period, rand::random());
-        let mut actor =
-            Lease { shared: args.shared, name: args.name, machine, epoch: args.epoch, tick: None };
-        actor.wake(&me);
+        let mut actor = Lease {
+            shared: args.shared,
+            name: args.name,
+            machine,
+            epoch: args.epoch,
+            scheduled_tick: None,
+        };
+        actor.schedule_tick(&me);
         Ok(actor)
     }
 }
 
-struct Happened(Event);
+struct HandleEvent(Event);
 
 /// Asks for the epoch, if the lease is held for this much longer.
 pub struct GetEpoch(pub Duration);
@@ -66,27 +71,27 @@
     }
 }
 
-impl Message<Happened> for Lease {
+impl Message<HandleEvent> for Lease {
     type Reply = ();
 
-    async fn handle(&mut self, h: Happened, ctx: &mut Context<Self, ()>) {
+    async fn handle(&mut self, h: HandleEvent, ctx: &mut Context<Self, ()>) {
         let me = ctx.actor_ref().clone();
         if h.0 == Event::Tick {
-            self.tick = None;
+            self.scheduled_tick = None;
             let held = self.epoch.borrow().is_some();
             if !held && !self.shared.is_relay() {
-                return self.idle(&me);
+                return self.schedule_idle_tick(&me);
             }
         }
         for action in self.machine.handle_event(self.shared.clock.now(), h.0) {
-            self.act(action, &me);
+            self.start_action(action, &me);
         }
-        self.wake(&me);
+        self.schedule_tick(&me);
     }
 }
 
 impl Lease {
-    fn act(&mut self, action: Action, me: &ActorRef<Self>) {
+    fn start_action(&mut self, action: Action, me: &ActorRef<Self>) {
         match action {
             Action::Acquired(epoch) => {
                 log::info!("lease: {} taken with epoch {epoch}.", self.name);
@@ -100,32 +105,32 @@
                 let (shared, name, me) = (self.shared.clone(), self.name.clone(), me.clone());
                 tokio::spawn(async move {
                     let event = perform(&shared, &name, call).await;
-                    let _ = me.tell(Happened(event)).await;
+                    let _ = me.tell(HandleEvent(event)).await;
                 });
             }
         }
     }
 
-    fn idle(&mut self, me: &ActorRef<Self>) {
-        let at = self.shared.clock.now() + IDLE;
-        self.wake_at(at, me);
+    fn schedule_idle_tick(&mut self, me: &ActorRef<Self>) {
+        let at = self.shared.clock.now() + NON_RELAY_INTERVAL;
+        self.schedule_tick_at(at, me);
     }
 
-    fn wake(&mut self, me: &ActorRef<Self>) {
+    fn schedule_tick(&mut self, me: &ActorRef<Self>) {
         let at = self.machine.next_tick();
-        if self.tick.is_none_or(|t| t > at) {
-            self.wake_at(at, me);
+        if self.scheduled_tick.is_none_or(|t| t > at) {
+            self.schedule_tick_at(at, me);
         }
     }
 
-    fn wake_at(&mut self, at: Time, me: &ActorRef<Self>) {
-        self.tick = Some(at);
+    fn schedule_tick_at(&mut self, at: Time, me: &ActorRef<Self>) {
+        self.scheduled_tick = Some(at);
         let (clock, me) = (self.shared.clock, me.clone());
         tokio::spawn(async move {
             // A call in flight leaves the machine due; never spin on it.
             tokio::time::sleep(Duration::from_millis(20)).await;
             clock.sleep_until(at).await;
-            let _ = me.tell(Happened(Event::Tick)).await;
+            let _ = me.tell(HandleEvent(Event::Tick)).await;
         });
     }
 }
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -17,7 +17,7 @@
 use crate::shared::{Members, Shared};
 
 /// Largest datagram.
-const DATAGRAM_MAX: usize = 9000;
+const MAX_DATAGRAM_BYTES: usize = 9000;
 
 /// What the actor starts with.
 pub struct Args {
@@ -37,7 +37,7 @@
     socket: Arc<UdpSocket>,
     config: ActorRef<Config>,
     machine: Member,
-    tick: Option<Time>,
+    scheduled_tick: Option<Time>,
 }
 
 impl Actor for Membership {
@@ -56,42 +56,42 @@
             socket: args.socket,
             config: args.config,
             machine,
-            tick: None,
+            scheduled_tick: None,
         };
-        actor.feed(Event::Tick, &me).await;
+        actor.process(Event::Tick, &me).await;
         Ok(actor)
     }
 }
 
 /// Something for the machine.
-pub struct Happened(pub Event);
+pub struct HandleEvent(pub Event);
 
-impl Message<Happened> for Membership {
+impl Message<HandleEvent> for Membership {
     type Reply = ();
 
-    async fn handle(&mut self, h: Happened, ctx: &mut Context<Self, ()>) {
+    async fn handle(&mut self, h: HandleEvent, ctx: &mut Context<Self, ()>) {
         if h.0 == Event::Tick {
-            self.tick = None;
+            self.scheduled_tick = None;
         }
-        self.feed(h.0, &ctx.actor_ref().clone()).await;
+        self.process(h.0, &ctx.actor_ref().clone()).await;
     }
 }
 
 impl Membership {
-    async fn feed(&mut self, event: Event, me: &ActorRef<Self>) {
+    async fn process(&mut self, event: Event, me: &ActorRef<Self>) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for action in self.machine.handle_event(self.shared.clock.now(), event) {
-                if let Some(next) = self.act(action).await {
+                if let Some(next) = self.perform(action).await {
                     events.push(next);
                 }
             }
         }
         self.publish();
-        self.wake(me);
+        self.schedule_tick(me);
     }
 
-    async fn act(&self, action: Action) -> Option<Event> {
+    async fn perform(&self, action: Action) -> Option<Event> {
         match action {
             Action::Send(to, packet) => {
                 let bytes = rmp_serde::to_vec(&packet).expect("packets encode");
@@ -101,15 +101,15 @@
             }
             Action::NewerManifest(number, from) => {
                 let from = Source::Peer(from.to_string().into());
-                let heard = FollowerEvent::Announced { number, from };
-                let _ = self.config.tell(crate::config::Happened(heard)).await;
+                let announced = FollowerEvent::Announced { number, from };
+                let _ = self.config.tell(crate::config::HandleEvent(announced)).await;
                 None
             }
             Action::Changed(r) => {
                 log::info!("member: {} is {:?}.", r.node.id.name, r.health);
                 None
             }
-            Action::Load(load) => self.shared.board().merge_rumor(load).map(Event::Load),
+            Action::Load(load) => self.shared.load_table().merge_rumor(load).map(Event::Load),
         }
     }
 
@@ -117,31 +117,31 @@
         let me = self.machine.me().clone();
         let mut nodes: Vec<Node> = self.machine.peers().map(|p| p.node.clone()).collect();
         nodes.push(me);
-        let number = self.shared.accepted.load().number;
+        let number = self.shared.applied.load().number;
         let members = Members {
             nodes,
             relays: self.machine.relays(),
-            in_force: self.machine.manifest_progress(number),
+            manifest_progress: self.machine.manifest_progress(number),
         };
         self.shared.members.store(Arc::new(members));
     }
 
-    fn wake(&mut self, me: &ActorRef<Self>) {
+    fn schedule_tick(&mut self, me: &ActorRef<Self>) {
         let at = self.machine.next_tick();
-        if self.tick.is_some_and(|t| t <= at) {
+        if self.scheduled_tick.is_some_and(|t| t <= at) {
             return;
         }
-        self.tick = Some(at);
+        self.scheduled_tick = Some(at);
         let (clock, me) = (self.shared.clock, me.clone());
         tokio::spawn(async move {
             clock.sleep_until(at).await;
-            let _ = me.tell(Happened(Event::Tick)).await;
+            let _ = me.tell(HandleEvent(Event::Tick)).await;
         });
     }
 }
 
 async fn receive(socket: Arc<UdpSocket>, me: ActorRef<Membership>) {
-    let mut buffer = vec![0; DATAGRAM_MAX];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (n, from): (usize, SocketAddr) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -156,7 +156,7 @@
             log::debug!("member: {from} sent what is no packet.");
             continue;
         };
-        if me.tell(Happened(Event::Packet { from, packet })).await.is_err() {
+        if me.tell(HandleEvent(Event::Packet { from, packet })).await.is_err() {
             return;
         }
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -22,16 +22,16 @@
 use crate::config::{self, Config};
 use crate::lease::{self, Lease};
 use crate::membership::{self, Membership};
-use crate::publish::Publishing;
-use crate::server::Side;
+use crate::publish::PublishTask;
+use crate::server::ControlHandler;
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::{domain, poll, relay};
 
 /// Longest wait for a peer to take a connection.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Tries to find a port that is free for TCP and UDP.
-const PORT_TRIES: usize = 16;
+const MAX_BIND_ATTEMPTS: usize = 16;
 
 /// The program.
 #[derive(Debug)]
@@ -69,7 +69,7 @@
     pub async fn start(mut settings: Settings) -> anyhow::Result<Running> {
         let (server, socket) = bind(settings.address).await?;
         settings.address = server.address();
-        let client = Client::new(CONNECT);
+        let client = Client::new(CONNECT_TIMEOUT);
         let store: Name = settings.store.to_string().into();
         let http = HttpStore::new(client.clone(), store.clone());
         let shared = Arc::new(Shared {
@@ -78,8 +78,8 @@
             hosts: Box::new(HttpHosts::new(client.clone(), store)),
             client,
             members: ArcSwap::default(),
-            accepted: ArcSwap::default(),
-            board: Mutex::default(),
+            applied: ArcSwap::default(),
+            load_table: Mutex::default(),
             leaving: ArcSwap::default(),
             settings,
         });
@@ -89,7 +89,7 @@
 
 /// One port for TCP and UDP.
 async fn bind(address: SocketAddr) -> anyhow::Result<(Server, UdpSocket)> {
-    for _ in 0..PORT_TRIES {
+    for _ in 0..MAX_BIND_ATTEMPTS {
         let server = Server::bind(&address.to_string()).await?;
         match UdpSocket::bind(server.address()).await {
             Ok(socket) => return Ok((server, socket)),
@@ -121,26 +121,29 @@
             socket: Arc::new(socket),
             config: config.clone(),
         });
-        let _ = config.tell(config::Meet(membership.clone())).await;
-        let (manifest_epoch, manifest_held) = watch::channel(None);
+        let _ = config.tell(config::SetMembership(membership.clone())).await;
+        let (epoch_tx, epoch_rx) = watch::channel(None);
         let (domain_epoch, _) = watch::channel(None);
         let spawn_lease = |name: Name, epoch| {
             let (shared, holder) = (shared.clone(), holder.clone());
             Lease::spawn(lease::Args { shared, name, holder, epoch })
         };
-        let _manifest = spawn_lease("manifest".into(), manifest_epoch);
-        let of_domain = spawn_lease(format!("domain-{}", s.domain).into(), domain_epoch);
-        let side =
-            Side { shared: shared.clone(), config: config.clone(), membership: membership.clone() };
+        let _manifest_lease = spawn_lease("manifest".into(), epoch_tx);
+        let domain_lease = spawn_lease(format!("domain-{}", s.domain).into(), domain_epoch);
+        let handler = ControlHandler {
+            shared: shared.clone(),
+            config: config.clone(),
+            membership: membership.clone(),
+        };
         let address = server.address();
         let (stopper, stopped) = stop::channel();
         let tasks = vec![
-            tokio::spawn(server.run(Arc::new(side), stopped)),
-            tokio::spawn(relay::watch(shared.clone(), config.clone())),
-            tokio::spawn(relay::hosts(shared.clone(), membership.clone())),
+            tokio::spawn(server.run(Arc::new(handler), stopped)),
+            tokio::spawn(relay::watch_manifest(shared.clone(), config.clone())),
+            tokio::spawn(relay::watch_hosts(shared.clone(), membership.clone())),
             tokio::spawn(poll::run(shared.clone(), membership.clone())),
-            tokio::spawn(Publishing::new(shared.clone(), config).run(manifest_held)),
-            tokio::spawn(domain::run(shared.clone(), of_domain)),
+            tokio::spawn(PublishTask::new(shared.clone(), config).run(epoch_rx)),
+            tokio::spawn(domain::run(shared.clone(), domain_lease)),
         ];
         Running { address, shared, membership, stopper, tasks }
     }
@@ -149,12 +152,12 @@
     pub fn status(&self) -> (u64, Vec<Name>) {
         let members = self.shared.members.load();
         let names = members.nodes.iter().map(|n| n.id.name.clone()).collect();
-        (self.shared.accepted.load().number, names)
+        (self.shared.applied.load().number, names)
     }
 
     /// A planned stop: tells the peers, then ends.
     pub async fn stop(self) {
-        let _ = self.membership.ask(membership::Happened(MemberEvent::Leave)).await;
+        let _ = self.membership.ask(membership::HandleEvent(MemberEvent::Leave)).await;
         self.stopper.stop();
         for task in self.tasks {
             task.abort();
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -15,21 +15,21 @@
 use crate::shared::Shared;
 
 /// Longest wait for a target's report.
-const WAIT: Duration = Duration::from_millis(800);
+const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 /// The loop looks for due polls this many times a period.
-const SLICES: u32 = 10;
+const CHECKS_PER_PERIOD: u32 = 10;
 
 /// Polls until the process ends.
 pub async fn run(shared: Arc<Shared>, membership: ActorRef<Membership>) {
     let period = Duration::from_millis(shared.settings.poll_period);
     let mut due: std::collections::BTreeMap<Name, Time> = Default::default();
     loop {
-        tokio::time::sleep(period / SLICES).await;
+        tokio::time::sleep(period / CHECKS_PER_PERIOD).await;
         let now = shared.clock.now();
-        let accepted = shared.accepted.load_full();
+        let applied = shared.applied.load_full();
         let members = shared.members.load_full();
         let names: Vec<Name> = members.nodes.iter().map(|n| n.id.name.clone()).collect();
-        let targets = accepted.set.pools.values().flat_map(|p| &p.targets);
+        let targets = applied.set.pools.values().flat_map(|p| &p.targets);
         for t in targets.filter(|t| t.domain == shared.settings.domain) {
             let Some(rank) = poll_rank(&t.name, &shared.settings.name, &names) else {
                 due.remove(&t.name);
@@ -46,20 +46,21 @@
 }
 
 async fn poll(shared: Arc<Shared>, membership: ActorRef<Membership>, target: Name, address: Name) {
-    let call = shared.client.json::<(), TargetReport>(&address, Method::GET, "/load", None, WAIT);
+    let call =
+        shared.client.json::<(), TargetReport>(&address, Method::GET, "/load", None, POLL_TIMEOUT);
     let result = call.await;
     let rumor = match result {
-        Ok(report) if report.target == target => shared.board().record_poll(report),
+        Ok(report) if report.target == target => shared.load_table().record_poll(report),
         Ok(report) => {
             log::warn!("poll: {address} is {}, not {target}.", report.target);
-            shared.board().record_unreachable(&target)
+            shared.load_table().record_unreachable(&target)
         }
         Err(e) => {
             log::debug!("poll: {target}: {e}");
-            shared.board().record_unreachable(&target)
+            shared.load_table().record_unreachable(&target)
         }
     };
     if let Some(rumor) = rumor {
-        let _ = membership.tell(membership::Happened(MemberEvent::Load(rumor))).await;
+        let _ = membership.tell(membership::HandleEvent(MemberEvent::Load(rumor))).await;
     }
 }
--- a/crates/control/src/publish.rs
+++ b/crates/control/src/publish.rs
@@ -23,20 +23,20 @@
 use crate::shared::Shared;
 
 /// How long one watch waits.
-const WATCH: Duration = Duration::from_secs(30);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 /// Wait after a failed list.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How often unfinished writes are looked over, and the sweep runs.
-const LOOK: Duration = Duration::from_millis(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time in which changes of several objects come together in one manifest.
-const GATHER: Duration = Duration::from_millis(40);
+const BATCH_WINDOW: Duration = Duration::from_millis(40);
 /// Statuses written in one turn.
-const STATUS_MOST: usize = 32;
+const MAX_STATUS_WRITES: usize = 32;
 /// Claim objects deleted in one turn.
-const SWEEP_MOST: usize = 64;
+const MAX_CLAIM_DELETES: usize = 64;
 
 /// Publishes manifests while the lease is held.
-pub struct Publishing {
+pub struct PublishTask {
     shared: Arc<Shared>,
     config: ActorRef<Config>,
     machine: Publisher,
@@ -45,10 +45,10 @@
     statuses: BTreeMap<Name, Status>,
 }
 
-impl Publishing {
+impl PublishTask {
     /// Publishes nothing yet.
     pub fn new(shared: Arc<Shared>, config: ActorRef<Config>) -> Self {
-        Publishing {
+        PublishTask {
             shared,
             config,
             machine: Publisher::new(rand::random()),
@@ -62,10 +62,10 @@
         loop {
             let held = *epoch.borrow_and_update();
             if held.is_some() {
-                self.hold(held, &mut epoch).await;
+                self.publish_while_held(held, &mut epoch).await;
                 continue;
             }
-            self.step(PublisherEvent::Lease(None)).await;
+            self.handle_event(PublisherEvent::Lease(None)).await;
             if epoch.changed().await.is_err() {
                 return;
             }
@@ -73,31 +73,35 @@
     }
 
     /// Publishes until the epoch changes.
-    async fn hold(&mut self, held: Option<u64>, epoch: &mut watch::Receiver<Option<u64>>) {
+    async fn publish_while_held(
+        &mut self,
+        held: Option<u64>,
+        epoch: &mut watch::Receiver<Option<u64>>,
+    ) {
         let (tx, mut rx) = mpsc::channel(16);
         let watches: Vec<_> = KINDS
             .iter()
             .map(|k| tokio::spawn(follow_kind(self.shared.clone(), k, tx.clone())))
             .collect();
         // A manifest is first thought of once every kind was listed.
-        let (mut listed, mut leading) = (0, false);
+        let (mut listed, mut lease_reported) = (0, false);
         loop {
             tokio::select! {
                 _ = epoch.changed() => break,
                 Some(objects) = rx.recv() => {
                     listed += 1;
-                    let all = gather(objects, &mut rx, &mut listed).await;
-                    self.step(PublisherEvent::Objects(all)).await;
-                    if listed >= KINDS.len() && !leading {
-                        leading = true;
+                    let all = collect_batch(objects, &mut rx, &mut listed).await;
+                    self.handle_event(PublisherEvent::Objects(all)).await;
+                    if listed >= KINDS.len() && !lease_reported {
+                        lease_reported = true;
                         self.read_statuses().await;
-                        self.step(PublisherEvent::Lease(held)).await;
+                        self.handle_event(PublisherEvent::Lease(held)).await;
                     }
                 }
-                () = tokio::time::sleep(LOOK) => self.step(PublisherEvent::Tick).await,
+                () = tokio::time::sleep(TICK_INTERVAL) => self.handle_event(PublisherEvent::Tick).await,
             }
             self.put_statuses().await;
-            self.sweep_step().await;
+            self.run_sweep().await;
         }
         for w in watches {
             w.abort();
@@ -106,13 +110,13 @@
 }
 
 /// What comes within a short while, together.
-async fn gather(
+async fn collect_batch(
     first: Vec<Declared>,
     rx: &mut mpsc::Receiver<Vec<Declared>>,
     count: &mut usize,
 ) -> Vec<Declared> {
     let mut all = first;
-    let until = tokio::time::Instant::now() + GATHER;
+    let until = tokio::time::Instant::now() + BATCH_WINDOW;
     while let Ok(Some(more)) = tokio::time::timeout_at(until, rx.recv()).await {
         *count += 1;
         all.extend(more);
@@ -127,17 +131,17 @@
         let store = shared.store.for_reason(Reason::Config);
         let listing = match revision {
             None => store.list(kind).await,
-            Some(r) => store.watch(kind, r, WATCH).await,
+            Some(r) => store.watch(kind, r, WATCH_TIMEOUT).await,
         };
         match listing {
             Ok(listing) => {
-                let whole = revision.is_none();
+                let full_list = revision.is_none();
                 revision = Some(listing.revision);
-                let mut objects = declared(kind, &listing);
-                if whole {
-                    objects.extend(deleted(&shared, kind, &listing).await);
+                let mut objects = to_declared(kind, &listing);
+                if full_list {
+                    objects.extend(find_deleted(&shared, kind, &listing).await);
                 }
-                if (whole || !objects.is_empty()) && out.send(objects).await.is_err() {
+                if (full_list || !objects.is_empty()) && out.send(objects).await.is_err() {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -145,13 +149,13 @@
             Err(e) => {
                 log::debug!("publish: {e}");
                 revision = None;
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn declared(kind: &str, listing: &Listing) -> Vec<Declared> {
+fn to_declared(kind: &str, listing: &Listing) -> Vec<Declared> {
     let spec = |v: serde_json::Value| {
         let envelope: Envelope = serde_json::from_value(v)?;
         Spec::from_value(kind, envelope.spec)
@@ -166,9 +170,9 @@
 
 /// Objects in force that a list lacks: each is read by itself, since a list may
 /// be stale, and only a deletion with its own version counts.
-async fn deleted(shared: &Shared, kind: &str, listing: &Listing) -> Vec<Declared> {
-    let accepted = shared.accepted.load_full();
-    let set = &accepted.set;
+async fn find_deleted(shared: &Shared, kind: &str, listing: &Listing) -> Vec<Declared> {
+    let applied = shared.applied.load_full();
+    let set = &applied.set;
     let names: Vec<&Name> = match kind {
         "Pipeline" => set.pipelines.keys().collect(),
         "Workspace" => set.workspaces.keys().collect(),
@@ -180,17 +184,17 @@
     let mut out = Vec::new();
     for name in names.into_iter().filter(|n| !listed.contains(n)) {
         let stored = shared.store.for_reason(Reason::Config).get(kind, name).await;
-        let Some(gone) = stored.ok().filter(|s| s.value.is_none()) else {
+        let Some(removed) = stored.ok().filter(|s| s.value.is_none()) else {
             continue;
         };
         let key = format!("{kind}/{name}").into();
-        out.push(Declared { key, version: gone.version, spec: None });
+        out.push(Declared { key, version: removed.version, spec: None });
     }
     out
 }
 
-impl Publishing {
-    async fn step(&mut self, event: PublisherEvent) {
+impl PublishTask {
+    async fn handle_event(&mut self, event: PublisherEvent) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for action in self.machine.handle_event(event) {
@@ -203,16 +207,17 @@
         match action {
             PublisherAction::ReadBase => Some(self.read_base().await),
             PublisherAction::PutChunk(hash, text) => {
-                let end = put_chunk(&self.shared, &hash, &text).await;
-                Some(PublisherEvent::Chunk(hash, end))
+                let outcome = put_chunk(&self.shared, &hash, &text).await;
+                Some(PublisherEvent::Chunk(hash, outcome))
             }
             PublisherAction::PutManifest { expect, manifest } => {
                 let nonce = manifest.nonce;
                 let value = serde_json::to_value(&manifest).expect("manifests encode");
                 let store = self.shared.store.for_reason(Reason::Config);
-                let end = put_end(store.put(kind::MANIFEST, NAME, expect, Some(value)).await);
-                log::info!("publish: manifest {}: {end:?}.", manifest.number);
-                Some(PublisherEvent::Manifest(nonce, end))
+                let outcome =
+                    put_outcome(store.put(kind::MANIFEST, NAME, expect, Some(value)).await);
+                log::info!("publish: manifest {}: {outcome:?}.", manifest.number);
+                Some(PublisherEvent::Manifest(nonce, outcome))
             }
             PublisherAction::PutStatus(list) => {
                 self.statuses.extend(list.into_iter().map(|s| (s.object.clone(), s)));
@@ -225,13 +230,13 @@
         let Some((version, manifest)) = read_manifest(&self.shared.store).await else {
             return PublisherEvent::BaseFailed;
         };
-        let ask = GetChunks(ChunksRequest { hashes: manifest.slots.clone() });
-        let known = self.config.ask(ask).await.map(|r| r.0.texts).unwrap_or_default();
+        let request = GetChunks(ChunksRequest { hashes: manifest.slots.clone() });
+        let cached = self.config.ask(request).await.map(|r| r.0.texts).unwrap_or_default();
         let mut chunks = Vec::new();
         for (i, hash) in manifest.slots.iter().enumerate() {
             // Chunks in force here need no call.
-            let own = known.get(i).filter(|t| !t.is_empty()).cloned();
-            let text = match own {
+            let cached_text = cached.get(i).filter(|t| !t.is_empty()).cloned();
+            let text = match cached_text {
                 Some(text) => Some(text),
                 None => read_chunk(&self.shared.store, hash).await,
             };
@@ -247,13 +252,13 @@
         if let Ok(listing) = self.shared.store.for_reason(Reason::Status).list(kind::STATUS).await {
             let values = listing.objects.into_iter().filter_map(|o| o.value);
             let list = values.filter_map(|v| serde_json::from_value(v).ok()).collect();
-            self.step(PublisherEvent::Statuses(list)).await;
+            self.handle_event(PublisherEvent::Statuses(list)).await;
         }
     }
 
     /// Writes statuses that are due; what fails stays due.
     async fn put_statuses(&mut self) {
-        let due: Vec<Status> = self.statuses.values().take(STATUS_MOST).cloned().collect();
+        let due: Vec<Status> = self.statuses.values().take(MAX_STATUS_WRITES).cloned().collect();
         for status in due {
             if put_status(&self.shared, &status).await.is_none() {
                 return;
@@ -262,21 +267,23 @@
         }
     }
 
-    async fn sweep_step(&mut self) {
+    async fn run_sweep(&mut self) {
         let now = self.shared.clock.now();
         match self.sweep.tick(now, util::clock::unix_ms()) {
             Some(SweepAction::Raise(floor)) => {
-                let raised = raise(&self.shared, &floor).await;
+                let raised = raise_floor(&self.shared, &floor).await;
                 let now = self.shared.clock.now();
                 raised.into_iter().for_each(|()| self.sweep.floor_raised(now, floor.bucket));
             }
-            Some(SweepAction::DeleteBelow(bucket)) => delete_below(&self.shared, bucket).await,
+            Some(SweepAction::DeleteBelow(bucket)) => {
+                delete_claims_below(&self.shared, bucket).await
+            }
             None => {}
         }
     }
 }
 
-fn put_end(result: Result<u64, StoreError>) -> PutOutcome {
+fn put_outcome(result: Result<u64, StoreError>) -> PutOutcome {
     match result {
         Ok(_) => PutOutcome::Done,
         Err(e) if e.kind == ErrorKind::Conflict => PutOutcome::Conflict,
@@ -293,7 +300,7 @@
     if old.value.is_some() {
         return PutOutcome::Done;
     }
-    put_end(store.put(kind::CHUNK, hash, old.version, Some(text.into())).await)
+    put_outcome(store.put(kind::CHUNK, hash, old.version, Some(text.into())).await)
 }
 
 async fn put_status(shared: &Shared, status: &Status) -> Option<()> {
@@ -311,7 +318,7 @@
 }
 
 /// Raises the floor; a higher one stays.
-async fn raise(shared: &Shared, floor: &Floor) -> Option<()> {
+async fn raise_floor(shared: &Shared, floor: &Floor) -> Option<()> {
     let store = shared.store.for_reason(Reason::Sweep);
     let old = store.get(kind::CLAIM, FLOOR).await.ok()?;
     let known = old.value.and_then(|v| serde_json::from_value::<Floor>(v).ok()).unwrap_or_default();
@@ -323,7 +330,7 @@
     Some(())
 }
 
-async fn delete_below(shared: &Shared, bucket: u64) {
+async fn delete_claims_below(shared: &Shared, bucket: u64) {
     let store = shared.store.for_reason(Reason::Sweep);
     let Ok(listing) = store.list(kind::CLAIM).await else {
         return;
@@ -332,7 +339,7 @@
         let number = o.name.split('-').next().and_then(|n| n.parse::<u64>().ok());
         number.is_some_and(|n| n < bucket)
     };
-    for o in listing.objects.iter().filter(old).take(SWEEP_MOST) {
+    for o in listing.objects.iter().filter(old).take(MAX_CLAIM_DELETES) {
         if store.put(kind::CLAIM, &o.name, o.version, None).await.is_err() {
             return;
         }
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -21,31 +21,31 @@
 use crate::shared::Shared;
 
 /// How long one watch waits.
-const WATCH: Duration = Duration::from_secs(30);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest jitter before reconnecting after an outage.
-const RECONNECT: Duration = Duration::from_millis(1500);
+const MAX_RECONNECT_JITTER: Duration = Duration::from_millis(1500);
 /// How often a node looks whether it is a relay, and relays read the host list.
-const LOOK: Duration = Duration::from_millis(1000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Watches the manifest while this node is a relay.
-pub async fn watch(shared: Arc<Shared>, config: ActorRef<Config>) {
+pub async fn watch_manifest(shared: Arc<Shared>, config: ActorRef<Config>) {
     let mut rng = Rng::new(rand::random());
     let mut revision = None;
     loop {
         if !shared.is_relay() {
             revision = None;
-            tokio::time::sleep(LOOK / 4).await;
+            tokio::time::sleep(CHECK_INTERVAL / 4).await;
             continue;
         }
         let store = shared.store.for_reason(Reason::Config);
         let listing = match revision {
             None => store.list(kind::MANIFEST).await,
-            Some(r) => store.watch(kind::MANIFEST, r, WATCH).await,
+            Some(r) => store.watch(kind::MANIFEST, r, WATCH_TIMEOUT).await,
         };
         match listing {
             Ok(listing) => {
                 revision = Some(listing.revision);
-                tell(&config, listing).await;
+                forward_manifests(&config, listing).await;
                 // A watch that ends at once must not become a busy loop.
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -53,18 +53,19 @@
                 log::debug!("relay: {e}");
                 // What changed meanwhile may be missing from a watch: list anew.
                 revision = None;
-                tokio::time::sleep(rng.jitter(RECONNECT) + Duration::from_millis(50)).await;
+                tokio::time::sleep(rng.jitter(MAX_RECONNECT_JITTER) + Duration::from_millis(50))
+                    .await;
             }
         }
     }
 }
 
-async fn tell(config: &ActorRef<Config>, listing: Listing) {
+async fn forward_manifests(config: &ActorRef<Config>, listing: Listing) {
     let values = listing.objects.into_iter().filter_map(|o| o.value);
     for value in values {
         match serde_json::from_value::<Manifest>(value) {
             Ok(m) => {
-                let _ = config.tell(config::Happened(FollowerEvent::Manifest(m))).await;
+                let _ = config.tell(config::HandleEvent(FollowerEvent::Manifest(m))).await;
             }
             Err(e) => log::error!("relay: the manifest cannot be read: {e}"),
         }
@@ -72,10 +73,10 @@
 }
 
 /// Reads the host list while this node is a relay, and makes `leaving` news.
-pub async fn hosts(shared: Arc<Shared>, membership: ActorRef<Membership>) {
-    let mut told: BTreeSet<Name> = BTreeSet::new();
+pub async fn watch_hosts(shared: Arc<Shared>, membership: ActorRef<Membership>) {
+    let mut announced: BTreeSet<Name> = BTreeSet::new();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if !shared.is_relay() {
             continue;
         }
@@ -85,31 +86,31 @@
         let leaving: BTreeSet<Name> =
             list.into_iter().filter(|h| h.leaving).map(|h| h.host).collect();
         shared.leaving.store(Arc::new(leaving.clone()));
-        let accepted = shared.accepted.load_full();
-        let targets = accepted.set.pools.values().flat_map(|p| &p.targets);
+        let applied = shared.applied.load_full();
+        let targets = applied.set.pools.values().flat_map(|p| &p.targets);
         for t in targets.filter(|t| leaving.contains(&t.host)) {
-            if told.insert(t.name.clone()) {
+            if announced.insert(t.name.clone()) {
                 log::info!("relay: host {} is leaving, with target {}.", t.host, t.name);
-                leave(&shared, &membership, &t.name).await;
+                announce_leaving(&shared, &membership, &t.name).await;
             }
         }
     }
 }
 
 /// Notes that a target is leaving and tells the failure domain.
-pub async fn leave(shared: &Shared, membership: &ActorRef<Membership>, target: &Name) {
+pub async fn announce_leaving(shared: &Shared, membership: &ActorRef<Membership>, target: &Name) {
     let rumor = {
-        let mut board = shared.board();
-        let old = board.get(target).cloned();
+        let mut table = shared.load_table();
+        let old = table.get(target).cloned();
         let seq = old.as_ref().map_or(1, |n| n.seq + 1);
         let mut report = old.map(|n| n.report).unwrap_or_default();
         if report.leaving {
             return;
         }
         report = TargetReport { target: target.clone(), leaving: true, seq, ..report };
-        board.record_poll(report)
+        table.record_poll(report)
     };
     if let Some(rumor) = rumor {
-        let _ = membership.tell(membership::Happened(MemberEvent::Load(rumor))).await;
+        let _ = membership.tell(membership::HandleEvent(MemberEvent::Load(rumor))).await;
     }
 }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -16,10 +16,10 @@
 use crate::shared::Shared;
 
 /// Largest message.
-const MESSAGE_MAX: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// Answers entry node, peers and people.
-pub struct Side {
+pub struct ControlHandler {
     /// Shared.
     pub shared: Arc<Shared>,
     /// Configuration.
@@ -28,41 +28,41 @@
     pub membership: ActorRef<Membership>,
 }
 
-fn not_understood() -> Response<Body> {
+fn bad_request() -> Response<Body> {
     text(StatusCode::BAD_REQUEST, "not understood")
 }
 
-fn busy() -> Response<Body> {
+fn unavailable() -> Response<Body> {
     text(StatusCode::SERVICE_UNAVAILABLE, "stopping")
 }
 
-impl Handler for Side {
+impl Handler for ControlHandler {
     async fn call(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         match request.uri().path() {
-            path::VIEW => match read_rmp::<ViewRequest>(request, MESSAGE_MAX).await {
-                Some(ask) => rmp(&self.view(ask)),
-                None => not_understood(),
+            path::VIEW => match read_rmp::<ViewRequest>(request, MAX_MESSAGE_BYTES).await {
+                Some(query) => rmp(&self.view(query)),
+                None => bad_request(),
             },
-            path::DELTA => match read_rmp::<DeltaRequest>(request, MESSAGE_MAX).await {
-                Some(ask) => match self.config.ask(GetDelta(ask)).await {
+            path::DELTA => match read_rmp::<DeltaRequest>(request, MAX_MESSAGE_BYTES).await {
+                Some(query) => match self.config.ask(GetDelta(query)).await {
                     Ok(reply) => rmp(&reply.0),
-                    Err(_) => busy(),
+                    Err(_) => unavailable(),
                 },
-                None => not_understood(),
+                None => bad_request(),
             },
-            path::CHUNKS => match read_rmp::<ChunksRequest>(request, MESSAGE_MAX).await {
-                Some(ask) => match self.config.ask(GetChunks(ask)).await {
+            path::CHUNKS => match read_rmp::<ChunksRequest>(request, MAX_MESSAGE_BYTES).await {
+                Some(query) => match self.config.ask(GetChunks(query)).await {
                     Ok(reply) => rmp(&reply.0),
-                    Err(_) => busy(),
+                    Err(_) => unavailable(),
                 },
-                None => not_understood(),
+                None => bad_request(),
             },
-            path::REFUSED => match read_rmp::<Refusal>(request, MESSAGE_MAX).await {
+            path::REFUSED => match read_rmp::<Refusal>(request, MAX_MESSAGE_BYTES).await {
                 Some(r) => {
-                    relay::leave(&self.shared, &self.membership, &r.target).await;
+                    relay::announce_leaving(&self.shared, &self.membership, &r.target).await;
                     rmp(&())
                 }
-                None => not_understood(),
+                None => bad_request(),
             },
             "/healthz" => text(StatusCode::OK, "ok\n"),
             "/status" => self.status(),
@@ -72,15 +72,15 @@
     }
 }
 
-impl Side {
-    fn view(&self, ask: ViewRequest) -> View {
+impl ControlHandler {
+    fn view(&self, query: ViewRequest) -> View {
         let members = self.shared.members.load();
-        let board = self.shared.board();
+        let table = self.shared.load_table();
         View {
-            number: self.shared.accepted.load().number,
+            number: self.shared.applied.load().number,
             members: members.nodes.clone(),
-            changes: board.changes(),
-            news: board.since(ask.changes).cloned().collect(),
+            changes: table.changes(),
+            news: table.since(query.changes).cloned().collect(),
             leaving: self.shared.leaving.load().iter().cloned().collect(),
         }
     }
@@ -88,9 +88,9 @@
     fn status(&self) -> Response<Body> {
         let members = self.shared.members.load();
         let names: Vec<_> = members.nodes.iter().map(|n| n.id.name.clone()).collect();
-        let (nodes, applied, lowest) = members.in_force;
+        let (nodes, applied, lowest) = members.manifest_progress;
         let status = json!({
-            "number": self.shared.accepted.load().number,
+            "number": self.shared.applied.load().number,
             "nodes": nodes,
             "applied": applied,
             "lowest": lowest,
@@ -103,7 +103,7 @@
     /// Plain gauges and counters; the node has few enough to write them out.
     fn metrics(&self) -> String {
         let members = self.shared.members.load();
-        let number = self.shared.accepted.load().number;
+        let number = self.shared.applied.load().number;
         let mut out = String::new();
         let mut line = |name: &str, label: &str, value: u64| {
             out.push_str(&format!("pumicevale_control_{name}{label} {value}\n"));
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -41,9 +41,9 @@
 }
 
 /// Least lease period, milliseconds: several round trips to the platform.
-const LEASE_LEAST: u64 = 500;
+const MIN_LEASE_PERIOD_MS: u64 = 500;
 /// Least poll period, milliseconds.
-const POLL_LEAST: u64 = 50;
+const MIN_POLL_PERIOD_MS: u64 = 50;
 
 fn store_rate() -> f64 {
     20.0
@@ -63,19 +63,19 @@
             model::name::check(name).map_err(|e| BadValue::new(field, e.to_string()))?;
         }
         if self.address.ip().is_unspecified() {
-            let why = "peers must be able to reach it, so it can't be 0.0.0.0";
-            return Err(BadValue::new("address", why));
+            let reason = "peers must be able to reach it, so it can't be 0.0.0.0";
+            return Err(BadValue::new("address", reason));
         }
         if !(self.store_rate > 0.0 && self.store_rate.is_finite()) {
             return Err(BadValue::new("store_rate", "must be more than 0 calls a second"));
         }
-        if self.lease_period < LEASE_LEAST {
-            let why = format!("must be {LEASE_LEAST} milliseconds or more");
-            return Err(BadValue::new("lease_period", why));
+        if self.lease_period < MIN_LEASE_PERIOD_MS {
+            let reason = format!("must be {MIN_LEASE_PERIOD_MS} milliseconds or more");
+            return Err(BadValue::new("lease_period", reason));
         }
-        if self.poll_period < POLL_LEAST {
-            let why = format!("must be {POLL_LEAST} milliseconds or more");
-            return Err(BadValue::new("poll_period", why));
+        if self.poll_period < MIN_POLL_PERIOD_MS {
+            let reason = format!("must be {MIN_POLL_PERIOD_MS} milliseconds or more");
+            return Err(BadValue::new("poll_period", reason));
         }
         Ok(())
     }
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -16,7 +16,7 @@
 
 /// Accepted configuration on this node.
 #[derive(Debug, Default)]
-pub struct Accepted {
+pub struct AppliedConfig {
     /// Manifest in force.
     pub number: u64,
     /// Objects.
@@ -31,7 +31,7 @@
     /// Names of the nodes that hold watches and may take leases.
     pub relays: Vec<Name>,
     /// Nodes up, those with this node's manifest in force, and the lowest manifest.
-    pub in_force: (usize, usize, u64),
+    pub manifest_progress: (usize, usize, u64),
 }
 
 /// Shared by all parts.
@@ -49,9 +49,9 @@
     /// Membership.
     pub members: ArcSwap<Members>,
     /// Configuration.
-    pub accepted: ArcSwap<Accepted>,
+    pub applied: ArcSwap<AppliedConfig>,
     /// Loads.
-    pub board: Mutex<LoadTable>,
+    pub load_table: Mutex<LoadTable>,
     /// Hosts that are leaving, as this node knows.
     pub leaving: ArcSwap<BTreeSet<Name>>,
 }
@@ -63,7 +63,7 @@
     }
 
     /// Locks the loads.
-    pub fn board(&self) -> std::sync::MutexGuard<'_, LoadTable> {
-        self.board.lock().expect("no panic while held")
+    pub fn load_table(&self) -> std::sync::MutexGuard<'_, LoadTable> {
+        self.load_table.lock().expect("no panic while held")
     }
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -9,28 +9,28 @@
 /// Media type of a call.
 const JSON: &str = "application/json";
 /// Body of the refusal that says a target is leaving.
-const LEAVING: &str = "leaving";
+const LEAVING_BODY: &str = "leaving";
 
 /// What an attempt tells the request.
 #[derive(Debug)]
-pub enum Told {
+pub enum AttemptEvent {
     /// An event for the machine.
     Event(Event),
     /// The target refused because it is leaving.
-    Leaving(Attempt),
+    TargetLeaving(Attempt),
 }
 
 /// Sends a call and passes on what comes, until the stream ends.
-pub async fn run(client: Client, peer: String, call: Call, out: UnboundedSender<Told>) {
+pub async fn run(client: Client, peer: String, call: Call, out: UnboundedSender<AttemptEvent>) {
     let attempt = call.attempt.clone();
     let body = serde_json::to_vec(&call).expect("calls encode");
     let response = match client.post(&peer, "/run", JSON, body).await {
         Ok(response) => response,
         Err(e) => {
-            if e.status() == Some(503) && e.to_string().ends_with(LEAVING) {
-                let _ = out.send(Told::Leaving(attempt.clone()));
+            if e.status() == Some(503) && e.to_string().ends_with(LEAVING_BODY) {
+                let _ = out.send(AttemptEvent::TargetLeaving(attempt.clone()));
             }
-            let _ = out.send(Told::Event(refused(attempt, e)));
+            let _ = out.send(AttemptEvent::Event(failure_event(attempt, e)));
             return;
         }
     };
@@ -39,7 +39,7 @@
         match lines.next().await {
             Ok(Some(line)) => match serde_json::from_slice::<Frame>(&line) {
                 Ok(frame) => {
-                    if out.send(Told::Event(Event::Frame(frame))).is_err() {
+                    if out.send(AttemptEvent::Event(Event::Frame(frame))).is_err() {
                         return;
                     }
                 }
@@ -49,12 +49,12 @@
             Err(e) => break Reason::Broken(e.kind.to_string()),
         }
     };
-    let _ = out.send(Told::Event(Event::Closed { attempt, reason }));
+    let _ = out.send(AttemptEvent::Event(Event::Closed { attempt, reason }));
 }
 
 /// Whether the target certainly did not run the call: it was never sent, or the
 /// target said so with 503 or a 4xx; a 500 says nothing.
-fn refused(attempt: Attempt, e: CallError) -> Event {
+fn failure_event(attempt: Attempt, e: CallError) -> Event {
     match e.kind {
         CallKind::NotSent(why) => Event::NotSent { attempt, reason: Reason::Unreachable(why) },
         CallKind::Status(503 | 400..=499, why) => {
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -22,145 +22,149 @@
 use crate::node::Core;
 
 /// Longest wait for the home node before this node commits by itself.
-const HOME_WAIT: Duration = Duration::from_millis(400);
+const HOME_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Front of the claims.
 #[derive(Debug, Clone)]
-pub struct ClaimDesk {
-    keeper: Option<ActorRef<Keeper>>,
+pub struct ClaimClient {
+    actor: Option<ActorRef<CommitActor>>,
 }
 
-impl ClaimDesk {
+impl ClaimClient {
     /// A desk over a store; without one every claim fails.
     pub fn new(store: Option<Arc<BudgetedStore>>, clock: Clock) -> Self {
-        let keeper = store.map(|store| Keeper::spawn(KeeperArgs { store, clock }));
-        ClaimDesk { keeper }
+        let actor = store.map(|store| CommitActor::spawn(CommitArgs { store, clock }));
+        ClaimClient { actor }
     }
 
     /// Claims at the shard's home node, else here.
-    pub async fn claim(&self, core: &Core, ask: ClaimRequest, until: Time) -> ClaimOutcome {
-        let object = ask.key.claim_object();
+    pub async fn claim(&self, core: &Core, claim: ClaimRequest, expires: Time) -> ClaimOutcome {
+        let object = claim.key.claim_object();
         let members = core.members.load();
         let home = hash::rendezvous(&object, members.iter().map(|m| &m.id.name), 1);
         let home = home.first().filter(|h| **h != core.settings.name);
         if let Some(node) = home.and_then(|h| members.iter().find(|m| m.id.name == *h)) {
             let peer = node.entry.to_string();
-            let call = core.client.rmp::<_, ClaimOutcome>(&peer, path::CLAIM, &ask, HOME_WAIT);
+            let call = core.client.rmp::<_, ClaimOutcome>(&peer, path::CLAIM, &claim, HOME_TIMEOUT);
             match call.await {
-                Ok(end) if end != ClaimOutcome::Failed => return end,
+                Ok(outcome) if outcome != ClaimOutcome::Failed => return outcome,
                 Ok(_) => {}
                 Err(e) => log::debug!("claim: home did not answer: {e}"),
             }
         }
-        self.commit(ask, until).await
+        self.commit(claim, expires).await
     }
 
     /// Claims by this node's own write.
-    pub async fn commit(&self, ask: ClaimRequest, until: Time) -> ClaimOutcome {
-        let Some(keeper) = &self.keeper else {
+    pub async fn commit(&self, claim: ClaimRequest, expires: Time) -> ClaimOutcome {
+        let Some(actor) = &self.actor else {
             return ClaimOutcome::Failed;
         };
-        let (answer, end) = oneshot::channel();
-        if keeper.tell(Want { ask, until, answer }).await.is_err() {
+        let (reply, outcome) = oneshot::channel();
+        if actor.tell(CommitRequest { claim, expires, reply }).await.is_err() {
             return ClaimOutcome::Failed;
         }
-        end.await.unwrap_or(ClaimOutcome::Doubt)
+        outcome.await.unwrap_or(ClaimOutcome::Doubt)
     }
 }
 
 /// What the keeper starts with.
-pub struct KeeperArgs {
+pub struct CommitArgs {
     store: Arc<BudgetedStore>,
     clock: Clock,
 }
 
-struct Want {
-    ask: ClaimRequest,
-    until: Time,
-    answer: oneshot::Sender<ClaimOutcome>,
+struct CommitRequest {
+    claim: ClaimRequest,
+    expires: Time,
+    reply: oneshot::Sender<ClaimOutcome>,
 }
 
-struct Happened(Event);
+struct HandleEvent(Event);
 
 /// Wraps the [`Committer`].
-pub struct Keeper {
+pub struct CommitActor {
     store: Arc<BudgetedStore>,
     clock: Clock,
     committer: Committer,
-    answers: HashMap<u64, oneshot::Sender<ClaimOutcome>>,
-    ticket: u64,
-    tick: Option<Time>,
+    replies: HashMap<u64, oneshot::Sender<ClaimOutcome>>,
+    last_ticket: u64,
+    scheduled_tick: Option<Time>,
 }
 
-impl Actor for Keeper {
-    type Args = KeeperArgs;
+impl Actor for CommitActor {
+    type Args = CommitArgs;
     type Error = Infallible;
 
-    async fn on_start(args: KeeperArgs, _: ActorRef<Self>) -> Result<Self, Infallible> {
-        Ok(Keeper {
+    async fn on_start(args: CommitArgs, _: ActorRef<Self>) -> Result<Self, Infallible> {
+        Ok(CommitActor {
             store: args.store,
             clock: args.clock,
             committer: Committer::default(),
-            answers: HashMap::new(),
-            ticket: 0,
-            tick: None,
+            replies: HashMap::new(),
+            last_ticket: 0,
+            scheduled_tick: None,
         })
     }
 }
 
-impl Message<Want> for Keeper {
+impl Message<CommitRequest> for CommitActor {
     type Reply = ();
 
-    async fn handle(&mut self, w: Want, ctx: &mut Context<Self, ()>) {
-        self.ticket += 1;
-        self.answers.insert(self.ticket, w.answer);
-        let event =
-            Event::Claim { ask: w.ask, ticket: self.ticket, unix_ms: unix_ms(), expires: w.until };
-        self.feed(event, ctx.actor_ref());
+    async fn handle(&mut self, w: CommitRequest, ctx: &mut Context<Self, ()>) {
+        self.last_ticket += 1;
+        self.replies.insert(self.last_ticket, w.reply);
+        let event = Event::Claim {
+            ask: w.claim,
+            ticket: self.last_ticket,
+            unix_ms: unix_ms(),
+            expires: w.expires,
+        };
+        self.handle_event(event, ctx.actor_ref());
     }
 }
 
-impl Message<Happened> for Keeper {
+impl Message<HandleEvent> for CommitActor {
     type Reply = ();
 
-    async fn handle(&mut self, h: Happened, ctx: &mut Context<Self, ()>) {
+    async fn handle(&mut self, h: HandleEvent, ctx: &mut Context<Self, ()>) {
         if h.0 == Event::Tick {
-            self.tick = None;
+            self.scheduled_tick = None;
         }
-        self.feed(h.0, ctx.actor_ref());
+        self.handle_event(h.0, ctx.actor_ref());
     }
 }
 
-impl Keeper {
-    fn feed(&mut self, event: Event, me: &ActorRef<Self>) {
+impl CommitActor {
+    fn handle_event(&mut self, event: Event, me: &ActorRef<Self>) {
         for action in self.committer.handle_event(self.clock.now(), event) {
-            if let Action::Answer { ticket, end } = action {
-                if let Some(answer) = self.answers.remove(&ticket) {
-                    let _ = answer.send(end);
+            if let Action::Answer { ticket, end: outcome } = action {
+                if let Some(reply) = self.replies.remove(&ticket) {
+                    let _ = reply.send(outcome);
                 }
                 continue;
             }
             let (store, me) = (self.store.clone(), me.clone());
             tokio::spawn(async move {
                 let event = perform(&store, action).await;
-                let _ = me.tell(Happened(event)).await;
+                let _ = me.tell(HandleEvent(event)).await;
             });
         }
-        self.wake(me);
+        self.schedule_tick(me);
     }
 
-    fn wake(&mut self, me: &ActorRef<Self>) {
+    fn schedule_tick(&mut self, me: &ActorRef<Self>) {
         let Some(at) = self.committer.next_tick() else {
             return;
         };
-        if self.tick.is_some_and(|t| t <= at) {
+        if self.scheduled_tick.is_some_and(|t| t <= at) {
             return;
         }
-        self.tick = Some(at);
+        self.scheduled_tick = Some(at);
         let (clock, me) = (self.clock, me.clone());
         tokio::spawn(async move {
             clock.sleep_until(at).await;
-            let _ = me.tell(Happened(Event::Tick)).await;
+            let _ = me.tell(HandleEvent(Event::Tick)).await;
         });
     }
 }
@@ -181,7 +185,7 @@
         }
         Action::Write { object, expect, claims } => {
             let value = serde_json::to_value(&claims).expect("claims encode");
-            let end = match store.put(kind::CLAIM, &object, expect, Some(value)).await {
+            let outcome = match store.put(kind::CLAIM, &object, expect, Some(value)).await {
                 Ok(version) => WriteOutcome::Done(version),
                 Err(e) => match e.kind {
                     ErrorKind::Conflict => WriteOutcome::Conflict,
@@ -189,7 +193,7 @@
                     _ => WriteOutcome::NotSent,
                 },
             };
-            Event::Written { object, end }
+            Event::Written { object, end: outcome }
         }
         Action::Answer { .. } => Event::Tick,
     }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -18,16 +18,16 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-use crate::attempt::{self, Told};
+use crate::attempt::{self, AttemptEvent};
 use crate::fleet::{Config, Pool};
 use crate::node::Core;
 
 /// Longest wait for the answer to a claim.
-const CLAIM_WAIT: Duration = Duration::from_millis(1500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// One admitted request.
 #[derive(Debug)]
-pub struct Job {
+pub struct RequestJob {
     /// Request id.
     pub request: Name,
     /// Pipeline's name.
@@ -47,60 +47,65 @@
     /// When the answer is due.
     pub deadline: Time,
     /// When nobody waits any longer.
-    pub until: Time,
+    pub expires: Time,
     /// Whether pieces go out as they come.
     pub streamed: bool,
 }
 
 /// What the caller's side hears.
 #[derive(Debug)]
-pub enum Out {
+pub enum ResponseEvent {
     /// A piece of the last step's text.
-    Piece(ChunkEvent),
+    Chunk(ChunkEvent),
     /// The end, with the whole text where it is complete.
     End(Box<RequestReport>, String),
 }
 
-struct Flight {
+struct ActiveAttempt {
     pool: Arc<Pool>,
     target: Name,
     sent: Time,
-    expected: f64,
-    first: bool,
+    expected_wait: f64,
+    responded: bool,
     task: AbortHandle,
 }
 
 struct Driver {
     core: Arc<Core>,
     config: Arc<Config>,
-    job: Job,
+    job: RequestJob,
     pipeline: Pipeline,
-    run: RequestMachine,
-    flights: HashMap<Attempt, Flight>,
+    machine: RequestMachine,
+    in_flight: HashMap<Attempt, ActiveAttempt>,
     picked: Option<(Name, f64)>,
-    told: mpsc::UnboundedSender<Told>,
-    out: mpsc::Sender<Out>,
-    wakes: Vec<Time>,
-    step_begun: Time,
+    attempt_tx: mpsc::UnboundedSender<AttemptEvent>,
+    out: mpsc::Sender<ResponseEvent>,
+    wakeups: Vec<Time>,
+    step_started: Time,
     prefix: u64,
 }
 
-struct Budgets<'a> {
+struct RetryBudgets<'a> {
     core: &'a Core,
     pipeline: &'a Pipeline,
 }
 
-impl RetryPolicy for Budgets<'_> {
+impl RetryPolicy for RetryBudgets<'_> {
     fn allow_retry(&mut self, step: usize) -> bool {
         let stage = &self.pipeline.stages[step];
         let taken = self.core.fleet.pool(&stage.pool).is_some_and(|p| p.lock().budget.take());
-        self.core.metrics.retry(&stage.name, taken);
+        self.core.metrics.record_retry(&stage.name, taken);
         taken
     }
 }
 
 /// Runs a request to its end.
-pub async fn run(core: Arc<Core>, config: Arc<Config>, job: Job, out: mpsc::Sender<Out>) {
+pub async fn run(
+    core: Arc<Core>,
+    config: Arc<Config>,
+    job: RequestJob,
+    out: mpsc::Sender<ResponseEvent>,
+) {
     let Some(pipeline) = config.set.pipelines.get(&job.pipeline).cloned() else {
         return;
     };
@@ -108,90 +113,94 @@
         request: job.request.clone(),
         steps: core.fleet.step_plans(&job.pipeline, &pipeline, core.settings.hedging),
         deadline: job.deadline,
-        expires: job.until,
+        expires: job.expires,
         key: job.key,
         streamed: job.streamed,
         seed: model::hash::hash64(job.request.as_bytes()),
     };
     let now = core.clock.now();
-    let (told, mut hear) = mpsc::unbounded_channel();
-    let head = match &job.session {
+    let (attempt_tx, mut attempt_events) = mpsc::unbounded_channel();
+    let prefix_text = match &job.session {
         Some(s) => s.clone(),
-        None => prompt_head(&job.input),
+        None => prompt_prefix(&job.input),
     };
     let mut d = Driver {
-        run: RequestMachine::new(plan, job.arrived),
-        flights: HashMap::new(),
+        machine: RequestMachine::new(plan, job.arrived),
+        in_flight: HashMap::new(),
         picked: None,
-        told,
+        attempt_tx,
         out,
-        wakes: Vec::new(),
-        step_begun: now,
-        prefix: prefix(&head),
+        wakeups: Vec::new(),
+        step_started: now,
+        prefix: prefix(&prefix_text),
         core,
         config,
         job,
         pipeline,
     };
-    d.feed(Event::Start).await;
-    while !d.run.is_finished() {
-        let wake = d.wakes.iter().min().copied().unwrap_or(Time::NEVER);
+    d.handle_event(Event::Start).await;
+    while !d.machine.is_finished() {
+        let wake = d.wakeups.iter().min().copied().unwrap_or(Time::NEVER);
         let clock = d.core.clock;
         tokio::select! {
             biased;
-            Some(told) = hear.recv() => d.hear(told).await,
-            () = d.out.closed() => d.feed(Event::CallerGone).await,
+            Some(event) = attempt_events.recv() => d.handle_attempt(event).await,
+            () = d.out.closed() => d.handle_event(Event::CallerGone).await,
             () = clock.sleep_until(wake) => {
                 let now = d.core.clock.now();
-                d.wakes.retain(|w| *w > now);
-                d.feed(Event::Tick).await;
+                d.wakeups.retain(|w| *w > now);
+                d.handle_event(Event::Tick).await;
             }
         }
     }
-    d.core.metrics.strays(d.run.strays());
+    d.core.metrics.record_strays(d.machine.strays());
 }
 
-fn prompt_head(input: &Value) -> String {
+fn prompt_prefix(input: &Value) -> String {
     let text = |f: &str| input[f].as_str().unwrap_or_default();
-    let own = text("prompt");
-    if own.is_empty() { format!("{}\n{}", text("instruction"), text("text")) } else { own.into() }
+    let prompt = text("prompt");
+    if prompt.is_empty() {
+        format!("{}\n{}", text("instruction"), text("text"))
+    } else {
+        prompt.into()
+    }
 }
 
 impl Driver {
-    async fn hear(&mut self, told: Told) {
-        match told {
-            Told::Leaving(attempt) => {
-                if let Some(f) = self.flights.get(&attempt) {
+    async fn handle_attempt(&mut self, event: AttemptEvent) {
+        match event {
+            AttemptEvent::TargetLeaving(attempt) => {
+                if let Some(f) = self.in_flight.get(&attempt) {
                     f.pool.lock().table.mark_leaving(&f.target);
                     self.core.report_refusal(f.target.clone());
                 }
             }
-            Told::Event(event) => {
-                self.note(&event);
-                self.feed(event).await;
+            AttemptEvent::Event(event) => {
+                self.record_event(&event);
+                self.handle_event(event).await;
             }
         }
     }
 
     /// Keeps the target tables up with what came back.
-    fn note(&mut self, event: &Event) {
+    fn record_event(&mut self, event: &Event) {
         let now = self.core.clock.now();
         match event {
             Event::Frame(frame) => {
-                let Some(f) = self.flights.get_mut(frame.attempt()) else {
+                let Some(f) = self.in_flight.get_mut(frame.attempt()) else {
                     return;
                 };
-                if !f.first {
-                    f.first = true;
+                if !f.responded {
+                    f.responded = true;
                     let took = now.since(f.sent);
-                    f.pool.lock().table.record_first_frame(now, &f.target, f.expected, took);
+                    f.pool.lock().table.record_first_frame(now, &f.target, f.expected_wait, took);
                 }
                 if let Frame::End { wait, .. } = frame {
                     f.pool.lock().table.record_wait(now, &f.target, *wait);
                 }
             }
             Event::NotSent { attempt, .. } | Event::Closed { attempt, .. } => {
-                if let Some(f) = self.flights.remove(attempt)
+                if let Some(f) = self.in_flight.remove(attempt)
                     && f.pool.lock().table.record_failure(now, &f.target)
                 {
                     log::warn!("route: {} failed again and again, ejected.", f.target);
@@ -201,18 +210,18 @@
         }
     }
 
-    async fn feed(&mut self, event: Event) {
+    async fn handle_event(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let now = self.core.clock.now();
-            let done = self.run.results().len();
-            let mut permit = Budgets { core: &self.core, pipeline: &self.pipeline };
-            let actions = self.run.handle_event(now, event, &mut permit);
-            if self.run.results().len() > done {
+            let done = self.machine.results().len();
+            let mut retry_budgets = RetryBudgets { core: &self.core, pipeline: &self.pipeline };
+            let actions = self.machine.handle_event(now, event, &mut retry_budgets);
+            if self.machine.results().len() > done {
                 self.step_done(now, done);
             }
             for action in actions {
-                if let Some(next) = self.act(now, action).await {
+                if let Some(next) = self.perform(now, action).await {
                     events.push(next);
                 }
             }
@@ -221,16 +230,16 @@
 
     /// Every attempt still in the air at a step's end has answered or lost.
     fn step_done(&mut self, now: Time, step: usize) {
-        self.core.fleet.step_took(&self.job.pipeline, step, now.since(self.step_begun));
-        for (_, f) in self.flights.drain() {
+        self.core.fleet.record_step(&self.job.pipeline, step, now.since(self.step_started));
+        for (_, f) in self.in_flight.drain() {
             let mut pool = f.pool.lock();
             pool.table.record_success(now, &f.target);
             pool.budget.success();
         }
-        self.step_begun = now;
+        self.step_started = now;
     }
 
-    async fn act(&mut self, now: Time, action: Action) -> Option<Event> {
+    async fn perform(&mut self, now: Time, action: Action) -> Option<Event> {
         match action {
             Action::Claim(key) => Some(Event::Claim(self.claim(key).await)),
             Action::PickTarget { step, exclude } => Some(self.pick(now, step, &exclude)),
@@ -244,15 +253,15 @@
             }
             Action::Emit(piece) => {
                 // A caller that reads slowly holds its own request back, nobody else's.
-                let _ = self.out.send(Out::Piece(piece)).await;
+                let _ = self.out.send(ResponseEvent::Chunk(piece)).await;
                 None
             }
             Action::WakeAt(at) => {
-                self.wakes.push(at);
+                self.wakeups.push(at);
                 None
             }
-            Action::Finish(end) => {
-                self.finish(end).await;
+            Action::Finish(report) => {
+                self.finish(report).await;
                 None
             }
         }
@@ -260,9 +269,9 @@
 
     async fn claim(&mut self, key: Key) -> ClaimOutcome {
         let now = self.core.clock.now();
-        let until = self.job.until.min(now + CLAIM_WAIT);
-        let ask = ClaimRequest { key, request: self.job.request.clone() };
-        self.core.claims.claim(&self.core, ask, until).await
+        let expires = self.job.expires.min(now + CLAIM_TIMEOUT);
+        let claim = ClaimRequest { key, request: self.job.request.clone() };
+        self.core.claims.claim(&self.core, claim, expires).await
     }
 
     fn pick(&mut self, now: Time, step: usize, tried: &[Name]) -> Event {
@@ -275,11 +284,11 @@
         let left = self.core.fleet.step_budget(&self.job.pipeline, step, now, self.job.deadline);
         let budget = left.as_secs_f64() * 1e3;
         let model = model.as_deref();
-        let ask = RouteQuery { now, prefix: self.prefix, model, budget, tried };
-        let again = RouteQuery { tried: &[], ..ask };
+        let query = RouteQuery { now, prefix: self.prefix, model, budget, tried };
+        let any_target = RouteQuery { tried: &[], ..query };
         let fleet = &self.core.fleet;
         // A target that failed this step before is better than none.
-        match fleet.pick(&pool, &ask).or_else(|| fleet.pick(&pool, &again)) {
+        match fleet.pick(&pool, &query).or_else(|| fleet.pick(&pool, &any_target)) {
             Some((target, wait)) => {
                 self.picked = Some((target.clone(), wait));
                 Event::TargetPicked(target)
@@ -299,12 +308,12 @@
         let step = usize::from(attempt.step);
         let stage = &self.pipeline.stages[step];
         let Some(pool) = self.core.fleet.pool(&stage.pool) else {
-            return self.unsendable(attempt);
+            return self.report_unsendable(attempt);
         };
         let Some(address) = pool.addresses.get(&target).cloned() else {
-            return self.unsendable(attempt);
+            return self.report_unsendable(attempt);
         };
-        let expected = match self.picked.take() {
+        let expected_wait = match self.picked.take() {
             Some((picked, wait)) if picked == target => wait,
             // A resume goes to a target that the router did not count.
             _ => pool.lock().table.record_sent(now, &target),
@@ -320,22 +329,23 @@
             priority: self.job.priority as u8,
             budget: budget.as_millis() as u64,
             input: self.step_input(step),
-            prior: self.run.partial_text().to_string(),
+            prior: self.machine.partial_text().to_string(),
             from,
             resume,
         };
         let client = self.core.client.clone();
         let peer = address.to_string();
-        let task = tokio::spawn(attempt::run(client, peer, call, self.told.clone()));
+        let task = tokio::spawn(attempt::run(client, peer, call, self.attempt_tx.clone()));
         let task = task.abort_handle();
-        let flight = Flight { pool, target, sent: now, expected, first: false, task };
-        self.flights.insert(attempt, flight);
+        let active =
+            ActiveAttempt { pool, target, sent: now, expected_wait, responded: false, task };
+        self.in_flight.insert(attempt, active);
     }
 
     /// The configuration moved on between the choice and the send.
-    fn unsendable(&self, attempt: Attempt) {
+    fn report_unsendable(&self, attempt: Attempt) {
         let reason = model::outcome::Reason::NoTarget;
-        let _ = self.told.send(Told::Event(Event::NotSent { attempt, reason }));
+        let _ = self.attempt_tx.send(AttemptEvent::Event(Event::NotSent { attempt, reason }));
     }
 
     fn step_input(&self, step: usize) -> Value {
@@ -343,7 +353,7 @@
             .pipeline
             .stages
             .iter()
-            .zip(self.run.results())
+            .zip(self.machine.results())
             .take(step)
             .map(|(s, r)| (s.name.to_string(), Value::from(r.as_str())))
             .collect();
@@ -351,7 +361,7 @@
     }
 
     fn cancel(&mut self, attempt: Attempt, target: &Name) {
-        let Some(f) = self.flights.remove(&attempt) else {
+        let Some(f) = self.in_flight.remove(&attempt) else {
             return;
         };
         f.task.abort();
@@ -361,20 +371,20 @@
         }
     }
 
-    async fn finish(&mut self, end: RequestReport) {
-        for (_, f) in self.flights.drain() {
+    async fn finish(&mut self, report: RequestReport) {
+        for (_, f) in self.in_flight.drain() {
             f.pool.lock().table.record_cancel(&f.target);
         }
-        self.core.metrics.ended(&self.job.pipeline, &self.job.workspace, &end);
-        if let Some(e) = &end.error {
-            log::info!("request: {} {}: {e}", self.job.request, end.outcome.as_str());
+        self.core.metrics.record_request(&self.job.pipeline, &self.job.workspace, &report);
+        if let Some(e) = &report.error {
+            log::info!("request: {} {}: {e}", self.job.request, report.outcome.as_str());
         } else {
-            log::debug!("request: {} {}.", self.job.request, end.outcome.as_str());
+            log::debug!("request: {} {}.", self.job.request, report.outcome.as_str());
         }
-        let text = match end.outcome {
-            model::outcome::Outcome::Complete => self.run.results().last().cloned(),
+        let text = match report.outcome {
+            model::outcome::Outcome::Complete => self.machine.results().last().cloned(),
             _ => None,
         };
-        let _ = self.out.send(Out::End(Box::new(end), text.unwrap_or_default())).await;
+        let _ = self.out.send(ResponseEvent::End(Box::new(report), text.unwrap_or_default())).await;
     }
 }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -16,7 +16,7 @@
 use model::{Name, Time};
 
 /// Most steps of a pipeline.
-const STEPS_MAX: usize = 16;
+const MAX_STEPS: usize = 16;
 
 /// Configuration in force.
 #[derive(Debug, Default)]
@@ -36,12 +36,12 @@
     pub role: Role,
     /// Targets and their addresses.
     pub addresses: HashMap<Name, Name>,
-    inner: Arc<Mutex<PoolInner>>,
+    state: Arc<Mutex<PoolState>>,
 }
 
 /// The part of a pool that decisions change.
 #[derive(Debug)]
-pub struct PoolInner {
+pub struct PoolState {
     /// Targets.
     pub table: PoolTable,
     /// Routing policy.
@@ -52,24 +52,24 @@
 
 impl Pool {
     /// Locks the pool for one decision.
-    pub fn lock(&self) -> MutexGuard<'_, PoolInner> {
-        self.inner.lock().expect("no panic while held")
+    pub fn lock(&self) -> MutexGuard<'_, PoolState> {
+        self.state.lock().expect("no panic while held")
     }
 }
 
-type TimesKey = (Name, usize);
+type StepKey = (Name, usize);
 
 /// Configuration, pools and times.
 #[derive(Debug)]
 pub struct Fleet {
     domain: Name,
-    near: BTreeSet<Name>,
+    region_domains: BTreeSet<Name>,
     policy: PolicyKind,
     seed: u64,
     config: ArcSwap<Config>,
     pools: RwLock<HashMap<Name, Arc<Pool>>>,
-    owners: RwLock<HashMap<Name, Name>>,
-    times: Mutex<HashMap<TimesKey, StepTimes>>,
+    target_pools: RwLock<HashMap<Name, Name>>,
+    step_times: Mutex<HashMap<StepKey, StepTimes>>,
     leaving: Mutex<BTreeSet<Name>>,
 }
 
@@ -78,13 +78,13 @@
     pub fn new(domain: Name, near: &[Name], policy: PolicyKind, seed: u64) -> Self {
         Fleet {
             domain,
-            near: near.iter().cloned().collect(),
+            region_domains: near.iter().cloned().collect(),
             policy,
             seed,
             config: ArcSwap::default(),
             pools: RwLock::default(),
-            owners: RwLock::default(),
-            times: Mutex::default(),
+            target_pools: RwLock::default(),
+            step_times: Mutex::default(),
             leaving: Mutex::default(),
         }
     }
@@ -117,17 +117,17 @@
             || change.removed.iter().any(|k| k.starts_with("Pool/"));
         change.apply_to(&mut set);
         if pools_changed {
-            self.rebuild(&set);
+            self.rebuild_pools(&set);
         }
         self.config.store(Arc::new(Config { number, set }));
         let leaving = self.leaving.lock().expect("no panic while held").clone();
         self.mark_leaving(leaving);
     }
 
-    fn rebuild(&self, set: &ObjectSet) {
+    fn rebuild_pools(&self, set: &ObjectSet) {
         let mut pools = self.pools.write().expect("no panic while held");
-        let mut owners = HashMap::new();
-        let mut next = HashMap::new();
+        let mut target_pools = HashMap::new();
+        let mut rebuilt = HashMap::new();
         for (name, spec) in &set.pools {
             let infos = spec.targets.iter().map(|t| TargetInfo {
                 name: t.name.clone(),
@@ -135,9 +135,9 @@
                 domain: t.domain.clone(),
                 distance: self.distance(&t.domain),
             });
-            let inner = match pools.get(name) {
-                Some(old) if old.role == spec.role => old.inner.clone(),
-                _ => Arc::new(Mutex::new(PoolInner {
+            let state = match pools.get(name) {
+                Some(old) if old.role == spec.role => old.state.clone(),
+                _ => Arc::new(Mutex::new(PoolState {
                     table: PoolTable::default(),
                     policy: make_policy(
                         self.policy,
@@ -146,21 +146,21 @@
                     budget: RetryBudget::default(),
                 })),
             };
-            inner.lock().expect("no panic while held").table.set_targets(infos.collect());
-            owners.extend(spec.targets.iter().map(|t| (t.name.clone(), name.clone())));
+            state.lock().expect("no panic while held").table.set_targets(infos.collect());
+            target_pools.extend(spec.targets.iter().map(|t| (t.name.clone(), name.clone())));
             let addresses = spec.targets.iter().map(|t| (t.name.clone(), t.address.clone()));
             let pool =
-                Pool { cost: spec.cost, role: spec.role, addresses: addresses.collect(), inner };
-            next.insert(name.clone(), Arc::new(pool));
+                Pool { cost: spec.cost, role: spec.role, addresses: addresses.collect(), state };
+            rebuilt.insert(name.clone(), Arc::new(pool));
         }
-        *pools = next;
-        *self.owners.write().expect("no panic while held") = owners;
+        *pools = rebuilt;
+        *self.target_pools.write().expect("no panic while held") = target_pools;
     }
 
     fn distance(&self, domain: &Name) -> u8 {
         if *domain == self.domain {
             0
-        } else if self.near.contains(domain) {
+        } else if self.region_domains.contains(domain) {
             1
         } else {
             2
@@ -168,10 +168,14 @@
     }
 
     /// Takes news of a target.
-    pub fn hear(&self, now: Time, news: &TargetStatus) {
-        let owner =
-            self.owners.read().expect("no panic while held").get(&news.report.target).cloned();
-        if let Some(pool) = owner.and_then(|o| self.pool(&o)) {
+    pub fn update_target(&self, now: Time, news: &TargetStatus) {
+        let pool_name = self
+            .target_pools
+            .read()
+            .expect("no panic while held")
+            .get(&news.report.target)
+            .cloned();
+        if let Some(pool) = pool_name.and_then(|o| self.pool(&o)) {
             pool.lock().table.update(now, news);
         }
     }
@@ -196,28 +200,29 @@
     }
 
     /// Chooses a target and counts the attempt as sent; with the wait expected there.
-    pub fn pick(&self, pool: &Pool, ask: &RouteQuery) -> Option<(Name, f64)> {
-        let mut inner = pool.lock();
-        let inner = &mut *inner;
-        let i = inner.policy.pick(ask, &inner.table)?;
-        let name = inner.table.slots()[i].info.name.clone();
-        let wait = inner.table.record_sent(ask.now, &name);
+    pub fn pick(&self, pool: &Pool, query: &RouteQuery) -> Option<(Name, f64)> {
+        let mut state = pool.lock();
+        let state = &mut *state;
+        let i = state.policy.pick(query, &state.table)?;
+        let name = state.table.slots()[i].info.name.clone();
+        let wait = state.table.record_sent(query.now, &name);
         Some((name, wait))
     }
 
     /// Plans of a pipeline's steps, from the times seen so far.
     pub fn step_plans(&self, name: &Name, pipeline: &Pipeline, hedging: bool) -> Vec<StepPlan> {
-        let times = self.times.lock().expect("no panic while held");
+        let times = self.step_times.lock().expect("no panic while held");
         let plan = |(i, s): (usize, &model::object::Stage)| {
             let pool = self.pool(&s.pool);
             let engine = pool.as_ref().is_some_and(|p| p.role == Role::Engine);
-            let seen = times.get(&(name.clone(), i));
+            let observed = times.get(&(name.clone(), i));
             StepPlan {
                 name: s.name.clone(),
                 repeatable: s.repeatable,
                 continuable: engine,
-                timeout: seen.map_or_else(|| StepTimes::default().timeout(), StepTimes::timeout),
-                hedge: seen.filter(|_| hedging && !engine).and_then(StepTimes::hedge),
+                timeout: observed
+                    .map_or_else(|| StepTimes::default().timeout(), StepTimes::timeout),
+                hedge: observed.filter(|_| hedging && !engine).and_then(StepTimes::hedge),
                 cost: pool.map_or(0.0, |p| p.cost),
             }
         };
@@ -225,25 +230,25 @@
     }
 
     /// Notes how long a step took.
-    pub fn step_took(&self, pipeline: &Name, step: usize, took: Duration) {
-        let mut times = self.times.lock().expect("no panic while held");
+    pub fn record_step(&self, pipeline: &Name, step: usize, took: Duration) {
+        let mut times = self.step_times.lock().expect("no panic while held");
         times.entry((pipeline.clone(), step)).or_default().record(took);
     }
 
     /// Time that a request of `pipeline` must have when its turn comes.
-    pub fn need(&self, pipeline: &Name, steps: usize, left: Duration) -> Duration {
-        let times = self.times.lock().expect("no panic while held");
-        let seen: Vec<&StepTimes> =
+    pub fn required_time(&self, pipeline: &Name, steps: usize, left: Duration) -> Duration {
+        let times = self.step_times.lock().expect("no panic while held");
+        let observed: Vec<&StepTimes> =
             (0..steps).filter_map(|i| times.get(&(pipeline.clone(), i))).collect();
-        deadline::required_time(&seen, left)
+        deadline::required_time(&observed, left)
     }
 
     /// Budget of a step: what is left, less what later steps need.
-    pub fn step_budget(&self, pipeline: &Name, step: usize, now: Time, due: Time) -> Duration {
-        let times = self.times.lock().expect("no panic while held");
-        let behind: Vec<&StepTimes> =
-            (step + 1..STEPS_MAX).filter_map(|i| times.get(&(pipeline.clone(), i))).collect();
-        let later = deadline::median_total(&behind);
-        deadline::budget(now, due, later)
+    pub fn step_budget(&self, pipeline: &Name, step: usize, now: Time, deadline: Time) -> Duration {
+        let times = self.step_times.lock().expect("no panic while held");
+        let later_steps: Vec<&StepTimes> =
+            (step + 1..MAX_STEPS).filter_map(|i| times.get(&(pipeline.clone(), i))).collect();
+        let later = deadline::median_total(&later_steps);
+        deadline::budget(now, deadline, later)
     }
 }
--- a/crates/entry/src/front/ask.rs
+++ b/crates/entry/src/front/ask.rs
@@ -10,38 +10,38 @@
 use model::object::Priority;
 use serde_json::Value;
 
-use crate::drive::Job;
+use crate::drive::RequestJob;
 use crate::fleet::Config;
 use crate::node::Core;
 
 /// Header that names the workspace.
-const WORKSPACE: &str = "pumicevale-workspace";
+const WORKSPACE_HEADER: &str = "pumicevale-workspace";
 /// Header with a shorter deadline, milliseconds.
-const DEADLINE: &str = "pumicevale-deadline-ms";
+const DEADLINE_HEADER: &str = "pumicevale-deadline-ms";
 /// Header with a less urgent priority.
-const PRIORITY: &str = "pumicevale-priority";
+const PRIORITY_HEADER: &str = "pumicevale-priority";
 /// Header that names a session, whose requests share a home.
-const SESSION: &str = "pumicevale-session";
+const SESSION_HEADER: &str = "pumicevale-session";
 /// Header with the idempotency key.
-const KEY: &str = "idempotency-key";
+const KEY_HEADER: &str = "idempotency-key";
 /// Longest session name.
-const SESSION_MAX: usize = 256;
+const MAX_SESSION_LEN: usize = 256;
 
 /// A request that was refused before anything else happened.
 #[derive(Debug)]
-pub struct Bad {
+pub struct InvalidRequest {
     /// Status.
     pub status: StatusCode,
     /// What is wrong and what would be right.
-    pub why: String,
+    pub message: String,
 }
 
-fn bad(why: impl Into<String>) -> Bad {
-    Bad { status: StatusCode::BAD_REQUEST, why: why.into() }
+fn bad_request(message: impl Into<String>) -> InvalidRequest {
+    InvalidRequest { status: StatusCode::BAD_REQUEST, message: message.into() }
 }
 
-fn missing(why: impl Into<String>) -> Bad {
-    Bad { status: StatusCode::NOT_FOUND, why: why.into() }
+fn not_found(message: impl Into<String>) -> InvalidRequest {
+    InvalidRequest { status: StatusCode::NOT_FOUND, message: message.into() }
 }
 
 /// Reads and checks a request.
@@ -50,22 +50,25 @@
     config: &Config,
     pipeline: &str,
     request: Request<Incoming>,
-) -> Result<Job, Bad> {
+) -> Result<RequestJob, InvalidRequest> {
     let arrived = core.clock.now();
     if config.number == 0 {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        return Err(Bad { status, why: "no configuration is in force yet; come back soon".into() });
+        return Err(InvalidRequest {
+            status,
+            message: "no configuration is in force yet; come back soon".into(),
+        });
     }
-    name::check(pipeline).map_err(|e| bad(format!("pipeline: {e}")))?;
+    name::check(pipeline).map_err(|e| bad_request(format!("pipeline: {e}")))?;
     let Some(spec) = config.set.pipelines.get(pipeline) else {
-        return Err(missing(format!("no pipeline is named {pipeline:?}")));
+        return Err(not_found(format!("no pipeline is named {pipeline:?}")));
     };
     let headers = request.headers().clone();
-    let Some(workspace) = header(&headers, WORKSPACE)? else {
-        return Err(bad(format!("the header {WORKSPACE} is missing")));
+    let Some(workspace) = header(&headers, WORKSPACE_HEADER)? else {
+        return Err(bad_request(format!("the header {WORKSPACE_HEADER} is missing")));
     };
     let Some(w) = config.set.workspaces.get(workspace) else {
-        return Err(missing(format!("no workspace is named {workspace:?}")));
+        return Err(not_found(format!("no workspace is named {workspace:?}")));
     };
     let deadline = deadline(&headers, w.deadline)?;
     let priority = priority(&headers, w.priority)?;
@@ -74,14 +77,14 @@
     if let Some(step) = spec.stages.iter().find(|s| !s.repeatable)
         && key.is_none()
     {
-        return Err(bad(format!(
+        return Err(bad_request(format!(
             "step {} may not be repeated, so the request needs an Idempotency-Key (UUID version 7)",
             step.name
         )));
     }
     let input = body(core, request).await?;
     let due = arrived + Duration::from_millis(deadline);
-    Ok(Job {
+    Ok(RequestJob {
         request: core.request_id(),
         pipeline: pipeline.into(),
         workspace: workspace.into(),
@@ -91,105 +94,111 @@
         key,
         arrived,
         deadline: due,
-        until: due + Duration::from_millis(w.grace),
+        expires: due + Duration::from_millis(w.grace),
         streamed: wants_stream(&headers),
     })
 }
 
-fn header<'h>(headers: &'h HeaderMap, name: &str) -> Result<Option<&'h str>, Bad> {
+fn header<'h>(headers: &'h HeaderMap, name: &str) -> Result<Option<&'h str>, InvalidRequest> {
     let mut all = headers.get_all(name).iter();
     let Some(value) = all.next() else {
         return Ok(None);
     };
     if all.next().is_some() {
-        return Err(bad(format!("the header {name} stands more than once")));
+        return Err(bad_request(format!("the header {name} stands more than once")));
     }
-    let text = value.to_str().map_err(|_| bad(format!("the header {name} is not plain text")))?;
+    let text =
+        value.to_str().map_err(|_| bad_request(format!("the header {name} is not plain text")))?;
     Ok(Some(text))
 }
 
-fn deadline(headers: &HeaderMap, most: u64) -> Result<u64, Bad> {
-    let Some(text) = header(headers, DEADLINE)? else {
-        return Ok(most);
+fn deadline(headers: &HeaderMap, max: u64) -> Result<u64, InvalidRequest> {
+    let Some(text) = header(headers, DEADLINE_HEADER)? else {
+        return Ok(max);
     };
     match text.parse::<u64>() {
-        Ok(ms) if ms > 0 => Ok(ms.min(most)),
-        _ => {
-            Err(bad(format!("{DEADLINE}: {text:?} is not a whole number of milliseconds above 0")))
-        }
+        Ok(ms) if ms > 0 => Ok(ms.min(max)),
+        _ => Err(bad_request(format!(
+            "{DEADLINE_HEADER}: {text:?} is not a whole number of milliseconds above 0"
+        ))),
     }
 }
 
-fn priority(headers: &HeaderMap, own: Priority) -> Result<Priority, Bad> {
-    let asked = match header(headers, PRIORITY)? {
-        None => return Ok(own),
+fn priority(headers: &HeaderMap, default: Priority) -> Result<Priority, InvalidRequest> {
+    let asked = match header(headers, PRIORITY_HEADER)? {
+        None => return Ok(default),
         Some("urgent") => Priority::Urgent,
         Some("normal") => Priority::Normal,
         Some("patient") => Priority::Patient,
         Some(other) => {
-            return Err(bad(format!("{PRIORITY}: {other:?} is not urgent, normal or patient")));
+            return Err(bad_request(format!(
+                "{PRIORITY_HEADER}: {other:?} is not urgent, normal or patient"
+            )));
         }
     };
     // A caller may yield, but not push ahead of its workspace.
-    Ok(asked.max(own))
+    Ok(asked.max(default))
 }
 
-fn session(headers: &HeaderMap) -> Result<Option<String>, Bad> {
-    match header(headers, SESSION)? {
-        Some(s) if s.is_empty() || s.len() > SESSION_MAX => {
-            Err(bad(format!("{SESSION}: must have 1 to {SESSION_MAX} characters")))
-        }
+fn session(headers: &HeaderMap) -> Result<Option<String>, InvalidRequest> {
+    match header(headers, SESSION_HEADER)? {
+        Some(s) if s.is_empty() || s.len() > MAX_SESSION_LEN => Err(bad_request(format!(
+            "{SESSION_HEADER}: must have 1 to {MAX_SESSION_LEN} characters"
+        ))),
         found => Ok(found.map(String::from)),
     }
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<Key>, Bad> {
-    let Some(text) = header(headers, KEY)? else {
+fn key(headers: &HeaderMap) -> Result<Option<Key>, InvalidRequest> {
+    let Some(text) = header(headers, KEY_HEADER)? else {
         return Ok(None);
     };
-    text.parse().map(Some).map_err(|e| bad(format!("Idempotency-Key: {e}")))
+    text.parse().map(Some).map_err(|e| bad_request(format!("Idempotency-Key: {e}")))
 }
 
 fn wants_stream(headers: &HeaderMap) -> bool {
     let accept = headers.get(header::ACCEPT).and_then(|v| v.to_str().ok()).unwrap_or_default();
-    accept.contains(super::reply::EVENTS)
+    accept.contains(super::reply::EVENT_STREAM)
 }
 
-async fn body(core: &Core, request: Request<Incoming>) -> Result<Value, Bad> {
-    let most = core.settings.body_max;
+async fn body(core: &Core, request: Request<Incoming>) -> Result<Value, InvalidRequest> {
+    let max = core.settings.body_max;
     let time = Duration::from_millis(core.settings.body_time);
-    let collect = Limited::new(request.into_body(), most).collect();
+    let collect = Limited::new(request.into_body(), max).collect();
     let whole = match tokio::time::timeout(time, collect).await {
         Ok(Ok(whole)) => whole.to_bytes(),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            return Err(Bad { status, why: format!("the body may have {most} bytes at most") });
+            return Err(InvalidRequest {
+                status,
+                message: format!("the body may have {max} bytes at most"),
+            });
         }
-        Ok(Err(e)) => return Err(bad(format!("the body could not be read: {e}"))),
+        Ok(Err(e)) => return Err(bad_request(format!("the body could not be read: {e}"))),
         Err(_) => {
             let status = StatusCode::REQUEST_TIMEOUT;
-            let why = format!("the body did not arrive within {} ms", time.as_millis());
-            return Err(Bad { status, why });
+            let message = format!("the body did not arrive within {} ms", time.as_millis());
+            return Err(InvalidRequest { status, message });
         }
     };
-    let value: Value =
-        serde_json::from_slice(&whole).map_err(|e| bad(format!("the body is not JSON: {e}")))?;
+    let value: Value = serde_json::from_slice(&whole)
+        .map_err(|e| bad_request(format!("the body is not JSON: {e}")))?;
     if !value.is_object() {
-        return Err(bad("the body must be a JSON object, such as {\"text\": \"…\"}"));
+        return Err(bad_request("the body must be a JSON object, such as {\"text\": \"…\"}"));
     }
     check_types(&value)?;
     Ok(value)
 }
 
 /// Fields that every pipeline understands must have their types.
-fn check_types(value: &Value) -> Result<(), Bad> {
+fn check_types(value: &Value) -> Result<(), InvalidRequest> {
     for field in ["text", "instruction", "prompt"] {
         if value.get(field).is_some_and(|v| !v.is_string()) {
-            return Err(bad(format!("body.{field}: must be a string")));
+            return Err(bad_request(format!("body.{field}: must be a string")));
         }
     }
     if value.get("tokens").is_some_and(|v| v.as_u64().is_none()) {
-        return Err(bad("body.tokens: must be a whole number, 0 or more"));
+        return Err(bad_request("body.tokens: must be a whole number, 0 or more"));
     }
     Ok(())
 }
--- a/crates/entry/src/front/gate.rs
+++ b/crates/entry/src/front/gate.rs
@@ -9,95 +9,99 @@
 use model::{Name, Time};
 use tokio::sync::oneshot;
 
-use crate::drive::Job;
+use crate::drive::RequestJob;
 use crate::node::Core;
 
 /// How often waiting requests are looked over for those that cannot finish.
-const LOOK: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A refusal and when to come back.
 #[derive(Debug)]
-pub struct Refused {
+pub struct Rejection {
     /// Why.
     pub reason: Reason,
     /// When to come back.
-    pub wait: Duration,
+    pub retry_after: Duration,
 }
 
 #[derive(Debug)]
 struct Inner {
-    gate: AdmissionQueue,
+    queue: AdmissionQueue,
     waiting: HashMap<Name, oneshot::Sender<Result<(), Reason>>>,
 }
 
 /// The admission of one node.
 #[derive(Debug)]
-pub struct GateKeeper {
+pub struct AdmissionController {
     inner: Mutex<Inner>,
 }
 
-impl GateKeeper {
+impl AdmissionController {
     /// Wraps a gate.
-    pub fn new(gate: AdmissionQueue) -> Self {
-        GateKeeper { inner: Mutex::new(Inner { gate, waiting: HashMap::new() }) }
+    pub fn new(queue: AdmissionQueue) -> Self {
+        AdmissionController { inner: Mutex::new(Inner { queue, waiting: HashMap::new() }) }
     }
 
     /// Waits for a turn. A caller that goes away meanwhile gives up its place.
-    pub async fn enter(&self, core: &Core, job: &Job) -> Result<(), Refused> {
+    pub async fn admit(&self, core: &Core, job: &RequestJob) -> Result<(), Rejection> {
         let now = core.clock.now();
         let config = core.fleet.config();
         let steps = config.set.pipelines.get(&job.pipeline).map_or(0, |p| p.stages.len());
-        let mut need = core.fleet.need(&job.pipeline, steps, job.deadline.since(now));
+        let mut required = core.fleet.required_time(&job.pipeline, steps, job.deadline.since(now));
         if !core.settings.admission {
-            need = Duration::ZERO;
+            required = Duration::ZERO;
         }
-        let deadline = if core.settings.admission { job.deadline } else { job.until };
-        let w =
-            PendingRequest { request: job.request.clone(), priority: job.priority, deadline, need };
+        let deadline = if core.settings.admission { job.deadline } else { job.expires };
+        let pending = PendingRequest {
+            request: job.request.clone(),
+            priority: job.priority,
+            deadline,
+            need: required,
+        };
         let (tx, rx) = oneshot::channel();
         {
             let mut inner = self.inner.lock().expect("no panic while held");
             inner.waiting.insert(job.request.clone(), tx);
-            let verdicts = inner.gate.submit(now, w);
-            inner.tell(verdicts);
+            let verdicts = inner.queue.submit(now, pending);
+            inner.deliver(verdicts);
         }
-        let mut place = Place { keeper: self, core, request: &job.request, kept: true };
+        let mut guard = WaitGuard { controller: self, core, request: &job.request, armed: true };
         let verdict = rx.await.unwrap_or(Err(Reason::Overload));
-        place.kept = false;
-        let wait = || {
+        guard.armed = false;
+        let retry_after = || {
             let inner = self.inner.lock().expect("no panic while held");
-            inner.gate.retry_after(need.max(LOOK))
+            inner.queue.retry_after(required.max(CHECK_INTERVAL))
         };
-        verdict.map_err(|reason| Refused { reason, wait: wait() })
+        verdict.map_err(|reason| Rejection { reason, retry_after: retry_after() })
     }
 
     /// Refuses those that wait and can no longer finish, until the process ends.
-    pub async fn watch(core: std::sync::Arc<Core>) {
+    pub async fn expire_waiting(core: std::sync::Arc<Core>) {
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             let now = core.clock.now();
-            core.gate.change(|gate| gate.tick(now));
+            core.admission.update(|queue| queue.tick(now));
         }
     }
 
     /// A request ended after running for `ran` under a deadline of `most`.
-    pub fn finished(&self, now: Time, request: &Name, ran: Duration, most: Duration) {
-        self.change(|gate| gate.complete(now, request, ran, most));
+    pub fn complete(&self, now: Time, request: &Name, ran: Duration, budget: Duration) {
+        self.update(|queue| queue.complete(now, request, ran, budget));
     }
 
-    fn leave(&self, now: Time, request: &Name) {
-        self.change(|gate| gate.remove_request(now, request));
+    fn remove(&self, now: Time, request: &Name) {
+        self.update(|queue| queue.remove_request(now, request));
     }
 
-    fn change(&self, f: impl FnOnce(&mut AdmissionQueue) -> Vec<Verdict>) {
+    fn update(&self, f: impl FnOnce(&mut AdmissionQueue) -> Vec<Verdict>) {
         let mut inner = self.inner.lock().expect("no panic while held");
-        let verdicts = f(&mut inner.gate);
-        inner.tell(verdicts);
+        let verdicts = f(&mut inner.queue);
+        inner.deliver(verdicts);
     }
 }
 
 impl Inner {
-    fn tell(&mut self, verdicts: Vec<Verdict>) {
+    fn deliver(&mut self, verdicts: Vec<Verdict>) {
         for v in verdicts {
             let (request, result) = match v {
                 Verdict::Run(r) => (r, Ok(())),
@@ -111,17 +115,17 @@
 }
 
 /// Gives a waiting request's place up if its caller goes away.
-struct Place<'a> {
-    keeper: &'a GateKeeper,
+struct WaitGuard<'a> {
+    controller: &'a AdmissionController,
     core: &'a Core,
     request: &'a Name,
-    kept: bool,
+    armed: bool,
 }
 
-impl Drop for Place<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        if self.kept {
-            self.keeper.leave(self.core.clock.now(), self.request);
+        if self.armed {
+            self.controller.remove(self.core.clock.now(), self.request);
         }
     }
 }
--- a/crates/entry/src/front/mod.rs
+++ b/crates/entry/src/front/mod.rs
@@ -15,22 +15,22 @@
 use tokio::sync::mpsc;
 use util::http::{Body, Handler, full, stream, text};
 
-pub use gate::GateKeeper;
+pub use gate::AdmissionController;
 
-use crate::drive::{self, Job, Out};
+use crate::drive::{self, RequestJob, ResponseEvent};
 use crate::node::Core;
 
 /// Pieces on their way to one caller.
-const DEPTH: usize = 64;
+const CHANNEL_CAPACITY: usize = 64;
 /// Prefix of the pipelines' paths.
-const PIPELINES: &str = "/v1/pipelines/";
+const PIPELINES_PREFIX: &str = "/v1/pipelines/";
 /// Media type of the metrics.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Answers callers.
-pub struct Front(pub Arc<Core>);
+pub struct CallerHandler(pub Arc<Core>);
 
-impl Handler for Front {
+impl Handler for CallerHandler {
     async fn call(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let core = self.0.clone();
         let path = request.uri().path().to_string();
@@ -38,11 +38,11 @@
             (&Method::GET, "/healthz") => text(StatusCode::OK, "ok\n"),
             (&Method::GET, "/readyz") => ready(&core),
             (&Method::GET, "/metrics") => full(StatusCode::OK, OPENMETRICS, core.metrics.text()),
-            (&Method::POST, p) if p.starts_with(PIPELINES) => {
-                let pipeline = p[PIPELINES.len()..].to_string();
-                serve(core, &pipeline, request).await
+            (&Method::POST, p) if p.starts_with(PIPELINES_PREFIX) => {
+                let pipeline = p[PIPELINES_PREFIX.len()..].to_string();
+                serve_pipeline(core, &pipeline, request).await
             }
-            (_, p) if p.starts_with(PIPELINES) => {
+            (_, p) if p.starts_with(PIPELINES_PREFIX) => {
                 reply::problem(StatusCode::METHOD_NOT_ALLOWED, "send a pipeline's input with POST")
             }
             _ => reply::problem(
@@ -63,34 +63,38 @@
     text(StatusCode::OK, "ready\n")
 }
 
-async fn serve(core: Arc<Core>, pipeline: &str, request: Request<Incoming>) -> Response<Body> {
+async fn serve_pipeline(
+    core: Arc<Core>,
+    pipeline: &str,
+    request: Request<Incoming>,
+) -> Response<Body> {
     let config = core.fleet.config();
     let job = match ask::read(&core, &config, pipeline, request).await {
         Ok(job) => job,
-        Err(bad) => return reply::problem(bad.status, &bad.why),
+        Err(invalid) => return reply::problem(invalid.status, &invalid.message),
     };
     let (name, workspace) = (job.pipeline.clone(), job.workspace.clone());
-    if let Err(end) = admit(&core, &job).await {
-        core.metrics.ended(&name, &workspace, &end);
-        return reply::ended(&end);
+    if let Err(report) = admit(&core, &job).await {
+        core.metrics.record_request(&name, &workspace, &report);
+        return reply::report(&report);
     }
     let streamed = job.streamed;
-    let (tx, rx) = mpsc::channel(DEPTH);
+    let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
     let id = job.request.clone();
-    let (arrived, due) = (job.arrived, job.deadline);
+    let (arrived, deadline) = (job.arrived, job.deadline);
     tokio::spawn(async move {
-        let begun = core.clock.now();
+        let started = core.clock.now();
         drive::run(core.clone(), config, job, tx).await;
         let now = core.clock.now();
-        core.gate.finished(now, &id, now.since(begun), due.since(arrived));
+        core.admission.complete(now, &id, now.since(started), deadline.since(arrived));
     });
     if streamed { send_stream(rx).await } else { send_whole(rx).await }
 }
 
 /// Rate, then a turn; the error is the request's final word.
-async fn admit(core: &Core, job: &Job) -> Result<(), RequestReport> {
+async fn admit(core: &Core, job: &RequestJob) -> Result<(), RequestReport> {
     let now = core.clock.now();
-    let refuse = |reason: Reason, retry_after: Option<u64>| RequestReport {
+    let rejection = |reason: Reason, retry_after: Option<u64>| RequestReport {
         request: job.request.clone(),
         outcome: Outcome::NotRun,
         error: Some(StepError { step: "admission".into(), peer: None, reason }),
@@ -103,31 +107,33 @@
     if let Some(l) = limits.and_then(|l| l.iter().find(|l| l.pipeline == job.pipeline)) {
         let nodes = core.members.load().len();
         let taken = core.rates.take(now, &job.workspace, &job.pipeline, l.rate, nodes);
-        taken.map_err(|wait| refuse(Reason::Limit, Some(wait.as_millis() as u64 + 1)))?;
+        taken.map_err(|wait| rejection(Reason::Limit, Some(wait.as_millis() as u64 + 1)))?;
     }
-    let verdict = core.gate.enter(core, job).await;
-    verdict.map_err(|r| refuse(r.reason, Some(r.wait.as_millis() as u64 + 1)))
+    let verdict = core.admission.admit(core, job).await;
+    verdict.map_err(|r| rejection(r.reason, Some(r.retry_after.as_millis() as u64 + 1)))
 }
 
-async fn send_whole(mut rx: mpsc::Receiver<Out>) -> Response<Body> {
+async fn send_whole(mut rx: mpsc::Receiver<ResponseEvent>) -> Response<Body> {
     while let Some(out) = rx.recv().await {
-        if let Out::End(end, text) = out {
-            return reply::whole(&Answer { text, end: *end });
+        if let ResponseEvent::End(report, text) = out {
+            return reply::answer(&Answer { text, end: *report });
         }
     }
     reply::problem(StatusCode::INTERNAL_SERVER_ERROR, "the request was dropped")
 }
 
-async fn send_stream(mut rx: mpsc::Receiver<Out>) -> Response<Body> {
+async fn send_stream(mut rx: mpsc::Receiver<ResponseEvent>) -> Response<Body> {
     // The head waits for the first piece, so that a refusal keeps its own status.
     let first = match rx.recv().await {
-        Some(Out::End(end, _)) if end.outcome != Outcome::Complete => return reply::ended(&end),
+        Some(ResponseEvent::End(report, _)) if report.outcome != Outcome::Complete => {
+            return reply::report(&report);
+        }
         Some(out) => out,
         None => {
             return reply::problem(StatusCode::INTERNAL_SERVER_ERROR, "the request was dropped");
         }
     };
-    let (mut sender, response) = stream(reply::EVENTS, DEPTH);
+    let (mut sender, response) = stream(reply::EVENT_STREAM, CHANNEL_CAPACITY);
     tokio::spawn(async move {
         let mut next = Some(first);
         while let Some(out) = next {
--- a/crates/entry/src/front/reply.rs
+++ b/crates/entry/src/front/reply.rs
@@ -7,31 +7,31 @@
 use serde_json::json;
 use util::http::{Body, json as json_body};
 
-use crate::drive::Out;
+use crate::drive::ResponseEvent;
 
 /// Media type of streamed answers.
-pub const EVENTS: &str = "text/event-stream";
+pub const EVENT_STREAM: &str = "text/event-stream";
 
 /// A request that is wrong in itself; it was not run.
 pub fn problem(status: StatusCode, why: &str) -> Response<Body> {
     let body = json!({ "outcome": Outcome::NotRun, "problem": why });
-    mark(json_body(status, &body), Outcome::NotRun, None)
+    with_outcome(json_body(status, &body), Outcome::NotRun, None)
 }
 
 /// A whole answer, or how the request ended.
-pub fn whole(answer: &Answer) -> Response<Body> {
+pub fn answer(answer: &Answer) -> Response<Body> {
     if answer.end.outcome != Outcome::Complete {
-        return ended(&answer.end);
+        return report(&answer.end);
     }
-    mark(json_body(StatusCode::OK, answer), Outcome::Complete, None)
+    with_outcome(json_body(StatusCode::OK, answer), Outcome::Complete, None)
 }
 
 /// How a request ended that is not complete.
-pub fn ended(end: &RequestReport) -> Response<Body> {
-    mark(json_body(status(end), end), end.outcome, end.retry_after)
+pub fn report(report: &RequestReport) -> Response<Body> {
+    with_outcome(json_body(status(report), report), report.outcome, report.retry_after)
 }
 
-fn mark(
+fn with_outcome(
     mut response: Response<Body>,
     outcome: Outcome,
     retry_after: Option<u64>,
@@ -45,9 +45,9 @@
     response
 }
 
-fn status(end: &RequestReport) -> StatusCode {
-    let reason = end.error.as_ref().map(|e| &e.reason);
-    match (end.outcome, reason) {
+fn status(report: &RequestReport) -> StatusCode {
+    let reason = report.error.as_ref().map(|e| &e.reason);
+    match (report.outcome, reason) {
         (Outcome::Complete, _) => StatusCode::OK,
         (Outcome::NotRun, Some(Reason::Limit | Reason::Overload)) => StatusCode::TOO_MANY_REQUESTS,
         (Outcome::NotRun, Some(Reason::OldKey | Reason::FutureKey)) => StatusCode::BAD_REQUEST,
@@ -60,11 +60,13 @@
 }
 
 /// One server-sent event.
-pub fn event(out: &Out) -> String {
+pub fn event(out: &ResponseEvent) -> String {
     let (name, data) = match out {
-        Out::Piece(piece) => ("chunk", serde_json::to_string(piece)),
-        Out::End(end, _) if end.outcome == Outcome::Complete => ("end", serde_json::to_string(end)),
-        Out::End(end, _) => ("error", serde_json::to_string(end)),
+        ResponseEvent::Chunk(chunk) => ("chunk", serde_json::to_string(chunk)),
+        ResponseEvent::End(report, _) if report.outcome == Outcome::Complete => {
+            ("end", serde_json::to_string(report))
+        }
+        ResponseEvent::End(report, _) => ("error", serde_json::to_string(report)),
     };
     format!("event: {name}\ndata: {}\n\n", data.expect("answers encode"))
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -44,7 +44,7 @@
     attempts: Family<StepLabels, Counter>,
     retries: Family<RetryLabels, Counter>,
     seconds: Family<StepLabels, Histogram>,
-    strays: Counter,
+    stray_frames: Counter,
 }
 
 impl Metrics {
@@ -57,27 +57,27 @@
         let retries = Family::<RetryLabels, Counter>::default();
         let seconds =
             Family::<StepLabels, Histogram>::new_with_constructor(|| Histogram::new(BUCKETS));
-        let strays = Counter::default();
+        let stray_frames = Counter::default();
         registry.register("requests", "Requests by outcome", requests.clone());
         registry.register("step_cost", "Cost of completed steps", costs.clone());
         registry.register("step_attempts", "Attempts of completed steps", attempts.clone());
         registry.register("retries", "Retries asked for, and whether granted", retries.clone());
         registry.register("step_seconds", "Time of completed steps", seconds.clone());
-        registry.register("stray_frames", "Frames of no live attempt", strays.clone());
+        registry.register("stray_frames", "Frames of no live attempt", stray_frames.clone());
         let registry = Mutex::new(registry);
-        Metrics { registry, requests, costs, attempts, retries, seconds, strays }
+        Metrics { registry, requests, costs, attempts, retries, seconds, stray_frames }
     }
 
     /// A request ended, perhaps before it ran.
-    pub fn ended(&self, pipeline: &str, workspace: &str, end: &RequestReport) {
+    pub fn record_request(&self, pipeline: &str, workspace: &str, report: &RequestReport) {
         let labels = RequestLabels {
             pipeline: pipeline.into(),
             workspace: workspace.into(),
-            outcome: end.outcome.as_str(),
-            timely: if end.timely { "true" } else { "false" },
+            outcome: report.outcome.as_str(),
+            timely: if report.timely { "true" } else { "false" },
         };
         self.requests.get_or_create(&labels).inc();
-        for s in &end.steps {
+        for s in &report.steps {
             let labels = StepLabels { pipeline: pipeline.into(), step: s.step.to_string() };
             self.costs.get_or_create(&labels).inc_by(s.cost);
             self.attempts.get_or_create(&labels).inc_by(u64::from(s.attempts));
@@ -86,14 +86,14 @@
     }
 
     /// A retry was asked for.
-    pub fn retry(&self, step: &str, granted: bool) {
+    pub fn record_retry(&self, step: &str, granted: bool) {
         let granted = if granted { "true" } else { "false" };
         self.retries.get_or_create(&RetryLabels { step: step.into(), granted }).inc();
     }
 
     /// Frames that belonged to no live attempt.
-    pub fn strays(&self, n: u64) {
-        self.strays.inc_by(n);
+    pub fn record_strays(&self, n: u64) {
+        self.stray_frames.inc_by(n);
     }
 
     /// The text.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -19,17 +19,17 @@
 use util::stop::{self, Stopper};
 
 use crate::args::Args;
-use crate::claims::ClaimDesk;
+use crate::claims::ClaimClient;
 use crate::fleet::Fleet;
-use crate::front::Front;
+use crate::front::CallerHandler;
 use crate::metrics::Metrics;
-use crate::peer::PeerSide;
+use crate::peer::PeerHandler;
 use crate::rates::{self, Rates};
 use crate::settings::Settings;
 use crate::sync;
 
 /// Longest wait for a target to take a connection.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What every request shares.
 pub struct Core {
@@ -42,7 +42,7 @@
     /// HTTP client.
     pub client: Client,
     /// Claims.
-    pub claims: ClaimDesk,
+    pub claims: ClaimClient,
     /// Workspace rates.
     pub rates: Rates,
     /// Metrics.
@@ -50,17 +50,17 @@
     /// Entry nodes that are up.
     pub members: ArcSwap<Vec<Node>>,
     /// Admission.
-    pub gate: crate::front::GateKeeper,
+    pub admission: crate::front::AdmissionController,
     /// Whether a planned stop has begun.
     pub stopping: AtomicBool,
     start: u64,
-    count: AtomicU64,
+    next_request: AtomicU64,
 }
 
 impl Core {
     /// A new request id, unique over nodes and their starts.
     pub fn request_id(&self) -> Name {
-        let n = self.count.fetch_add(1, Ordering::Relaxed);
+        let n = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:08x}-{n}", self.settings.name, self.start as u32).into()
     }
 
@@ -89,8 +89,8 @@
     /// Where other entry nodes come in.
     pub peers: SocketAddr,
     core: Arc<Core>,
-    front: Stopper,
-    side: Stopper,
+    caller_stopper: Stopper,
+    peer_stopper: Stopper,
     servers: Vec<JoinHandle<()>>,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -123,21 +123,21 @@
 #[derive(Debug)]
 pub struct Bound {
     settings: Settings,
-    front: Server,
-    side: Server,
+    caller_server: Server,
+    peer_server: Server,
 }
 
 impl Bound {
     /// Takes the ports that the settings name; port 0 picks free ones.
     pub async fn new(settings: Settings) -> anyhow::Result<Bound> {
-        let front = Server::bind(&settings.callers).await?;
-        let side = Server::bind(&settings.peers).await?;
-        Ok(Bound { settings, front, side })
+        let caller_server = Server::bind(&settings.callers).await?;
+        let peer_server = Server::bind(&settings.peers).await?;
+        Ok(Bound { settings, caller_server, peer_server })
     }
 
     /// Where other entry nodes come in.
     pub fn peers(&self) -> SocketAddr {
-        self.side.address()
+        self.peer_server.address()
     }
 
     /// Names the control node, where it was not known before.
@@ -148,52 +148,52 @@
 
     /// Starts the node.
     pub fn start(self) -> Running {
-        let Bound { settings, front, side } = self;
+        let Bound { settings, caller_server, peer_server } = self;
         let clock = Clock::default();
-        let client = Client::new(CONNECT);
+        let client = Client::new(CONNECT_TIMEOUT);
         let start = rand::random::<u64>();
         let store = settings.store.as_ref().map(|address| {
             let http = HttpStore::new(client.clone(), address.as_str().into());
             Arc::new(BudgetedStore::new(Box::new(http), settings.store_rate))
         });
         let fleet = Fleet::new(settings.domain.clone(), &settings.near, settings.policy, start);
-        let gate = AdmissionQueue::new(settings.width, settings.depth);
-        let gate = if settings.admission { gate } else { gate.with_fixed_limit() };
+        let queue = AdmissionQueue::new(settings.width, settings.depth);
+        let queue = if settings.admission { queue } else { queue.with_fixed_limit() };
         let core = Arc::new(Core {
             clock,
             fleet,
             client,
-            claims: ClaimDesk::new(store, clock),
+            claims: ClaimClient::new(store, clock),
             rates: Rates::default(),
             metrics: Metrics::new(),
             members: ArcSwap::default(),
-            gate: crate::front::GateKeeper::new(gate),
+            admission: crate::front::AdmissionController::new(queue),
             stopping: AtomicBool::new(false),
             start,
-            count: AtomicU64::new(0),
+            next_request: AtomicU64::new(0),
             settings,
         });
-        Running::start(core, front, side)
+        Running::start(core, caller_server, peer_server)
     }
 }
 
 impl Running {
-    fn start(core: Arc<Core>, front_server: Server, peer_server: Server) -> Running {
-        let (callers, peers) = (front_server.address(), peer_server.address());
-        let (front, front_stop) = stop::channel();
-        let (side, side_stop) = stop::channel();
+    fn start(core: Arc<Core>, caller_server: Server, peer_server: Server) -> Running {
+        let (callers, peers) = (caller_server.address(), peer_server.address());
+        let (caller_stopper, caller_stopped) = stop::channel();
+        let (peer_stopper, peer_stopped) = stop::channel();
         let servers = vec![
-            tokio::spawn(front_server.run(Arc::new(Front(core.clone())), front_stop)),
-            tokio::spawn(peer_server.run(Arc::new(PeerSide(core.clone())), side_stop)),
+            tokio::spawn(caller_server.run(Arc::new(CallerHandler(core.clone())), caller_stopped)),
+            tokio::spawn(peer_server.run(Arc::new(PeerHandler(core.clone())), peer_stopped)),
         ];
         let mut tasks = vec![
-            tokio::spawn(rates::renew(core.clone())),
-            tokio::spawn(crate::front::GateKeeper::watch(core.clone())),
+            tokio::spawn(rates::renew_slices(core.clone())),
+            tokio::spawn(crate::front::AdmissionController::expire_waiting(core.clone())),
         ];
         if let Some(control) = &core.settings.control {
             tasks.push(tokio::spawn(sync::run(core.clone(), control.as_str().into())));
         }
-        Running { callers, peers, core, front, side, servers, tasks }
+        Running { callers, peers, core, caller_stopper, peer_stopper, servers, tasks }
     }
 
     /// The fleet as this node sees it, for tests and experiments without a control node.
@@ -229,12 +229,12 @@
         self.core.stopping.store(true, Ordering::Relaxed);
         log::info!("stop: not ready, waiting for the balancer.");
         tokio::time::sleep(Duration::from_millis(self.core.settings.balancer_lag)).await;
-        self.front.stop();
+        self.caller_stopper.stop();
         let mut servers = self.servers.into_iter();
-        if let Some(front) = servers.next() {
-            let _ = front.await;
+        if let Some(caller_server) = servers.next() {
+            let _ = caller_server.await;
         }
-        self.side.stop();
+        self.peer_stopper.stop();
         for server in servers {
             let _ = server.await;
         }
--- a/crates/entry/src/rates.rs
+++ b/crates/entry/src/rates.rs
@@ -11,9 +11,9 @@
 use crate::node::Core;
 
 /// How often slices are renewed.
-const RENEW: Duration = Duration::from_millis(500);
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for a home.
-const WAIT: Duration = Duration::from_millis(300);
+const LEND_TIMEOUT: Duration = Duration::from_millis(300);
 
 type LimitKey = (Name, Name);
 
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct Rates {
     slices: Mutex<HashMap<LimitKey, RateSlice>>,
-    homes: Mutex<HashMap<LimitKey, RateLender>>,
+    lenders: Mutex<HashMap<LimitKey, RateLender>>,
 }
 
 impl Rates {
@@ -41,28 +41,28 @@
     }
 
     /// Lends as the home of a workspace.
-    pub fn lend(&self, now: Time, ask: &LendRequest, rate: f64, nodes: usize) -> LentRate {
-        let mut homes = self.homes.lock().expect("no panic while held");
-        let key = (ask.workspace.clone(), ask.pipeline.clone());
-        let home = homes.entry(key).or_insert_with(|| RateLender::new(rate));
-        home.set_rate(rate);
-        LentRate { rate: home.lend(now, &ask.node, ask.demand, nodes).rate }
+    pub fn lend(&self, now: Time, request: &LendRequest, rate: f64, nodes: usize) -> LentRate {
+        let mut lenders = self.lenders.lock().expect("no panic while held");
+        let key = (request.workspace.clone(), request.pipeline.clone());
+        let lender = lenders.entry(key).or_insert_with(|| RateLender::new(rate));
+        lender.set_rate(rate);
+        LentRate { rate: lender.lend(now, &request.node, request.demand, nodes).rate }
     }
 
-    fn asks(&self, now: Time, node: &Name) -> Vec<LendRequest> {
+    fn lend_requests(&self, now: Time, node: &Name) -> Vec<LendRequest> {
         let mut slices = self.slices.lock().expect("no panic while held");
-        let ask = |((workspace, pipeline), slice): (&LimitKey, &mut RateSlice)| LendRequest {
+        let request = |((workspace, pipeline), slice): (&LimitKey, &mut RateSlice)| LendRequest {
             workspace: workspace.clone(),
             pipeline: pipeline.clone(),
             node: node.clone(),
             demand: slice.demand(now),
         };
-        slices.iter_mut().map(ask).collect()
+        slices.iter_mut().map(request).collect()
     }
 
-    fn lent(&self, now: Time, sent: Time, ask: &LendRequest, lent: LentRate) {
+    fn apply_lent(&self, now: Time, sent: Time, request: &LendRequest, lent: LentRate) {
         let mut slices = self.slices.lock().expect("no panic while held");
-        let key = (ask.workspace.clone(), ask.pipeline.clone());
+        let key = (request.workspace.clone(), request.pipeline.clone());
         if let Some(s) = slices.get_mut(&key) {
             s.renew(now, sent, LentSlice { rate: lent.rate });
         }
@@ -70,34 +70,34 @@
 }
 
 /// The rate of a workspace on a pipeline, if it is limited.
-pub fn limit_of(core: &Core, workspace: &str, pipeline: &str) -> Option<f64> {
+pub fn rate_limit(core: &Core, workspace: &str, pipeline: &str) -> Option<f64> {
     let config = core.fleet.config();
     let w = config.set.workspaces.get(workspace)?;
     w.limits.iter().find(|l| *l.pipeline == *pipeline).map(|l| l.rate)
 }
 
 /// Renews slices until the process ends.
-pub async fn renew(core: Arc<Core>) {
+pub async fn renew_slices(core: Arc<Core>) {
     loop {
-        tokio::time::sleep(RENEW).await;
+        tokio::time::sleep(RENEW_INTERVAL).await;
         let sent = core.clock.now();
-        for ask in core.rates.asks(sent, &core.settings.name) {
-            let Some(lent) = ask_home(&core, &ask).await else {
+        for request in core.rates.lend_requests(sent, &core.settings.name) {
+            let Some(lent) = request_slice(&core, &request).await else {
                 continue;
             };
-            core.rates.lent(core.clock.now(), sent, &ask, lent);
+            core.rates.apply_lent(core.clock.now(), sent, &request, lent);
         }
     }
 }
 
-async fn ask_home(core: &Core, ask: &LendRequest) -> Option<LentRate> {
+async fn request_slice(core: &Core, request: &LendRequest) -> Option<LentRate> {
     let members = core.members.load();
-    let home = hash::rendezvous(&ask.workspace, members.iter().map(|m| &m.id.name), 1);
+    let home = hash::rendezvous(&request.workspace, members.iter().map(|m| &m.id.name), 1);
     let home = home.first()?;
     if *home == core.settings.name {
-        let rate = limit_of(core, &ask.workspace, &ask.pipeline)?;
-        return Some(core.rates.lend(core.clock.now(), ask, rate, members.len()));
+        let rate = rate_limit(core, &request.workspace, &request.pipeline)?;
+        return Some(core.rates.lend(core.clock.now(), request, rate, members.len()));
     }
     let peer = members.iter().find(|m| m.id.name == *home)?.entry.to_string();
-    core.client.rmp(&peer, path::LEND, ask, WAIT).await.ok()
+    core.client.rmp(&peer, path::LEND, request, LEND_TIMEOUT).await.ok()
 }
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -12,55 +12,60 @@
 use crate::node::Core;
 
 /// How often the control node is asked.
-const EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait for it.
-const WAIT: Duration = Duration::from_millis(1000);
+const POLL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Runs until the process ends.
 pub async fn run(core: Arc<Core>, control: Name) {
     let fetcher = Fetcher::new(core.client.clone(), None);
     let mut follower = Follower::default();
     let mut changes = 0;
-    let mut up = true;
+    let mut reachable = true;
     loop {
-        let ask = ViewRequest { changes };
-        let view = core.client.rmp::<_, View>(&control, path::VIEW, &ask, WAIT).await;
+        let query = ViewRequest { changes };
+        let view = core.client.rmp::<_, View>(&control, path::VIEW, &query, POLL_TIMEOUT).await;
         match view {
             Ok(view) => {
-                if !up {
+                if !reachable {
                     log::info!("sync: control is back.");
                 }
-                up = true;
+                reachable = true;
                 // A control node that was started anew counts from the beginning.
                 changes = if view.changes < changes { 0 } else { view.changes };
                 let number = view.number;
-                take(&core, view);
+                apply_view(&core, view);
                 let from = Source::Peer(control.clone());
-                let heard = FollowerEvent::Announced { number, from };
-                follow_up(&core, &fetcher, &mut follower, heard).await;
+                let announced = FollowerEvent::Announced { number, from };
+                run_follower(&core, &fetcher, &mut follower, announced).await;
             }
             Err(e) => {
-                if up {
+                if reachable {
                     log::warn!("sync: control does not answer: {e}");
                 }
-                up = false;
+                reachable = false;
                 changes = 0;
             }
         }
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn take(core: &Core, view: View) {
+fn apply_view(core: &Core, view: View) {
     let now = core.clock.now();
-    for news in &view.news {
-        core.fleet.hear(now, news);
+    for report in &view.news {
+        core.fleet.update_target(now, report);
     }
     core.fleet.set_leaving(view.leaving.into_iter().collect());
     core.members.store(Arc::new(view.members));
 }
 
-async fn follow_up(core: &Core, fetcher: &Fetcher, follower: &mut Follower, first: FollowerEvent) {
+async fn run_follower(
+    core: &Core,
+    fetcher: &Fetcher,
+    follower: &mut Follower,
+    first: FollowerEvent,
+) {
     let mut events = vec![first];
     while let Some(event) = events.pop() {
         for action in follower.handle_event(core.clock.now(), event) {
