--- a/crates/bench/src/experiment/fleet.rs
+++ b/crates/bench/src/experiment/fleet.rs
@@ -101,7 +101,7 @@
                 report.seq = seq;
                 let status = TargetStatus { report, seq, ready: true, polled: true };
                 for e in &self.entries {
-                    e.fleet().hear(e.now(), &status);
+                    e.fleet().update_target(e.now(), &status);
                 }
             }
             tokio::time::sleep(Duration::from_millis(interval_ms)).await;
