--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration actor: the follower machine and its fetches.
+//! Configuration actor: drives the [`Follower`] state machine and runs its fetches.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 use crate::membership::{self, Membership};
 use crate::shared::{AppliedConfig, Shared};
 
-/// How often fetches that went unanswered are looked over.
+/// Interval between checks for fetches that got no response.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Wraps [`Follower`].
+/// Actor around [`Follower`].
 pub struct Config {
     shared: Arc<Shared>,
     fetcher: Fetcher,
@@ -46,23 +46,23 @@
     }
 }
 
-/// Something for the machine.
+/// Passes an event to the state machine.
 pub struct HandleEvent(pub FollowerEvent);
 
-/// Names the membership actor, told of each manifest that comes into force.
+/// Sets the membership actor, which is notified of each applied manifest.
 pub struct SetMembership(pub ActorRef<Membership>);
 
-/// Asks for what a neighbour at a manifest lacks.
+/// Requests the changes since a peer's manifest.
 pub struct GetDelta(pub DeltaRequest);
 
-/// Asks for chunks.
+/// Requests chunks by hash; the text of an unknown one is empty.
 pub struct GetChunks(pub ChunksRequest);
 
-/// Delta as a reply.
+/// Reply to [`GetDelta`].
 #[derive(kameo::Reply)]
 pub struct DeltaReply(pub Delta);
 
-/// Chunks as a reply.
+/// Reply to [`GetChunks`].
 #[derive(kameo::Reply)]
 pub struct ChunksReply(pub Chunks);
 
@@ -119,7 +119,7 @@
         let targets = set.pools.values().flat_map(|p| &p.targets).map(|t| &t.name);
         self.shared.load_table().set_targets(targets);
         self.shared.applied.store(Arc::new(AppliedConfig { number, set }));
-        log::info!("config: manifest {number} is in force.");
+        log::info!("config: applied manifest {number}.");
         if let Some(m) = &self.membership {
             let _ = m.tell(membership::HandleEvent(MemberEvent::Applied(number))).await;
         }
--- a/crates/control/src/domain.rs
+++ b/crates/control/src/domain.rs
@@ -1,5 +1,5 @@
-//! What the holder of a failure domain's lease does for it: orders to targets,
-//! the domain's status, and the registry object that lists first peers.
+//! Duties of the holder of a failure domain's lease: sending orders to targets, and writing the
+//! domain's status and the registry object that lists seed addresses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 use crate::lease::{GetEpoch, Lease};
 use crate::shared::Shared;
 
-/// How often orders and status are looked over.
+/// Interval between rounds of orders and status writes.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
-/// Least time between two writes of an unchanged registry.
+/// Minimum time between writes of the registry, once it lists any address.
 const MIN_REGISTRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Runs until the process ends.
+/// Runs until the process ends, and acts only while this node holds the lease.
 pub async fn run(shared: Arc<Shared>, lease: ActorRef<Lease>) {
     let mut placer = Placer::default();
     let mut last_written = Fleet::default();
@@ -59,7 +59,7 @@
         leaving: &leaving,
     };
     for order in placer.plan(shared.clock.now(), epoch, view) {
-        // The lease is asked again just before each send: the node may have been paused.
+        // Check the lease again just before each send: the process may have been paused.
         let current = lease.ask(GetEpoch(LEASE_MARGIN)).await.ok().flatten();
         if current != Some(epoch) {
             return;
@@ -88,7 +88,7 @@
     }
 }
 
-/// Writes how far the manifest has spread here, when that changed.
+/// Writes how far the manifest has spread in this failure domain, if that changed.
 async fn write_status(shared: &Shared, last_written: &mut Fleet) {
     let members = shared.members.load_full();
     let (nodes, applied, lowest) = members.manifest_progress;
@@ -113,7 +113,7 @@
 }
 
 async fn write_registry(shared: &Shared, registry: &mut (Vec<String>, model::Time)) {
-    /// Addresses listed; a newcomer needs one that answers.
+    /// Maximum number of listed addresses; a joining node needs one that responds.
     const MAX_ADDRESSES: usize = 8;
     let members = shared.members.load_full();
     let mut addresses: Vec<String> = members.nodes.iter().map(|n| n.address.to_string()).collect();
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease actor: the machine of one lease and its calls.
+//! Lease actor: drives the [`LeaseClient`] state machine of one lease and its store calls.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,22 +15,21 @@
 
 use crate::shared::Shared;
 
-/// Wait of a node that is no relay.
+/// Interval at which a node that is not a relay checks whether it became one.
 const NON_RELAY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the actor starts with.
+/// Arguments of the lease actor.
 pub struct Args {
-    /// Shared.
     pub shared: Arc<Shared>,
     /// Name of the lease object.
     pub name: Name,
-    /// This start of this node.
+    /// Holder id, unique to this start of the node.
     pub holder: Name,
-    /// Told of each epoch taken and lost.
+    /// Receives each acquired epoch, and `None` when the lease is lost.
     pub epoch: watch::Sender<Option<u64>>,
 }
 
-/// Wraps [`LeaseClient`].
+/// Actor around [`LeaseClient`].
 pub struct Lease {
     shared: Arc<Shared>,
     name: Name,
@@ -60,7 +59,7 @@
 
 struct HandleEvent(Event);
 
-/// Asks for the epoch, if the lease is held for this much longer.
+/// Requests the epoch, if the lease stays valid for at least this long.
 pub struct GetEpoch(pub Duration);
 
 impl Message<GetEpoch> for Lease {
@@ -94,11 +93,11 @@
     fn start_action(&mut self, action: Action, me: &ActorRef<Self>) {
         match action {
             Action::Acquired(epoch) => {
-                log::info!("lease: {} taken with epoch {epoch}.", self.name);
+                log::info!("lease: acquired {} with epoch {epoch}.", self.name);
                 self.epoch.send_replace(Some(epoch));
             }
             Action::Lost => {
-                log::warn!("lease: {} is no longer held.", self.name);
+                log::warn!("lease: lost {}.", self.name);
                 self.epoch.send_replace(None);
             }
             call => {
@@ -127,7 +126,7 @@
         self.scheduled_tick = Some(at);
         let (clock, me) = (self.shared.clock, me.clone());
         tokio::spawn(async move {
-            // A call in flight leaves the machine due; never spin on it.
+            // The machine stays due while a call is in flight; the delay avoids a busy loop.
             tokio::time::sleep(Duration::from_millis(20)).await;
             clock.sleep_until(at).await;
             let _ = me.tell(HandleEvent(Event::Tick)).await;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,8 @@
-//! The control process of a node: membership, configuration, leases, load,
-//! placement. It runs on every entry host and none is set aside for it; a fault
-//! here never touches the data path.
+//! The control process of a node: membership, configuration, leases, load and placement. It runs
+//! on every entry host, with no dedicated hosts, and a fault here never affects the data path.
 //!
-//! Each part is a machine of [`decide`] in an actor or a task; they share a
-//! [`shared::Shared`] and tell each other typed messages.
+//! Each part is a state machine from [`decide`] run by an actor or a task. The parts share a
+//! `shared::Shared` and exchange typed messages.
 
 pub mod args;
 mod config;
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership actor: the machine, its socket and its timer.
+//! Membership actor: drives the [`Member`] state machine, its UDP socket and its timer.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,22 +16,20 @@
 use crate::config::Config;
 use crate::shared::{Members, Shared};
 
-/// Largest datagram.
+/// Maximum size of a received datagram.
 const MAX_DATAGRAM_BYTES: usize = 9000;
 
-/// What the actor starts with.
+/// Arguments of the membership actor.
 pub struct Args {
-    /// Shared.
     pub shared: Arc<Shared>,
     /// This node.
     pub me: Node,
-    /// Socket.
     pub socket: Arc<UdpSocket>,
-    /// Configuration actor, told of higher manifests.
+    /// Configuration actor, notified of higher manifest numbers.
     pub config: ActorRef<Config>,
 }
 
-/// Wraps [`Member`].
+/// Actor around [`Member`].
 pub struct Membership {
     shared: Arc<Shared>,
     socket: Arc<UdpSocket>,
@@ -63,7 +61,7 @@
     }
 }
 
-/// Something for the machine.
+/// Passes an event to the state machine.
 pub struct HandleEvent(pub Event);
 
 impl Message<HandleEvent> for Membership {
@@ -95,7 +93,7 @@
         match action {
             Action::Send(to, packet) => {
                 let bytes = rmp_serde::to_vec(&packet).expect("packets encode");
-                // A lost datagram is no news; probes are made for it.
+                // Ignore send errors and losses: probes detect unreachable peers.
                 let _ = self.socket.send_to(&bytes, to).await;
                 None
             }
@@ -146,14 +144,14 @@
         let (n, from): (usize, SocketAddr) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(e) => {
-                // An unreachable peer's ICMP answer shows up here.
+                // ICMP errors from unreachable peers surface here.
                 log::debug!("member: receive: {e}");
                 tokio::task::yield_now().await;
                 continue;
             }
         };
         let Ok(packet) = rmp_serde::from_slice::<Packet>(&buffer[..n]) else {
-            log::debug!("member: {from} sent what is no packet.");
+            log::debug!("member: dropped a malformed packet from {from}.");
             continue;
         };
         if me.tell(HandleEvent(Event::Packet { from, packet })).await.is_err() {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! A control node: its parts put together, started and stopped.
+//! Assembly, start and stop of a control node.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -28,18 +28,18 @@
 use crate::shared::Shared;
 use crate::{domain, poll, relay};
 
-/// Longest wait for a peer to take a connection.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Tries to find a port that is free for TCP and UDP.
+/// Maximum attempts to bind a port that is free for both TCP and UDP.
 const MAX_BIND_ATTEMPTS: usize = 16;
 
-/// The program.
+/// The program `pumicevale-control`.
 #[derive(Debug)]
 pub struct Control;
 
 /// A running control node.
 pub struct Running {
-    /// Where it listens.
+    /// Listen address, TCP and UDP.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     membership: ActorRef<Membership>,
@@ -48,7 +48,7 @@
 }
 
 impl Control {
-    /// Runs the program until a signal. Two threads are plenty for control.
+    /// Runs the program until a signal, on two threads: control work needs no more.
     pub fn main(args: Args) -> anyhow::Result<()> {
         util::cli::serve(
             &args.settings,
@@ -57,7 +57,7 @@
             |s: &Settings| &s.logs,
             |settings| async {
                 let running = Control::start(settings).await?;
-                log::info!("node: control at {}.", running.address);
+                log::info!("node: control listening on {}.", running.address);
                 stop::signal().await.context("could not wait for signals")?;
                 running.stop().await;
                 Ok(())
@@ -65,7 +65,7 @@
         )
     }
 
-    /// Starts a node.
+    /// Binds the address and starts a node.
     pub async fn start(mut settings: Settings) -> anyhow::Result<Running> {
         let (server, socket) = bind(settings.address).await?;
         settings.address = server.address();
@@ -87,14 +87,14 @@
     }
 }
 
-/// One port for TCP and UDP.
+/// Binds one port for TCP and UDP.
 async fn bind(address: SocketAddr) -> anyhow::Result<(Server, UdpSocket)> {
     for _ in 0..MAX_BIND_ATTEMPTS {
         let server = Server::bind(&address.to_string()).await?;
         match UdpSocket::bind(server.address()).await {
             Ok(socket) => return Ok((server, socket)),
             Err(e) if address.port() != 0 => {
-                return Err(e).with_context(|| format!("could not take UDP port {address}"));
+                return Err(e).with_context(|| format!("could not bind UDP port {address}"));
             }
             Err(_) => {}
         }
@@ -148,20 +148,20 @@
         Running { address, shared, membership, stopper, tasks }
     }
 
-    /// Manifest in force, and names of the nodes that are up.
+    /// Number of the applied manifest, and names of the nodes that are up.
     pub fn status(&self) -> (u64, Vec<Name>) {
         let members = self.shared.members.load();
         let names = members.nodes.iter().map(|n| n.id.name.clone()).collect();
         (self.shared.applied.load().number, names)
     }
 
-    /// A planned stop: tells the peers, then ends.
+    /// Graceful stop: announces it to the peers, then ends all tasks.
     pub async fn stop(self) {
         let _ = self.membership.ask(membership::HandleEvent(MemberEvent::Leave)).await;
         self.stopper.stop();
         for task in self.tasks {
             task.abort();
         }
-        log::info!("stop: peers are told.");
+        log::info!("stop: announced to peers.");
     }
 }
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -1,5 +1,5 @@
-//! Polls the load of targets. Each is polled by two nodes of its failure
-//! domain; the second at half the rate, for when the first is gone unnoticed.
+//! Polls the load of targets. Two nodes of a target's failure domain poll it, the second at half
+//! the rate in case the first has failed undetected.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,9 +14,9 @@
 use crate::membership::{self, Membership};
 use crate::shared::Shared;
 
-/// Longest wait for a target's report.
+/// Timeout for a target's report.
 const POLL_TIMEOUT: Duration = Duration::from_millis(800);
-/// The loop looks for due polls this many times a period.
+/// Checks for due polls per poll period.
 const CHECKS_PER_PERIOD: u32 = 10;
 
 /// Polls until the process ends.
@@ -52,7 +52,7 @@
     let rumor = match result {
         Ok(report) if report.target == target => shared.load_table().record_poll(report),
         Ok(report) => {
-            log::warn!("poll: {address} is {}, not {target}.", report.target);
+            log::warn!("poll: {address} reports itself as {}, expected {target}.", report.target);
             shared.load_table().record_unreachable(&target)
         }
         Err(e) => {
--- a/crates/control/src/publish.rs
+++ b/crates/control/src/publish.rs
@@ -1,5 +1,5 @@
-//! The publishing task: while this node holds the manifest lease it watches
-//! what operators declare, and writes manifests, statuses and the claim floor.
+//! Publishing task: while this node holds the manifest lease, it watches the objects that
+//! operators declare, and writes manifests, statuses and the claim floor.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,17 +22,17 @@
 use crate::config::{Config, GetChunks};
 use crate::shared::Shared;
 
-/// How long one watch waits.
+/// Maximum wait of one watch call.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
-/// Wait after a failed list.
+/// Delay after a failed list or watch call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How often unfinished writes are looked over, and the sweep runs.
+/// Interval between checks of unfinished writes, and between sweep steps.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time in which changes of several objects come together in one manifest.
+/// Window in which changes of several objects are batched into one manifest.
 const BATCH_WINDOW: Duration = Duration::from_millis(40);
-/// Statuses written in one turn.
+/// Maximum statuses written per loop iteration.
 const MAX_STATUS_WRITES: usize = 32;
-/// Claim objects deleted in one turn.
+/// Maximum claim objects deleted per sweep step.
 const MAX_CLAIM_DELETES: usize = 64;
 
 /// Publishes manifests while the lease is held.
@@ -41,12 +41,12 @@
     config: ActorRef<Config>,
     machine: Publisher,
     sweep: Sweep,
-    /// Statuses not yet written; the newest of an object is enough.
+    /// Statuses not yet written, by object; only the newest of each is kept.
     statuses: BTreeMap<Name, Status>,
 }
 
 impl PublishTask {
-    /// Publishes nothing yet.
+    /// Creates the task, which publishes nothing until it runs.
     pub fn new(shared: Arc<Shared>, config: ActorRef<Config>) -> Self {
         PublishTask {
             shared,
@@ -83,7 +83,7 @@
             .iter()
             .map(|k| tokio::spawn(follow_kind(self.shared.clone(), k, tx.clone())))
             .collect();
-        // A manifest is first thought of once every kind was listed.
+        // Report the lease only after every kind is listed: no manifest is built before.
         let (mut listed, mut lease_reported) = (0, false);
         loop {
             tokio::select! {
@@ -98,7 +98,8 @@
                         self.handle_event(PublisherEvent::Lease(held)).await;
                     }
                 }
-                () = tokio::time::sleep(TICK_INTERVAL) => self.handle_event(PublisherEvent::Tick).await,
+                () = tokio::time::sleep(TICK_INTERVAL) =>
+                    self.handle_event(PublisherEvent::Tick).await,
             }
             self.put_statuses().await;
             self.run_sweep().await;
@@ -109,7 +110,7 @@
     }
 }
 
-/// What comes within a short while, together.
+/// Collects what arrives within [`BATCH_WINDOW`] of the first objects.
 async fn collect_batch(
     first: Vec<Declared>,
     rx: &mut mpsc::Receiver<Vec<Declared>>,
@@ -168,8 +169,8 @@
     listing.objects.iter().map(one).collect()
 }
 
-/// Objects in force that a list lacks: each is read by itself, since a list may
-/// be stale, and only a deletion with its own version counts.
+/// Finds deletions among the applied objects that a list lacks. Each is read individually, since
+/// a list may be stale, and only a deletion with its own version counts.
 async fn find_deleted(shared: &Shared, kind: &str, listing: &Listing) -> Vec<Declared> {
     let applied = shared.applied.load_full();
     let set = &applied.set;
@@ -234,7 +235,7 @@
         let cached = self.config.ask(request).await.map(|r| r.0.texts).unwrap_or_default();
         let mut chunks = Vec::new();
         for (i, hash) in manifest.slots.iter().enumerate() {
-            // Chunks in force here need no call.
+            // Chunks of the manifest applied here need no store call.
             let cached_text = cached.get(i).filter(|t| !t.is_empty()).cloned();
             let text = match cached_text {
                 Some(text) => Some(text),
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Writes statuses that are due; what fails stays due.
+    /// Writes pending statuses; those that fail stay pending.
     async fn put_statuses(&mut self) {
         let due: Vec<Status> = self.statuses.values().take(MAX_STATUS_WRITES).cloned().collect();
         for status in due {
@@ -291,7 +292,7 @@
     }
 }
 
-/// Writes a content-addressed chunk; one that is already there is as good.
+/// Writes a content-addressed chunk, unless it exists already.
 async fn put_chunk(shared: &Shared, hash: &str, text: &str) -> PutOutcome {
     let store = shared.store.for_reason(Reason::Config);
     let Ok(old) = store.get(kind::CHUNK, hash).await else {
@@ -309,7 +310,7 @@
     let store = shared.store.for_reason(Reason::Status);
     let old = store.get(kind::STATUS, &name).await.ok()?;
     let known = old.value.as_ref().and_then(|v| serde_json::from_value::<Status>(v.clone()).ok());
-    // A former holder may have told of a newer version already.
+    // A previous lease holder may already have reported a newer version.
     if old.value.as_ref() == Some(&value) || known.is_some_and(|k| k.version > status.version) {
         return Some(());
     }
@@ -317,7 +318,7 @@
     Some(())
 }
 
-/// Raises the floor; a higher one stays.
+/// Raises the claim floor; never lowers it.
 async fn raise_floor(shared: &Shared, floor: &Floor) -> Option<()> {
     let store = shared.store.for_reason(Reason::Sweep);
     let old = store.get(kind::CLAIM, FLOOR).await.ok()?;
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,6 +1,5 @@
-//! Relays hold the watch of the manifest, and read the host list and the first
-//! peers of other failure domains. Two or three nodes of a failure domain are
-//! relays, so watches grow with failure domains, not with nodes.
+//! Relays watch the manifest in the store and read the host list. Two or three nodes of a failure
+//! domain are relays, so the number of watches grows with failure domains, not with nodes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,11 +19,11 @@
 use crate::membership::{self, Membership};
 use crate::shared::Shared;
 
-/// How long one watch waits.
+/// Maximum wait of one watch call.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest jitter before reconnecting after an outage.
+/// Maximum random delay before reconnecting after an outage.
 const MAX_RECONNECT_JITTER: Duration = Duration::from_millis(1500);
-/// How often a node looks whether it is a relay, and relays read the host list.
+/// Interval between checks of the relay role, and between a relay's reads of the host list.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Watches the manifest while this node is a relay.
@@ -46,12 +45,12 @@
             Ok(listing) => {
                 revision = Some(listing.revision);
                 forward_manifests(&config, listing).await;
-                // A watch that ends at once must not become a busy loop.
+                // Avoid a busy loop when a watch returns at once.
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
             Err(e) => {
                 log::debug!("relay: {e}");
-                // What changed meanwhile may be missing from a watch: list anew.
+                // A new watch may miss changes made meanwhile, so list again.
                 revision = None;
                 tokio::time::sleep(rng.jitter(MAX_RECONNECT_JITTER) + Duration::from_millis(50))
                     .await;
@@ -67,12 +66,12 @@
             Ok(m) => {
                 let _ = config.tell(config::HandleEvent(FollowerEvent::Manifest(m))).await;
             }
-            Err(e) => log::error!("relay: the manifest cannot be read: {e}"),
+            Err(e) => log::error!("relay: could not decode the manifest: {e}"),
         }
     }
 }
 
-/// Reads the host list while this node is a relay, and makes `leaving` news.
+/// Reads the host list while this node is a relay, and announces targets whose host is leaving.
 pub async fn watch_hosts(shared: Arc<Shared>, membership: ActorRef<Membership>) {
     let mut announced: BTreeSet<Name> = BTreeSet::new();
     loop {
@@ -97,7 +96,7 @@
     }
 }
 
-/// Notes that a target is leaving and tells the failure domain.
+/// Records that a target is leaving and announces it to the failure domain.
 pub async fn announce_leaving(shared: &Shared, membership: &ActorRef<Membership>, target: &Name) {
     let rumor = {
         let mut table = shared.load_table();
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The control node's server: for its entry node, for peers, and for people.
+//! HTTP handler of a control node, for its entry node, peers and operators.
 
 use std::sync::Arc;
 
@@ -15,16 +15,13 @@
 use crate::relay;
 use crate::shared::Shared;
 
-/// Largest message.
+/// Maximum size of a message.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Answers entry node, peers and people.
+/// Serves the entry node, peers and operators.
 pub struct ControlHandler {
-    /// Shared.
     pub shared: Arc<Shared>,
-    /// Configuration.
     pub config: ActorRef<Config>,
-    /// Membership.
     pub membership: ActorRef<Membership>,
 }
 
@@ -100,7 +97,7 @@
         json_body(StatusCode::OK, &status)
     }
 
-    /// Plain gauges and counters; the node has few enough to write them out.
+    /// Gauges and counters, few enough to format by hand.
     fn metrics(&self) -> String {
         let members = self.shared.members.load();
         let number = self.shared.applied.load().number;
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -10,39 +10,38 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the node; the same as its entry node's.
+    /// Node name, the same as that of its entry node.
     pub name: Name,
-    /// Failure domain.
+    /// Failure domain of the node.
     pub domain: Name,
-    /// Where it listens, TCP and UDP; peers reach it there.
+    /// Listen address, TCP and UDP; peers must be able to reach it.
     pub address: SocketAddr,
-    /// Where the entry node of the same host takes other entry nodes' messages.
+    /// Peer address of the entry node on the same host.
     pub entry: SocketAddr,
-    /// Control addresses of the same failure domain to try first.
+    /// Control addresses in the same failure domain through which the node joins.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Control addresses in other failure domains, to tell the manifest number.
+    /// Control addresses in other failure domains, to which it announces the manifest number.
     #[serde(default)]
     pub links: Vec<SocketAddr>,
-    /// The Object API and the host list.
+    /// Address of the Object API and the host list.
     pub store: SocketAddr,
-    /// Calls of the Object API a second that this node may make.
+    /// Maximum Object API calls per second from this node.
     #[serde(default = "store_rate")]
     pub store_rate: f64,
-    /// Milliseconds of a lease's period.
+    /// Lease period, milliseconds.
     #[serde(default = "lease_period")]
     pub lease_period: u64,
-    /// Milliseconds between two polls of one target by its first poller.
+    /// Interval between polls of a target by its first poller, milliseconds.
     #[serde(default = "poll_period")]
     pub poll_period: u64,
-    /// Logging.
+    /// Log settings.
     #[serde(default)]
     pub logs: Logs,
 }
 
-/// Least lease period, milliseconds: several round trips to the platform.
+/// Minimum lease period: several round trips to the platform.
 const MIN_LEASE_PERIOD_MS: u64 = 500;
-/// Least poll period, milliseconds.
 const MIN_POLL_PERIOD_MS: u64 = 50;
 
 fn store_rate() -> f64 {
@@ -67,7 +66,7 @@
             return Err(BadValue::new("address", reason));
         }
         if !(self.store_rate > 0.0 && self.store_rate.is_finite()) {
-            return Err(BadValue::new("store_rate", "must be more than 0 calls a second"));
+            return Err(BadValue::new("store_rate", "must be more than 0 calls per second"));
         }
         if self.lease_period < MIN_LEASE_PERIOD_MS {
             let reason = format!("must be {MIN_LEASE_PERIOD_MS} milliseconds or more");
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a control node share.
+//! State that the parts of a control node share.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -14,55 +14,48 @@
 
 use crate::settings::Settings;
 
-/// Accepted configuration on this node.
+/// Configuration applied on this node.
 #[derive(Debug, Default)]
 pub struct AppliedConfig {
-    /// Manifest in force.
+    /// Manifest number.
     pub number: u64,
-    /// Objects.
     pub set: ObjectSet,
 }
 
-/// What membership last said.
+/// Latest snapshot of the membership actor.
 #[derive(Debug, Default)]
 pub struct Members {
     /// Nodes that are up, this one included.
     pub nodes: Vec<Node>,
-    /// Names of the nodes that hold watches and may take leases.
+    /// Names of the nodes that watch the store and may take leases.
     pub relays: Vec<Name>,
-    /// Nodes up, those with this node's manifest in force, and the lowest manifest.
+    /// Number of nodes up, how many of them have this node's manifest or a higher one, and the
+    /// lowest manifest number.
     pub manifest_progress: (usize, usize, u64),
 }
 
-/// Shared by all parts.
+/// Clients, settings and snapshots shared by all parts.
 pub struct Shared {
-    /// Settings.
     pub settings: Settings,
-    /// Clock.
     pub clock: Clock,
-    /// HTTP client.
     pub client: Client,
-    /// Object API.
+    /// Object API, with this node's call budget.
     pub store: Arc<BudgetedStore>,
-    /// Host list.
     pub hosts: Box<dyn HostList>,
-    /// Membership.
     pub members: ArcSwap<Members>,
-    /// Configuration.
     pub applied: ArcSwap<AppliedConfig>,
-    /// Loads.
+    /// Loads of targets, from polls and gossip.
     pub load_table: Mutex<LoadTable>,
-    /// Hosts that are leaving, as this node knows.
+    /// Hosts that were leaving when this node last read the host list.
     pub leaving: ArcSwap<BTreeSet<Name>>,
 }
 
 impl Shared {
-    /// Whether this node holds watches and may take leases.
+    /// Whether this node watches the store and may take leases.
     pub fn is_relay(&self) -> bool {
         self.members.load().relays.contains(&self.settings.name)
     }
 
-    /// Locks the loads.
     pub fn load_table(&self) -> std::sync::MutexGuard<'_, LoadTable> {
         self.load_table.lock().expect("no panic while held")
     }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target: the call and the frames that come back.
+//! One attempt at one target: sends the call and receives its frames.
 
 use decide::request::Event;
 use model::attempt::{Attempt, Call, Cancel, Frame};
@@ -6,21 +6,21 @@
 use tokio::sync::mpsc::UnboundedSender;
 use util::http::{CallError, CallKind, Client, Lines};
 
-/// Media type of a call.
+/// Media type of a request body.
 const JSON: &str = "application/json";
-/// Body of the refusal that says a target is leaving.
+/// Body of the 503 response of a target that is leaving.
 const LEAVING_BODY: &str = "leaving";
 
-/// What an attempt tells the request.
+/// What an attempt reports to its request.
 #[derive(Debug)]
 pub enum AttemptEvent {
-    /// An event for the machine.
+    /// An event for the request's state machine.
     Event(Event),
     /// The target refused because it is leaving.
     TargetLeaving(Attempt),
 }
 
-/// Sends a call and passes on what comes, until the stream ends.
+/// Sends a call and reports its frames until the stream ends.
 pub async fn run(client: Client, peer: String, call: Call, out: UnboundedSender<AttemptEvent>) {
     let attempt = call.attempt.clone();
     let body = serde_json::to_vec(&call).expect("calls encode");
@@ -52,8 +52,8 @@
     let _ = out.send(AttemptEvent::Event(Event::Closed { attempt, reason }));
 }
 
-/// Whether the target certainly did not run the call: it was never sent, or the
-/// target said so with 503 or a 4xx; a 500 says nothing.
+/// Event of a failed call. The target certainly did not run it if it was never sent, or was
+/// answered with 503 or a 4xx; a 500 leaves that open.
 fn failure_event(attempt: Attempt, e: CallError) -> Event {
     match e.kind {
         CallKind::NotSent(why) => Event::NotSent { attempt, reason: Reason::Unreachable(why) },
@@ -64,7 +64,7 @@
     }
 }
 
-/// Tells a target to stop an attempt; nobody waits for the answer.
+/// Asks a target to stop an attempt, without waiting for the response.
 pub fn cancel(client: Client, peer: String, attempt: Attempt) {
     tokio::spawn(async move {
         let body = serde_json::to_vec(&Cancel { attempt }).expect("cancels encode");
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,6 +1,6 @@
-//! Claims of keys: forwarded to the shard's home node, which commits many at
-//! once; committed here when the home does not answer. Both are safe, because
-//! the same request wins whoever writes its claim.
+//! Claims of idempotency keys. A claim is forwarded to the home node of its shard, which commits
+//! claims in batches, or committed here if the home node does not respond. Both are safe: the
+//! same request wins whichever node writes its claim.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -21,23 +21,23 @@
 
 use crate::node::Core;
 
-/// Longest wait for the home node before this node commits by itself.
+/// Timeout for the home node, after which this node commits the claim itself.
 const HOME_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Front of the claims.
+/// Claims keys through the home node or this node's commit actor.
 #[derive(Debug, Clone)]
 pub struct ClaimClient {
     actor: Option<ActorRef<CommitActor>>,
 }
 
 impl ClaimClient {
-    /// A desk over a store; without one every claim fails.
+    /// Creates a client over a store; without a store every claim fails.
     pub fn new(store: Option<Arc<BudgetedStore>>, clock: Clock) -> Self {
         let actor = store.map(|store| CommitActor::spawn(CommitArgs { store, clock }));
         ClaimClient { actor }
     }
 
-    /// Claims at the shard's home node, else here.
+    /// Claims at the shard's home node, or here if that fails.
     pub async fn claim(&self, core: &Core, claim: ClaimRequest, expires: Time) -> ClaimOutcome {
         let object = claim.key.claim_object();
         let members = core.members.load();
@@ -49,13 +49,13 @@
             match call.await {
                 Ok(outcome) if outcome != ClaimOutcome::Failed => return outcome,
                 Ok(_) => {}
-                Err(e) => log::debug!("claim: home did not answer: {e}"),
+                Err(e) => log::debug!("claim: home node did not respond: {e}"),
             }
         }
         self.commit(claim, expires).await
     }
 
-    /// Claims by this node's own write.
+    /// Claims by a write of this node.
     pub async fn commit(&self, claim: ClaimRequest, expires: Time) -> ClaimOutcome {
         let Some(actor) = &self.actor else {
             return ClaimOutcome::Failed;
@@ -68,7 +68,7 @@
     }
 }
 
-/// What the keeper starts with.
+/// Arguments of the commit actor.
 pub struct CommitArgs {
     store: Arc<BudgetedStore>,
     clock: Clock,
@@ -82,7 +82,7 @@
 
 struct HandleEvent(Event);
 
-/// Wraps the [`Committer`].
+/// Actor around [`Committer`].
 pub struct CommitActor {
     store: Arc<BudgetedStore>,
     clock: Clock,
@@ -206,7 +206,7 @@
             Some(v) => match serde_json::from_value::<Claims>(v) {
                 Ok(claims) => ReadOutcome::Found { version: s.version, claims },
                 Err(e) => {
-                    log::error!("claim: object {object} cannot be read: {e}");
+                    log::error!("claim: could not decode object {object}: {e}");
                     ReadOutcome::Failed
                 }
             },
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -1,5 +1,5 @@
-//! Drives one request: feeds [`decide::request::RequestMachine`] with what happens and
-//! carries out what it wants.
+//! Runs one request: passes events to [`decide::request::RequestMachine`] and performs its
+//! actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,42 +22,37 @@
 use crate::fleet::{Config, Pool};
 use crate::node::Core;
 
-/// Longest wait for the answer to a claim.
+/// Timeout of a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// One admitted request.
 #[derive(Debug)]
 pub struct RequestJob {
-    /// Request id.
+    /// Id of the request.
     pub request: Name,
-    /// Pipeline's name.
     pub pipeline: Name,
-    /// Workspace's name.
     pub workspace: Name,
-    /// Priority.
     pub priority: Priority,
-    /// Input.
     pub input: Value,
-    /// Session, if the caller names one: its steps share a home.
+    /// Session named by the caller; requests of a session share a home.
     pub session: Option<String>,
-    /// Key.
+    /// Idempotency key.
     pub key: Option<Key>,
-    /// When it arrived.
     pub arrived: Time,
-    /// When the answer is due.
+    /// When the response is due.
     pub deadline: Time,
-    /// When nobody waits any longer.
+    /// When the request is aborted: its deadline plus the workspace's grace.
     pub expires: Time,
-    /// Whether pieces go out as they come.
+    /// Whether chunks are sent to the caller as they arrive.
     pub streamed: bool,
 }
 
-/// What the caller's side hears.
+/// What a request sends to its caller.
 #[derive(Debug)]
 pub enum ResponseEvent {
-    /// A piece of the last step's text.
+    /// A chunk of the last step's text.
     Chunk(ChunkEvent),
-    /// The end, with the whole text where it is complete.
+    /// The final report, with the whole text if the request completed.
     End(Box<RequestReport>, String),
 }
 
@@ -99,7 +94,7 @@
     }
 }
 
-/// Runs a request to its end.
+/// Runs a request until it finishes.
 pub async fn run(
     core: Arc<Core>,
     config: Arc<Config>,
@@ -182,7 +177,7 @@
         }
     }
 
-    /// Keeps the target tables up with what came back.
+    /// Updates the target tables from an event.
     fn record_event(&mut self, event: &Event) {
         let now = self.core.clock.now();
         match event {
@@ -203,7 +198,7 @@
                 if let Some(f) = self.in_flight.remove(attempt)
                     && f.pool.lock().table.record_failure(now, &f.target)
                 {
-                    log::warn!("route: {} failed again and again, ejected.", f.target);
+                    log::warn!("route: ejected {} after repeated failures.", f.target);
                 }
             }
             _ => {}
@@ -228,7 +223,7 @@
         }
     }
 
-    /// Every attempt still in the air at a step's end has answered or lost.
+    /// Attempts still in flight when a step completes have either responded or lost the race.
     fn step_done(&mut self, now: Time, step: usize) {
         self.core.fleet.record_step(&self.job.pipeline, step, now.since(self.step_started));
         for (_, f) in self.in_flight.drain() {
@@ -252,7 +247,7 @@
                 None
             }
             Action::Emit(piece) => {
-                // A caller that reads slowly holds its own request back, nobody else's.
+                // A slow caller delays only its own request.
                 let _ = self.out.send(ResponseEvent::Chunk(piece)).await;
                 None
             }
@@ -287,7 +282,7 @@
         let query = RouteQuery { now, prefix: self.prefix, model, budget, tried };
         let any_target = RouteQuery { tried: &[], ..query };
         let fleet = &self.core.fleet;
-        // A target that failed this step before is better than none.
+        // Fall back to targets that already failed this step.
         match fleet.pick(&pool, &query).or_else(|| fleet.pick(&pool, &any_target)) {
             Some((target, wait)) => {
                 self.picked = Some((target.clone(), wait));
@@ -315,7 +310,7 @@
         };
         let expected_wait = match self.picked.take() {
             Some((picked, wait)) if picked == target => wait,
-            // A resume goes to a target that the router did not count.
+            // The router did not pick the target of a resume, so it is counted as sent here.
             _ => pool.lock().table.record_sent(now, &target),
         };
         let version = stage.model.as_ref().and_then(|m| self.config.set.models.get(m));
@@ -342,7 +337,7 @@
         self.in_flight.insert(attempt, active);
     }
 
-    /// The configuration moved on between the choice and the send.
+    /// Reports that the configuration changed between picking a target and sending.
     fn report_unsendable(&self, attempt: Attempt) {
         let reason = model::outcome::Reason::NoTarget;
         let _ = self.attempt_tx.send(AttemptEvent::Event(Event::NotSent { attempt, reason }));
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What an entry node knows of configuration, pools and targets, shared by all
-//! requests. Tables are locked for the microseconds of one decision.
+//! Configuration, pools and targets as an entry node knows them, shared by all requests. A pool's
+//! table is locked only for one decision, which takes microseconds.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
@@ -15,38 +15,34 @@
 use model::object::{ObjectSet, Pipeline, Role};
 use model::{Name, Time};
 
-/// Most steps of a pipeline.
+/// Maximum steps of a pipeline.
 const MAX_STEPS: usize = 16;
 
-/// Configuration in force.
+/// The applied configuration.
 #[derive(Debug, Default)]
 pub struct Config {
-    /// Manifest.
+    /// Manifest number.
     pub number: u64,
-    /// Objects.
     pub set: ObjectSet,
 }
 
 /// One pool's table, policy and retry budget.
 #[derive(Debug)]
 pub struct Pool {
-    /// Cost of a target's second.
+    /// Cost of one target for one second.
     pub cost: f64,
-    /// What the targets do.
+    /// Role of the targets.
     pub role: Role,
-    /// Targets and their addresses.
+    /// Address of each target.
     pub addresses: HashMap<Name, Name>,
     state: Arc<Mutex<PoolState>>,
 }
 
-/// The part of a pool that decisions change.
+/// State of a pool that routing decisions change.
 #[derive(Debug)]
 pub struct PoolState {
-    /// Targets.
     pub table: PoolTable,
-    /// Routing policy.
     pub policy: Box<dyn Policy>,
-    /// Retry budget.
     pub budget: RetryBudget,
 }
 
@@ -59,7 +55,7 @@
 
 type StepKey = (Name, usize);
 
-/// Configuration, pools and times.
+/// Applied configuration, pools and step times of one entry node.
 #[derive(Debug)]
 pub struct Fleet {
     domain: Name,
@@ -74,7 +70,7 @@
 }
 
 impl Fleet {
-    /// An empty fleet seen from one failure domain.
+    /// Creates an empty fleet as seen from `domain`; `near` holds the other domains of its region.
     pub fn new(domain: Name, near: &[Name], policy: PolicyKind, seed: u64) -> Self {
         Fleet {
             domain,
@@ -89,12 +85,12 @@
         }
     }
 
-    /// Configuration in force.
+    /// The applied configuration.
     pub fn config(&self) -> Arc<Config> {
         self.config.load_full()
     }
 
-    /// A pool.
+    /// The pool `name`, if the applied configuration has it.
     pub fn pool(&self, name: &str) -> Option<Arc<Pool>> {
         self.pools.read().expect("no panic while held").get(name).cloned()
     }
@@ -105,7 +101,7 @@
         pools.iter().map(|(n, p)| (n.clone(), p.clone())).collect()
     }
 
-    /// Takes a new manifest; a lower number is ignored.
+    /// Applies a new manifest; ignored unless its number is higher than the current one.
     pub fn apply(&self, change: Change) {
         let old = self.config.load();
         let number = change.number;
@@ -167,7 +163,7 @@
         }
     }
 
-    /// Takes news of a target.
+    /// Updates a target's state from a report; reports of unknown targets are ignored.
     pub fn update_target(&self, now: Time, news: &TargetStatus) {
         let pool_name = self
             .target_pools
@@ -180,7 +176,7 @@
         }
     }
 
-    /// Takes the hosts that are leaving.
+    /// Sets the hosts that are leaving and marks their targets.
     pub fn set_leaving(&self, hosts: BTreeSet<Name>) {
         *self.leaving.lock().expect("no panic while held") = hosts.clone();
         self.mark_leaving(hosts);
@@ -199,7 +195,8 @@
         }
     }
 
-    /// Chooses a target and counts the attempt as sent; with the wait expected there.
+    /// Picks a target and counts the attempt as sent. Returns the target and its expected wait in
+    /// milliseconds.
     pub fn pick(&self, pool: &Pool, query: &RouteQuery) -> Option<(Name, f64)> {
         let mut state = pool.lock();
         let state = &mut *state;
@@ -209,7 +206,7 @@
         Some((name, wait))
     }
 
-    /// Plans of a pipeline's steps, from the times seen so far.
+    /// Plans of a pipeline's steps, based on the step times recorded so far.
     pub fn step_plans(&self, name: &Name, pipeline: &Pipeline, hedging: bool) -> Vec<StepPlan> {
         let times = self.step_times.lock().expect("no panic while held");
         let plan = |(i, s): (usize, &model::object::Stage)| {
@@ -229,13 +226,13 @@
         pipeline.stages.iter().enumerate().map(plan).collect()
     }
 
-    /// Notes how long a step took.
+    /// Records how long a step took.
     pub fn record_step(&self, pipeline: &Name, step: usize, took: Duration) {
         let mut times = self.step_times.lock().expect("no panic while held");
         times.entry((pipeline.clone(), step)).or_default().record(took);
     }
 
-    /// Time that a request of `pipeline` must have when its turn comes.
+    /// Time that a request of `pipeline` must have left when it is admitted.
     pub fn required_time(&self, pipeline: &Name, steps: usize, left: Duration) -> Duration {
         let times = self.step_times.lock().expect("no panic while held");
         let observed: Vec<&StepTimes> =
@@ -243,7 +240,7 @@
         deadline::required_time(&observed, left)
     }
 
-    /// Budget of a step: what is left, less what later steps need.
+    /// Budget of a step: the time left, less what later steps need.
     pub fn step_budget(&self, pipeline: &Name, step: usize, now: Time, deadline: Time) -> Duration {
         let times = self.step_times.lock().expect("no panic while held");
         let later_steps: Vec<&StepTimes> =
--- a/crates/entry/src/front/ask.rs
+++ b/crates/entry/src/front/ask.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request and refuses a bad one with what would be right.
+//! Parses a caller's request, and rejects an invalid one with a message that names the remedy.
 
 use std::time::Duration;
 
@@ -16,23 +16,22 @@
 
 /// Header that names the workspace.
 const WORKSPACE_HEADER: &str = "pumicevale-workspace";
-/// Header with a shorter deadline, milliseconds.
+/// Header that shortens the deadline, milliseconds.
 const DEADLINE_HEADER: &str = "pumicevale-deadline-ms";
-/// Header with a less urgent priority.
+/// Header that lowers the priority.
 const PRIORITY_HEADER: &str = "pumicevale-priority";
-/// Header that names a session, whose requests share a home.
+/// Header that names a session; requests of a session share a home.
 const SESSION_HEADER: &str = "pumicevale-session";
 /// Header with the idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
-/// Longest session name.
+/// Maximum length of a session name, bytes.
 const MAX_SESSION_LEN: usize = 256;
 
-/// A request that was refused before anything else happened.
+/// A request rejected during parsing, before it had any effect.
 #[derive(Debug)]
 pub struct InvalidRequest {
-    /// Status.
     pub status: StatusCode,
-    /// What is wrong and what would be right.
+    /// What is wrong and how to correct it.
     pub message: String,
 }
 
@@ -44,7 +43,7 @@
     InvalidRequest { status: StatusCode::NOT_FOUND, message: message.into() }
 }
 
-/// Reads and checks a request.
+/// Parses and validates a request.
 pub async fn read(
     core: &Core,
     config: &Config,
@@ -136,7 +135,7 @@
             )));
         }
     };
-    // A caller may yield, but not push ahead of its workspace.
+    // A caller may lower its priority, but not raise it above that of its workspace.
     Ok(asked.max(default))
 }
 
@@ -190,7 +189,7 @@
     Ok(value)
 }
 
-/// Fields that every pipeline understands must have their types.
+/// Checks the types of the fields that every pipeline understands.
 fn check_types(value: &Value) -> Result<(), InvalidRequest> {
     for field in ["text", "instruction", "prompt"] {
         if value.get(field).is_some_and(|v| !v.is_string()) {
--- a/crates/entry/src/front/gate.rs
+++ b/crates/entry/src/front/gate.rs
@@ -1,4 +1,4 @@
-//! Wraps the admission machine: a request waits for its verdict.
+//! Admission of requests: each waits for a verdict of the [`AdmissionQueue`].
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -12,15 +12,14 @@
 use crate::drive::RequestJob;
 use crate::node::Core;
 
-/// How often waiting requests are looked over for those that cannot finish.
+/// Interval between checks for queued requests that can no longer finish in time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A refusal and when to come back.
+/// A rejected request.
 #[derive(Debug)]
 pub struct Rejection {
-    /// Why.
     pub reason: Reason,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
@@ -30,19 +29,19 @@
     waiting: HashMap<Name, oneshot::Sender<Result<(), Reason>>>,
 }
 
-/// The admission of one node.
+/// Admission control of one node.
 #[derive(Debug)]
 pub struct AdmissionController {
     inner: Mutex<Inner>,
 }
 
 impl AdmissionController {
-    /// Wraps a gate.
+    /// Creates a controller around a queue.
     pub fn new(queue: AdmissionQueue) -> Self {
         AdmissionController { inner: Mutex::new(Inner { queue, waiting: HashMap::new() }) }
     }
 
-    /// Waits for a turn. A caller that goes away meanwhile gives up its place.
+    /// Waits until the request may run. Dropping the future removes it from the queue.
     pub async fn admit(&self, core: &Core, job: &RequestJob) -> Result<(), Rejection> {
         let now = core.clock.now();
         let config = core.fleet.config();
@@ -75,7 +74,7 @@
         verdict.map_err(|reason| Rejection { reason, retry_after: retry_after() })
     }
 
-    /// Refuses those that wait and can no longer finish, until the process ends.
+    /// Rejects queued requests that can no longer finish in time, until the process ends.
     pub async fn expire_waiting(core: std::sync::Arc<Core>) {
         loop {
             tokio::time::sleep(CHECK_INTERVAL).await;
@@ -84,7 +83,7 @@
         }
     }
 
-    /// A request ended after running for `ran` under a deadline of `most`.
+    /// Records that a request ended after running for `ran` with `budget` as its total time.
     pub fn complete(&self, now: Time, request: &Name, ran: Duration, budget: Duration) {
         self.update(|queue| queue.complete(now, request, ran, budget));
     }
@@ -114,7 +113,7 @@
     }
 }
 
-/// Gives a waiting request's place up if its caller goes away.
+/// Removes a queued request if its caller disconnects.
 struct WaitGuard<'a> {
     controller: &'a AdmissionController,
     core: &'a Core,
--- a/crates/entry/src/front/mod.rs
+++ b/crates/entry/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: paths, admission, whole and streamed answers.
+//! HTTP interface for callers: paths, admission, whole and streamed responses.
 
 mod ask;
 mod gate;
@@ -20,14 +20,14 @@
 use crate::drive::{self, RequestJob, ResponseEvent};
 use crate::node::Core;
 
-/// Pieces on their way to one caller.
+/// Maximum chunks buffered for one caller.
 const CHANNEL_CAPACITY: usize = 64;
-/// Prefix of the pipelines' paths.
+/// Path prefix of pipelines.
 const PIPELINES_PREFIX: &str = "/v1/pipelines/";
 /// Media type of the metrics.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers callers.
+/// Serves callers.
 pub struct CallerHandler(pub Arc<Core>);
 
 impl Handler for CallerHandler {
@@ -91,7 +91,7 @@
     if streamed { send_stream(rx).await } else { send_whole(rx).await }
 }
 
-/// Rate, then a turn; the error is the request's final word.
+/// Checks the workspace's rate limit, then waits for admission. The error is the final report.
 async fn admit(core: &Core, job: &RequestJob) -> Result<(), RequestReport> {
     let now = core.clock.now();
     let rejection = |reason: Reason, retry_after: Option<u64>| RequestReport {
@@ -123,7 +123,7 @@
 }
 
 async fn send_stream(mut rx: mpsc::Receiver<ResponseEvent>) -> Response<Body> {
-    // The head waits for the first piece, so that a refusal keeps its own status.
+    // Delay the response head until the first chunk, so that a rejection keeps its own status.
     let first = match rx.recv().await {
         Some(ResponseEvent::End(report, _)) if report.outcome != Outcome::Complete => {
             return reply::report(&report);
--- a/crates/entry/src/front/reply.rs
+++ b/crates/entry/src/front/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: statuses, headers, events.
+//! Responses to callers: statuses, headers, events.
 
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode, header};
@@ -9,16 +9,16 @@
 
 use crate::drive::ResponseEvent;
 
-/// Media type of streamed answers.
+/// Media type of streamed responses.
 pub const EVENT_STREAM: &str = "text/event-stream";
 
-/// A request that is wrong in itself; it was not run.
+/// Response to an invalid request, which was not run.
 pub fn problem(status: StatusCode, why: &str) -> Response<Body> {
     let body = json!({ "outcome": Outcome::NotRun, "problem": why });
     with_outcome(json_body(status, &body), Outcome::NotRun, None)
 }
 
-/// A whole answer, or how the request ended.
+/// Response with the whole answer, or with the report if the request did not complete.
 pub fn answer(answer: &Answer) -> Response<Body> {
     if answer.end.outcome != Outcome::Complete {
         return report(&answer.end);
@@ -26,7 +26,7 @@
     with_outcome(json_body(StatusCode::OK, answer), Outcome::Complete, None)
 }
 
-/// How a request ended that is not complete.
+/// Response with the report of a request that did not complete.
 pub fn report(report: &RequestReport) -> Response<Body> {
     with_outcome(json_body(status(report), report), report.outcome, report.retry_after)
 }
@@ -39,7 +39,7 @@
     let headers = response.headers_mut();
     headers.insert(OUTCOME_HEADER, HeaderValue::from_static(outcome.as_str()));
     if let Some(ms) = retry_after {
-        // The header has whole seconds; the body has the milliseconds.
+        // The header takes whole seconds; the body has the milliseconds.
         headers.insert(header::RETRY_AFTER, HeaderValue::from(ms.div_ceil(1000)));
     }
     response
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data path: takes callers' requests and sends their steps to targets.
 //!
-//! A fault of the control process never stops an entry node: it goes on with
-//! the configuration and the news that it has.
+//! A fault of the control process never stops an entry node, which continues with the
+//! configuration and the load reports that it has.
 
 pub mod args;
 mod attempt;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -48,7 +48,7 @@
 }
 
 impl Metrics {
-    /// Metrics at zero.
+    /// Registers all metrics, at zero.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("pumicevale");
         let requests = Requests::default();
@@ -68,7 +68,7 @@
         Metrics { registry, requests, costs, attempts, retries, seconds, stray_frames }
     }
 
-    /// A request ended, perhaps before it ran.
+    /// Records a finished request, which may not have run.
     pub fn record_request(&self, pipeline: &str, workspace: &str, report: &RequestReport) {
         let labels = RequestLabels {
             pipeline: pipeline.into(),
@@ -85,22 +85,22 @@
         }
     }
 
-    /// A retry was asked for.
+    /// Records a retry that was asked for and whether the budget granted it.
     pub fn record_retry(&self, step: &str, granted: bool) {
         let granted = if granted { "true" } else { "false" };
         self.retries.get_or_create(&RetryLabels { step: step.into(), granted }).inc();
     }
 
-    /// Frames that belonged to no live attempt.
+    /// Counts `n` frames that belonged to no live attempt.
     pub fn record_strays(&self, n: u64) {
         self.stray_frames.inc_by(n);
     }
 
-    /// The text.
+    /// All metrics in the text format.
     pub fn text(&self) -> String {
         let mut out = String::new();
         let registry = self.registry.lock().expect("no panic while held");
-        encode(&mut out, &registry).expect("strings take writes");
+        encode(&mut out, &registry).expect("writing to a string succeeds");
         out
     }
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! An entry node: its parts put together, started and stopped.
+//! Assembly, start and stop of an entry node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,43 +28,35 @@
 use crate::settings::Settings;
 use crate::sync;
 
-/// Longest wait for a target to take a connection.
+/// Timeout for connecting to a target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What every request shares.
+/// State shared by all requests.
 pub struct Core {
-    /// Settings.
     pub settings: Settings,
-    /// Clock.
     pub clock: Clock,
-    /// Configuration, pools, times.
     pub fleet: Fleet,
-    /// HTTP client.
     pub client: Client,
-    /// Claims.
     pub claims: ClaimClient,
-    /// Workspace rates.
     pub rates: Rates,
-    /// Metrics.
     pub metrics: Metrics,
     /// Entry nodes that are up.
     pub members: ArcSwap<Vec<Node>>,
-    /// Admission.
     pub admission: crate::front::AdmissionController,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful stop has begun.
     pub stopping: AtomicBool,
     start: u64,
     next_request: AtomicU64,
 }
 
 impl Core {
-    /// A new request id, unique over nodes and their starts.
+    /// Returns a new request id, unique across nodes and restarts.
     pub fn request_id(&self) -> Name {
         let n = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:08x}-{n}", self.settings.name, self.start as u32).into()
     }
 
-    /// Tells the control node that a target refused because it is leaving.
+    /// Reports to the control node that a target refused a call because it is leaving.
     pub fn report_refusal(&self, target: Name) {
         let Some(control) = self.settings.control.clone() else {
             return;
@@ -78,15 +70,15 @@
     }
 }
 
-/// The program.
+/// The program `pumicevale-entry`.
 #[derive(Debug)]
 pub struct Entry;
 
 /// A running entry node.
 pub struct Running {
-    /// Where callers come in.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where other entry nodes come in.
+    /// Listen address for other entry nodes.
     pub peers: SocketAddr,
     core: Arc<Core>,
     caller_stopper: Stopper,
@@ -105,7 +97,11 @@
             |s: &Settings| &s.logs,
             |settings| async {
                 let running = Entry::start(settings).await?;
-                log::info!("node: callers at {}, peers at {}.", running.callers, running.peers);
+                log::info!(
+                    "node: listening for callers on {}, for peers on {}.",
+                    running.callers,
+                    running.peers
+                );
                 stop::signal().await.context("could not wait for signals")?;
                 running.stop().await;
                 Ok(())
@@ -119,7 +115,7 @@
     }
 }
 
-/// A node that holds its ports and does not serve yet.
+/// A node that has bound its ports and does not serve yet.
 #[derive(Debug)]
 pub struct Bound {
     settings: Settings,
@@ -128,19 +124,19 @@
 }
 
 impl Bound {
-    /// Takes the ports that the settings name; port 0 picks free ones.
+    /// Binds the addresses in the settings; port 0 picks a free port.
     pub async fn new(settings: Settings) -> anyhow::Result<Bound> {
         let caller_server = Server::bind(&settings.callers).await?;
         let peer_server = Server::bind(&settings.peers).await?;
         Ok(Bound { settings, caller_server, peer_server })
     }
 
-    /// Where other entry nodes come in.
+    /// Listen address for other entry nodes.
     pub fn peers(&self) -> SocketAddr {
         self.peer_server.address()
     }
 
-    /// Names the control node, where it was not known before.
+    /// Sets the address of the control node, for callers that learn it only after binding.
     pub fn with_control(mut self, control: SocketAddr) -> Self {
         self.settings.control = Some(control.to_string());
         self
@@ -196,38 +192,38 @@
         Running { callers, peers, core, caller_stopper, peer_stopper, servers, tasks }
     }
 
-    /// The fleet as this node sees it, for tests and experiments without a control node.
+    /// The node's fleet, for tests and experiments without a control node.
     pub fn fleet(&self) -> &Fleet {
         &self.core.fleet
     }
 
-    /// Time by the node's clock.
+    /// Current time of the node's clock.
     pub fn now(&self) -> model::Time {
         self.core.clock.now()
     }
 
-    /// Puts a configuration in force directly.
+    /// Applies a configuration directly, without a control node.
     pub fn apply(&self, change: Change) {
         self.core.fleet.apply(change);
     }
 
-    /// Names the entry nodes that are up.
+    /// Sets the entry nodes that are up.
     pub fn set_members(&self, members: Vec<Node>) {
         self.core.members.store(Arc::new(members));
     }
 
-    /// Ends at once, answers cut off: for experiments only.
+    /// Ends at once and cuts off open responses; for experiments only.
     pub fn abort(self) {
         for task in self.servers.into_iter().chain(self.tasks) {
             task.abort();
         }
     }
 
-    /// A planned stop: not ready at once, then no new connections, then the end
-    /// once every answer is out.
+    /// Graceful stop: withdraws readiness at once, accepts no new connections after the load
+    /// balancer's lag, and ends when all responses are sent.
     pub async fn stop(self) {
         self.core.stopping.store(true, Ordering::Relaxed);
-        log::info!("stop: not ready, waiting for the balancer.");
+        log::info!("stop: no longer ready, waiting for the load balancer.");
         tokio::time::sleep(Duration::from_millis(self.core.settings.balancer_lag)).await;
         self.caller_stopper.stop();
         let mut servers = self.servers.into_iter();
@@ -241,6 +237,6 @@
         for task in self.tasks {
             task.abort();
         }
-        log::info!("stop: every answer is out.");
+        log::info!("stop: all responses sent.");
     }
 }
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -1,4 +1,4 @@
-//! The interface for other entry nodes.
+//! HTTP interface for other entry nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::node::Core;
 use crate::rates;
 
-/// Largest message.
+/// Maximum size of a message.
 const MAX_MESSAGE_BYTES: usize = 64 << 10;
-/// How long a forwarded claim is worked on; the sender then commits by itself.
+/// Time limit for a forwarded claim; the sender then commits it itself.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Answers other entry nodes.
+/// Serves other entry nodes.
 pub struct PeerHandler(pub Arc<Core>);
 
 impl Handler for PeerHandler {
--- a/crates/entry/src/rates.rs
+++ b/crates/entry/src/rates.rs
@@ -1,4 +1,4 @@
-//! Workspace rates: this node's slices, and what it lends as a home.
+//! Workspace rate limits: this node's slices, and the slices it lends as the home of a workspace.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -10,14 +10,14 @@
 
 use crate::node::Core;
 
-/// How often slices are renewed.
+/// Interval between renewals of slices.
 const RENEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for a home.
+/// Timeout for a home's response.
 const LEND_TIMEOUT: Duration = Duration::from_millis(300);
 
 type LimitKey = (Name, Name);
 
-/// Slices and loans.
+/// Slices of this node, and lenders for the workspaces whose home it is.
 #[derive(Debug, Default)]
 pub struct Rates {
     slices: Mutex<HashMap<LimitKey, RateSlice>>,
@@ -25,7 +25,7 @@
 }
 
 impl Rates {
-    /// Takes one request's token, or says when to come back.
+    /// Takes the token of one request, or returns the delay after which to retry.
     pub fn take(
         &self,
         now: Time,
@@ -40,7 +40,7 @@
         slice.take(now, nodes)
     }
 
-    /// Lends as the home of a workspace.
+    /// Lends a slice as the home of the workspace.
     pub fn lend(&self, now: Time, request: &LendRequest, rate: f64, nodes: usize) -> LentRate {
         let mut lenders = self.lenders.lock().expect("no panic while held");
         let key = (request.workspace.clone(), request.pipeline.clone());
@@ -69,7 +69,7 @@
     }
 }
 
-/// The rate of a workspace on a pipeline, if it is limited.
+/// Rate limit of a workspace on a pipeline, requests per second, if there is one.
 pub fn rate_limit(core: &Core, workspace: &str, pipeline: &str) -> Option<f64> {
     let config = core.fleet.config();
     let w = config.set.workspaces.get(workspace)?;
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -11,58 +11,58 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the node; the same as its control node's.
+    /// Node name, the same as that of its control node.
     pub name: Name,
-    /// Failure domain.
+    /// Failure domain of the node.
     pub domain: Name,
     /// Other failure domains of the same region.
     #[serde(default)]
     pub near: Vec<Name>,
-    /// Where callers come in.
+    /// Listen address for callers.
     pub callers: String,
-    /// Where other entry nodes come in.
+    /// Listen address for other entry nodes.
     pub peers: String,
-    /// The control node of the same host.
+    /// Address of the control node on the same host.
     #[serde(default)]
     pub control: Option<String>,
-    /// The Object API.
+    /// Address of the Object API.
     #[serde(default)]
     pub store: Option<String>,
-    /// Calls of the Object API a second that this node may make.
+    /// Maximum Object API calls per second from this node.
     #[serde(default = "store_rate")]
     pub store_rate: f64,
-    /// Requests that run at once.
+    /// Maximum number of requests that run at once.
     #[serde(default = "width")]
     pub width: usize,
-    /// Requests that wait for their turn.
+    /// Maximum number of queued requests.
     #[serde(default = "depth")]
     pub depth: usize,
-    /// Largest request body, bytes.
+    /// Maximum size of a request body, bytes.
     #[serde(default = "body_max")]
     pub body_max: usize,
-    /// Milliseconds in which a body must have arrived.
+    /// Time limit for receiving a request body, milliseconds.
     #[serde(default = "body_time")]
     pub body_time: u64,
-    /// Milliseconds that the balancer needs to see that the node is not ready.
+    /// Time the load balancer needs to notice that the node is not ready, milliseconds.
     #[serde(default = "balancer_lag")]
     pub balancer_lag: u64,
-    /// Routing policy of engines; other pools go by load alone.
+    /// Routing policy of engine pools; other pools are routed by load alone.
     #[serde(default)]
     pub policy: PolicyKind,
-    /// Whether requests that cannot finish in time are refused at the door.
+    /// Whether admission rejects requests that cannot finish in time.
     #[serde(default = "yes")]
     pub admission: bool,
-    /// Whether short repeatable steps get a second attempt when they are late.
+    /// Whether a late, short, repeatable step gets a second attempt.
     #[serde(default = "yes")]
     pub hedging: bool,
-    /// Logging.
+    /// Log settings.
     #[serde(default)]
     pub logs: Logs,
 }
 
 impl Settings {
-    /// A node on free loopback ports with every default and neither control
-    /// node nor store: for tests, experiments and the quick start.
+    /// Default settings on free loopback ports, with neither control node nor store, for tests,
+    /// experiments and the quick start.
     pub fn local(name: Name, domain: Name) -> Self {
         /// Any free port.
         const ANY: &str = "127.0.0.1:0";
@@ -128,7 +128,7 @@
             return Err(BadValue::new("width", "must be 1 or more"));
         }
         if !(self.store_rate > 0.0 && self.store_rate.is_finite()) {
-            return Err(BadValue::new("store_rate", "must be more than 0 calls a second"));
+            return Err(BadValue::new("store_rate", "must be more than 0 calls per second"));
         }
         Ok(())
     }
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -1,5 +1,5 @@
-//! Keeps an entry node up with its control node: configuration, members, load.
-//! While the control node is away, everything known stays in force.
+//! Synchronizes configuration, members and load from the control node. While the control node is
+//! unreachable, the last known state stays in use.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 
 use crate::node::Core;
 
-/// How often the control node is asked.
+/// Interval between polls of the control node.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for it.
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Runs until the process ends.
@@ -28,10 +28,10 @@
         match view {
             Ok(view) => {
                 if !reachable {
-                    log::info!("sync: control is back.");
+                    log::info!("sync: control node is reachable again.");
                 }
                 reachable = true;
-                // A control node that was started anew counts from the beginning.
+                // A restarted control node counts its changes from zero.
                 changes = if view.changes < changes { 0 } else { view.changes };
                 let number = view.number;
                 apply_view(&core, view);
@@ -41,7 +41,7 @@
             }
             Err(e) => {
                 if reachable {
-                    log::warn!("sync: control does not answer: {e}");
+                    log::warn!("sync: control node is unreachable: {e}");
                 }
                 reachable = false;
                 changes = 0;
@@ -71,7 +71,7 @@
         for action in follower.handle_event(core.clock.now(), event) {
             match action {
                 FollowerAction::Applied(change) => {
-                    log::info!("config: manifest {} is in force.", change.number);
+                    log::info!("config: applied manifest {}.", change.number);
                     core.fleet.apply(change);
                 }
                 fetch => events.extend(fetcher.fetch(fetch).await),
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: refused with file, line, column and the remedy, exit code 2.
+//! Invalid settings files are rejected with exit code 2 and the file, line, column and remedy.
 
 #[path = "../../util/tests/support/settings.rs"]
 mod support;
@@ -6,7 +6,7 @@
 use support::{Case, check_settings_files};
 
 #[test]
-fn the_examples_pass_and_bad_files_are_refused_with_their_place() {
+fn examples_are_valid_and_errors_name_their_position() {
     let program = env!("CARGO_BIN_EXE_pumicevale-entry");
     let cases = [
         Case { name: "unknown", from: "near:", to: "nearby:", expected: "unknown.yaml:3:1" },
