--- a/crates/bench/src/slopes/fleet.rs
+++ b/crates/bench/src/slopes/fleet.rs
@@ -108,8 +108,8 @@
     let mut coordinator = Coordinator::new(pool, Policy::default());
     let mut handle = |coordinator: &mut Coordinator, fleet: &Fleet, event, now| {
         let update = feed.next_event(fleet, &id, &map, None, now);
-        update.map(|update| coordinator.handle(now, update));
-        coordinator.handle(now, event)
+        update.map(|update| coordinator.handle_event(now, update));
+        coordinator.handle_event(now, event)
     };
     handle(&mut coordinator, &fleet, Event::Tick, Time::ZERO);
     let before = coordinator.visited();
@@ -148,20 +148,20 @@
     const LOOKUPS_PER_ROUND: u64 = 2 + DOMAINS as u64;
     let mut roster = Roster::new("node-1".into(), domain(1), 0);
     let joined_at = Time::from_millis(60_000);
-    (0..nodes).filter(|i| *i != 1).for_each(|i| roster.put(peer(i, 1, joined_at), joined_at));
+    (0..nodes).filter(|i| *i != 1).for_each(|i| roster.upsert(peer(i, 1, joined_at), joined_at));
     let now = Time::from_millis(70_000);
     let before = roster.visited();
     for round in 0..ROUNDS {
         let i = 2 + round as usize % (nodes - 2);
         roster.remove(&peer(i, 1, joined_at).node.id);
-        roster.put(PeerView { up: Duration::from_millis(50), ..peer(i, 2 + round, now) }, now);
+        roster.upsert(PeerView { up: Duration::from_millis(50), ..peer(i, 2 + round, now) }, now);
         roster.coordinates("encode", now);
         for d in 0..DOMAINS {
             roster.scheduler("engine", &domain(d), now);
         }
         roster.relays(now);
         roster.remove(&peer(i, 2 + round, now).node.id);
-        roster.put(peer(i, 1, joined_at), now);
+        roster.upsert(peer(i, 1, joined_at), now);
     }
     (roster.visited() - before) as f64 / (ROUNDS * LOOKUPS_PER_ROUND) as f64
 }
--- a/crates/decide/src/batch/coordinator.rs
+++ b/crates/decide/src/batch/coordinator.rs
@@ -124,7 +124,7 @@
     }
 
     /// Processes an event and returns the actions to take.
-    pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.workers.refresh(now);
         match event {
@@ -148,7 +148,7 @@
             Event::Tick => {}
         }
         self.drop_late(now, &mut out);
-        self.drop_barred(&mut out);
+        self.drop_unplaceable(&mut out);
         self.repeat_overdue(now, &mut out);
         self.start_calls(now, &mut out);
         out
@@ -317,15 +317,15 @@
 
     /// Fails orders whose allowed regions have no worker, not even a busy one. Waiting would only
     /// delay the refusal.
-    fn drop_barred(&mut self, out: &mut Vec<Action>) {
+    fn drop_unplaceable(&mut self, out: &mut Vec<Action>) {
         let workers = &self.workers;
-        let is_barred = |o: &OpenOrder| {
+        let is_unplaceable = |o: &OpenOrder| {
             let allowed = &o.spec.allowed;
             !o.queued.is_empty() && !allowed.is_any() && !workers.has_any_permitted(allowed)
         };
-        let barred: Vec<OrderId> =
-            self.orders.iter().filter(|(_, o)| is_barred(o)).map(|(id, _)| *id).collect();
-        for id in barred {
+        let unplaceable: Vec<OrderId> =
+            self.orders.iter().filter(|(_, o)| is_unplaceable(o)).map(|(id, _)| *id).collect();
+        for id in unplaceable {
             self.fail_order(id, &PieceResult::Failed, out);
         }
     }
--- a/crates/decide/src/batch/feed.rs
+++ b/crates/decide/src/batch/feed.rs
@@ -85,7 +85,7 @@
         self.announced.clear();
         self.timers.clear();
         let mut workers = Vec::new();
-        for b in view.fleet.of_service(&view.pool.service) {
+        for b in view.fleet.service_targets(&view.pool.service) {
             let due_at = view.fleet.valid_until(b, view.cold, view.now);
             self.timers.extend(due_at.map(|at| (at, b.target.id.name.clone())));
             workers.extend(view.info(b));
@@ -137,7 +137,7 @@
         Some(WorkerInfo {
             id: b.target.id.clone(),
             domain: b.target.domain.clone(),
-            region: self.fleet.regions().of(&b.target.domain).cloned(),
+            region: self.fleet.regions().region_of(&b.target.domain).cloned(),
             gap: self.cold_gap(b).max(self.limit_gap(b)),
             max_pieces: (self.has_unlimited && self.has_limit(b))
                 .then_some(MAX_LIMITED_PIECES as usize),
--- a/crates/decide/src/fleet/cold.rs
+++ b/crates/decide/src/fleet/cold.rs
@@ -45,7 +45,7 @@
 
 impl ColdLimit {
     /// The limit of a service; `None` if its targets need no limit while cold.
-    pub fn of(cold: &ColdTargets, bounds: ColdBounds) -> Option<ColdLimit> {
+    pub fn for_service(cold: &ColdTargets, bounds: ColdBounds) -> Option<ColdLimit> {
         if cold.per_s <= 0.0 {
             return None;
         }
--- a/crates/decide/src/fleet/notice.rs
+++ b/crates/decide/src/fleet/notice.rs
@@ -64,7 +64,7 @@
     /// Records the notice in an answer; returns what is new.
     pub fn record(&mut self, id: &TargetId, notice: Notice, now: Time) -> Vec<NoticeChange> {
         let mut changes = Vec::new();
-        if notice.leaving && self.note_draining(id, now) {
+        if notice.leaving && self.mark_draining(id, now) {
             changes.push(NoticeChange::Draining);
         }
         match notice.retry_after {
@@ -87,17 +87,17 @@
     }
 
     /// Marks a target as draining; returns whether that is new.
-    pub fn note_draining(&mut self, id: &TargetId, now: Time) -> bool {
+    pub fn mark_draining(&mut self, id: &TargetId, now: Time) -> bool {
         self.draining.insert(id.clone(), now).is_none()
     }
 
     /// Records that a target's entry was removed.
-    pub fn note_removed(&mut self, id: &TargetId, now: Time) {
+    pub fn mark_removed(&mut self, id: &TargetId, now: Time) {
         self.removed.insert(id.clone(), now);
     }
 
     /// Records that a target's entry exists again, and not from an older copy of the store.
-    pub fn note_present(&mut self, id: &TargetId) {
+    pub fn mark_present(&mut self, id: &TargetId) {
         self.removed.remove(id);
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Records that a request is sent to a target; returns whether it is a probe after a backoff.
-    pub fn note_attempt(&mut self, id: &TargetId, now: Time) -> bool {
+    pub fn record_attempt(&mut self, id: &TargetId, now: Time) -> bool {
         let Some(backoff) = self.backoffs.get_mut(id) else {
             return false;
         };
@@ -137,7 +137,7 @@
 
     /// Records that a target accepted a request sent at `sent_at`; returns whether that ends a
     /// backoff.
-    pub fn note_accepted(&mut self, id: &TargetId, sent_at: Time) -> bool {
+    pub fn record_accepted(&mut self, id: &TargetId, sent_at: Time) -> bool {
         let is_over = self.backoffs.get(id).is_some_and(|backoff| sent_at >= backoff.until);
         is_over && self.backoffs.remove(id).is_some()
     }
--- a/crates/decide/src/fleet/pick.rs
+++ b/crates/decide/src/fleet/pick.rs
@@ -75,8 +75,8 @@
 const SPILL_TOKENS: u64 = 40_000;
 /// Minimum size of the part that determines the home, relative to the largest part.
 const MIN_PART_RATIO: f64 = 0.2;
-/// Number of producers assumed for a failure domain that has none.
-const EMPTY_DOMAIN_PRODUCERS: f64 = 0.2;
+/// Number of workers assumed for a failure domain that has none.
+const EMPTY_DOMAIN_WORKERS: f64 = 0.2;
 /// Additional milliseconds for a request to another failure domain of the same region.
 const REGION_NETWORK_MS: f64 = 2.0;
 /// Latency in milliseconds assumed for a target that has not answered yet.
@@ -88,7 +88,7 @@
     ///
     /// The earlier a part stands, the more requests share it. The first part may be common to all
     /// requests; a home derived from it would be overloaded while the other targets are idle.
-    pub fn of(prompt: &[PromptPart]) -> Option<Home> {
+    pub fn for_prompt(prompt: &[PromptPart]) -> Option<Home> {
         let shared = match prompt {
             [] => return None,
             [only] => std::slice::from_ref(only),
@@ -122,12 +122,12 @@
 }
 
 /// Weight of each failure domain for homes, for requests whose inputs are produced close to their
-/// target: the number of producers there divided by the number of targets. Only targets in allowed
+/// target: the number of workers there divided by the number of targets. Only targets in allowed
 /// regions are counted.
 pub fn home_weights(
     fleet: &Fleet,
-    producers: &str,
-    targets: &str,
+    worker_service: &str,
+    target_service: &str,
     allowed: &Allowed,
     now: Time,
 ) -> Vec<(Name, f64)> {
@@ -141,16 +141,16 @@
         }
         by_domain
     };
-    let producers = count(producers);
-    if producers.is_empty() {
+    let workers = count(worker_service);
+    if workers.is_empty() {
         return Vec::new();
     }
     let weight = |(domain, targets): (Name, u32)| {
-        let produced = producers.get(&domain).map_or(EMPTY_DOMAIN_PRODUCERS, |n| f64::from(*n));
-        let weight = produced / f64::from(targets);
+        let present = workers.get(&domain).map_or(EMPTY_DOMAIN_WORKERS, |n| f64::from(*n));
+        let weight = present / f64::from(targets);
         (domain, weight)
     };
-    count(targets).into_iter().map(weight).collect()
+    count(target_service).into_iter().map(weight).collect()
 }
 
 /// Targets in home order for a prompt.
@@ -256,7 +256,7 @@
 
     /// Whether a target is in an allowed region; false for an unknown target.
     pub fn is_in_allowed_region(&self, id: &TargetId, allowed: &Allowed) -> bool {
-        let region = self.domain_of(id).and_then(|domain| self.regions().of(domain));
+        let region = self.domain_of(id).and_then(|domain| self.regions().region_of(domain));
         allowed.permits(region.map(|r| &**r))
     }
 
--- a/crates/decide/src/fleet/state.rs
+++ b/crates/decide/src/fleet/state.rs
@@ -142,7 +142,7 @@
     }
 
     /// Records that the target was picked for a request.
-    pub(super) fn note_chosen(&mut self, now: Time) {
+    pub(super) fn record_choice(&mut self, now: Time) {
         if self.recovering {
             self.probed_at = now;
         }
--- a/crates/decide/src/fleet/targets.rs
+++ b/crates/decide/src/fleet/targets.rs
@@ -93,7 +93,7 @@
     }
 
     /// Targets of a service, usable or not.
-    pub fn of_service<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a TargetState> {
+    pub fn service_targets<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a TargetState> {
         let names = self.services.get(service).map_or(&[][..], Vec::as_slice);
         names.iter().filter_map(|name| self.states.get(name))
     }
@@ -119,7 +119,7 @@
         let versions = self.versions.on_side(service, terms.side);
         let is_eligible =
             move |t: &&TargetState| self.lasting_exclusion(t, terms.allowed, now).is_none();
-        self.of_service(service)
+        self.service_targets(service)
             .filter(move |t| versions.contains(&t.target.version))
             .filter(is_eligible)
     }
@@ -134,7 +134,7 @@
     ) -> impl Iterator<Item = &'a TargetState> {
         let versions = self.versions.on_any_side(service);
         let is_eligible = move |t: &&TargetState| self.lasting_exclusion(t, allowed, now).is_none();
-        self.of_service(service)
+        self.service_targets(service)
             .filter(move |t| versions.contains(&t.target.version))
             .filter(is_eligible)
     }
@@ -194,7 +194,7 @@
         {
             return Some(Exclusion::Restored);
         }
-        let region = self.regions.of(&target.domain).map(|r| &**r);
+        let region = self.regions.region_of(&target.domain).map(|r| &**r);
         (!allowed.permits(region)).then_some(Exclusion::Region)
     }
 
@@ -212,7 +212,7 @@
         for t in self.states.values_mut() {
             t.target.revision = 0;
             if t.target.draining {
-                self.notices.note_draining(&t.target.id, now);
+                self.notices.mark_draining(&t.target.id, now);
             }
         }
         self.changes.invalidate();
@@ -292,15 +292,15 @@
     }
 
     /// Records that a request or call is sent to a target.
-    pub fn note_attempt(&mut self, id: &TargetId, now: Time) {
-        if self.notices.note_attempt(id, now) {
+    pub fn record_attempt(&mut self, id: &TargetId, now: Time) {
+        if self.notices.record_attempt(id, now) {
             self.changes.push(&id.name);
         }
     }
 
     /// Records that a target accepted a request sent at `sent_at`, whatever the answer.
-    pub fn note_accepted(&mut self, id: &TargetId, sent_at: Time) {
-        if self.notices.note_accepted(id, sent_at) {
+    pub fn record_accepted(&mut self, id: &TargetId, sent_at: Time) {
+        if self.notices.record_accepted(id, sent_at) {
             self.changes.push(&id.name);
         }
     }
@@ -309,7 +309,7 @@
     /// regions is backed off; `None` if some are not, or there are none.
     pub fn backoff_left(&self, service: &str, allowed: &Allowed, now: Time) -> Option<Duration> {
         let is_eligible = |t: &&TargetState| self.lasting_exclusion(t, allowed, now).is_none();
-        let eligible = self.of_service(service).filter(is_eligible);
+        let eligible = self.service_targets(service).filter(is_eligible);
         let ends = eligible.filter(|t| !self.limits.is_closed(&t.target.id, now));
         let ends = ends.map(|t| self.notices.backoff_until(&t.target.id, now));
         Some(ends.collect::<Option<Vec<Time>>>()?.into_iter().min()?.since(now))
@@ -364,7 +364,7 @@
 
     /// Records that this node starts a request at a target; if that is cold, the next start is
     /// delayed.
-    pub fn note_cold_start(&mut self, id: &TargetId, limit: ColdLimit, now: Time) {
+    pub fn record_cold_start(&mut self, id: &TargetId, limit: ColdLimit, now: Time) {
         let is_cold = self.get(id).is_some_and(|t| self.is_cold(t, limit, now));
         if let Some(t) = self.get_mut(id).filter(|_| is_cold) {
             t.next_start = limit.interval.map_or(Time::NEVER, |interval| now + interval);
@@ -413,16 +413,16 @@
     pub fn upsert(&mut self, target: Target, now: Time) -> bool {
         let known = self.states.get(&target.id.name).map_or(0, |t| t.target.revision);
         let is_older = target.revision > 0 && target.revision < known;
-        !is_older && self.put(target, now)
+        !is_older && self.apply_entry(target, now)
     }
 
-    fn put(&mut self, mut target: Target, now: Time) -> bool {
+    fn apply_entry(&mut self, mut target: Target, now: Time) -> bool {
         let name = target.id.name.clone();
         // The target's own report takes precedence over its entry, which may be older or arrive
         // later.
         target.draining |= self.notices.is_draining(&target.id);
         if self.restore_settled_at().is_none_or(|at| now >= at) {
-            self.notices.note_present(&target.id);
+            self.notices.mark_present(&target.id);
         }
         self.changes.push(&name);
         let was_unreadable = self.unreadable.remove(&name);
@@ -475,7 +475,7 @@
                 self.changes.push(name);
             }
             _ => {
-                self.notices.note_removed(&t.target.id, now);
+                self.notices.mark_removed(&t.target.id, now);
                 self.forget(name);
             }
         }
@@ -493,7 +493,7 @@
             self.remove(&name, grace, now);
         }
         for target in targets {
-            self.put(target, now);
+            self.apply_entry(target, now);
         }
         for name in &unreadable {
             self.mark_unreadable(name);
@@ -506,7 +506,7 @@
         let ids: Vec<TargetId> =
             self.states.values().filter(|t| is_expired(t)).map(|t| t.target.id.clone()).collect();
         for id in ids {
-            self.notices.note_removed(&id, now);
+            self.notices.mark_removed(&id, now);
             self.forget(&id.name);
         }
         let states = &self.states;
@@ -529,9 +529,9 @@
     }
 
     /// Records that a target was picked for a request.
-    pub fn note_chosen(&mut self, id: &TargetId, now: Time) {
+    pub fn record_choice(&mut self, id: &TargetId, now: Time) {
         if let Some(t) = self.get_mut(id) {
-            t.note_chosen(now);
+            t.record_choice(now);
         }
     }
 
--- a/crates/decide/src/fleet/terms.rs
+++ b/crates/decide/src/fleet/terms.rs
@@ -68,7 +68,7 @@
     }
 
     /// Region of a failure domain, if known.
-    pub fn of(&self, domain: &str) -> Option<&Name> {
+    pub fn region_of(&self, domain: &str) -> Option<&Name> {
         self.0.get(domain)
     }
 
--- a/crates/decide/src/limit/rate.rs
+++ b/crates/decide/src/limit/rate.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes one token, or returns the time until one is available (at most 60 s).
-    pub fn take(&mut self, now: Time) -> Result<(), Duration> {
+    pub fn try_acquire(&mut self, now: Time) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -131,13 +131,13 @@
     }
 
     /// Takes the token of one request, or returns the time until one is available.
-    pub fn take(&mut self, now: Time, nodes: usize) -> Result<(), Duration> {
+    pub fn try_acquire(&mut self, now: Time, nodes: usize) -> Result<(), Duration> {
         self.requests += 1;
         if now > self.expires {
             self.bucket.set_rate(self.rate / nodes.max(1) as f64, now);
             self.expires = Time::NEVER;
         }
-        self.bucket.take(now)
+        self.bucket.try_acquire(now)
     }
 
     /// Requests per second since the previous call of this method.
--- a/crates/decide/src/load/mod.rs
+++ b/crates/decide/src/load/mod.rs
@@ -15,7 +15,7 @@
 /// Flag: the target responds.
 const READY: u8 = 1;
 /// Flag: the target is leaving.
-const LEAVING: u8 = 2;
+const DRAINING: u8 = 2;
 
 /// Rank of `me` among the pollers of `target`, given the names of the domain's nodes; `None` if it
 /// does not poll it.
@@ -29,7 +29,7 @@
         target: key(&state.report.target),
         wait: quantize_wait(state.report.wait),
         seq: state.seq as u16,
-        flags: u8::from(state.ready) * READY + u8::from(state.report.leaving) * LEAVING,
+        flags: u8::from(state.ready) * READY + u8::from(state.report.leaving) * DRAINING,
     }
 }
 
@@ -135,7 +135,7 @@
         });
         report.target = name.clone();
         report.wait = u32::from(rumor.wait);
-        report.leaving = rumor.flags & LEAVING != 0;
+        report.leaving = rumor.flags & DRAINING != 0;
         let ready = rumor.flags & READY != 0;
         self.put(name, TargetStatus { report, seq: base, ready, polled: false });
         Some(rumor)
--- a/crates/decide/src/member/machine.rs
+++ b/crates/decide/src/member/machine.rs
@@ -262,7 +262,7 @@
         for load in &p.loads {
             out.push(Action::Load(*load));
         }
-        self.peers.note_manifest(&p.from, p.number);
+        self.peers.record_manifest(&p.from, p.number);
         if p.number > self.manifest {
             out.push(Action::NewerManifest(p.number, from));
         }
@@ -274,7 +274,7 @@
             Purpose::Ack => self.handle_ack(now, &p.from, p.seq, out),
             Purpose::Ask(node) => self.handle_ask(now, from, p.seq, node, out),
             Purpose::Answered(id) => self.complete_probe(&id, p.seq),
-            Purpose::News => self.handle_news(from, &p.from, p.number, out),
+            Purpose::News => self.answer_stale_manifest(from, &p.from, p.number, out),
         }
     }
 
--- a/crates/decide/src/member/manifests.rs
+++ b/crates/decide/src/member/manifests.rs
@@ -13,7 +13,7 @@
 const REBROADCASTS: u8 = 2;
 
 impl Member {
-    pub(super) fn handle_news(
+    pub(super) fn answer_stale_manifest(
         &mut self,
         from: SocketAddr,
         sender: &NodeId,
--- a/crates/decide/src/member/peers.rs
+++ b/crates/decide/src/member/peers.rs
@@ -153,7 +153,7 @@
     }
 
     /// Records the manifest number in force on a peer.
-    pub fn note_manifest(&mut self, id: &NodeId, number: u64) {
+    pub fn record_manifest(&mut self, id: &NodeId, number: u64) {
         if let Some(p) = self.map.get_mut(id) {
             p.manifest = p.manifest.max(number);
         }
--- a/crates/decide/src/member/rumors.rs
+++ b/crates/decide/src/member/rumors.rs
@@ -10,7 +10,7 @@
 /// Transmissions of a load; few suffice, since the next change follows soon.
 const LOAD_TRANSMITS: u32 = 2;
 /// The `leaving` bit of [`LoadRumor::flags`]. Such loads are sent first.
-const LEAVING_FLAG: u8 = 2;
+const DRAINING_FLAG: u8 = 2;
 
 /// Rumors and loads that are still to be sent.
 #[derive(Debug, Default)]
@@ -61,12 +61,12 @@
     pub fn take_loads(&mut self, n: usize, nodes: usize) -> Vec<LoadRumor> {
         let log = (usize::BITS - nodes.leading_zeros()).max(1);
         let max_sends = |l: &LoadRumor| {
-            if l.flags & LEAVING_FLAG != 0 { RETRANSMIT_FACTOR * log } else { LOAD_TRANSMITS }
+            if l.flags & DRAINING_FLAG != 0 { RETRANSMIT_FACTOR * log } else { LOAD_TRANSMITS }
         };
         let mut order: Vec<(bool, u32, u32)> = self
             .loads
             .iter()
-            .map(|(t, (sent, l))| (l.flags & LEAVING_FLAG == 0, *sent, *t))
+            .map(|(t, (sent, l))| (l.flags & DRAINING_FLAG == 0, *sent, *t))
             .collect();
         order.sort_unstable();
         let mut out = Vec::new();
--- a/crates/decide/src/permit/issuer.rs
+++ b/crates/decide/src/permit/issuer.rs
@@ -66,12 +66,12 @@
         let refill = now.since(self.refilled_at).as_secs_f64() * rate;
         self.tokens = (self.tokens + refill).min(BURST);
         self.refilled_at = now;
-        let wanted = f64::from(count).min(BURST);
-        if self.tokens >= wanted {
-            self.tokens -= wanted;
+        let needed = f64::from(count).min(BURST);
+        if self.tokens >= needed {
+            self.tokens -= needed;
             return Grant::Now;
         }
-        let next = now + Duration::from_secs_f64((wanted - self.tokens) / rate);
+        let next = now + Duration::from_secs_f64((needed - self.tokens) / rate);
         let interval = Duration::from_secs_f64(1.0 / rate);
         Grant::Later(self.enqueue(node, next, interval, now).since(now))
     }
--- a/crates/decide/src/quarantine/answered.rs
+++ b/crates/decide/src/quarantine/answered.rs
@@ -22,7 +22,7 @@
 
 impl Answered {
     /// Records that a request received a complete answer.
-    pub(super) fn note(&mut self, request: Fingerprint, now: Time) {
+    pub(super) fn record(&mut self, request: Fingerprint, now: Time) {
         self.rotate(now);
         self.newer.insert(request);
     }
--- a/crates/decide/src/quarantine/gossip.rs
+++ b/crates/decide/src/quarantine/gossip.rs
@@ -95,14 +95,14 @@
     /// Recipient.
     pub peer: Node,
     /// Reports of requests.
-    pub news: Vec<SuspectReport>,
+    pub reports: Vec<SuspectReport>,
     /// Versions to pass to [`Quarantine::acknowledge`] once the peer has answered.
     pub versions: SentVersions,
 }
 
 impl Outgoing {
     fn to(peer: &Node) -> Self {
-        Outgoing { peer: peer.clone(), news: Vec::new(), versions: SentVersions(Vec::new()) }
+        Outgoing { peer: peer.clone(), reports: Vec::new(), versions: SentVersions(Vec::new()) }
     }
 }
 
@@ -136,8 +136,8 @@
             }
             for peer in pending.into_iter().filter(|p| may_send(&p.id)) {
                 let message = messages.entry(peer.id.clone()).or_insert_with(|| Outgoing::to(peer));
-                if message.news.len() < MAX_MESSAGE {
-                    message.news.push(suspect.to_news(*request, now));
+                if message.reports.len() < MAX_MESSAGE {
+                    message.reports.push(suspect.to_report(*request, now));
                     message.versions.0.push((*request, suspect.gossip.version));
                 }
             }
@@ -170,10 +170,10 @@
     }
 
     /// Reports on those of a peer's requests of which this node knows more than the peer.
-    pub fn missing_from(&self, news: &[SuspectReport], now: Time) -> Vec<SuspectReport> {
-        let known = news.iter().filter_map(|n| Some((n, self.suspects.get(&n.request)?)));
+    pub fn missing_from(&self, reports: &[SuspectReport], now: Time) -> Vec<SuspectReport> {
+        let known = reports.iter().filter_map(|n| Some((n, self.suspects.get(&n.request)?)));
         let newer = known.filter(|(n, suspect)| suspect.is_ahead_of(n));
-        newer.map(|(n, suspect)| suspect.to_news(n.request, now)).collect()
+        newer.map(|(n, suspect)| suspect.to_report(n.request, now)).collect()
     }
 }
 
--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -111,7 +111,7 @@
 
     /// Records a complete answer, which clears the request.
     pub fn record_answer(&mut self, request: Fingerprint, now: Time) -> Option<Change> {
-        self.answered.note(request, now);
+        self.answered.record(request, now);
         let suspect = self.suspects.get_mut(&request)?;
         let was_held = suspect.is_held();
         suspect.clear_all();
@@ -142,10 +142,15 @@
     }
 
     /// Merges reports of another node, or of the store if `from` is `None`; returns what changed.
-    pub fn merge(&mut self, from: Option<&NodeId>, news: &[SuspectReport], now: Time) -> Changes {
+    pub fn merge(
+        &mut self,
+        from: Option<&NodeId>,
+        reports: &[SuspectReport],
+        now: Time,
+    ) -> Changes {
         let mut changes = Vec::new();
         let mut updated = Vec::new();
-        for report in news {
+        for report in reports {
             let request = report.request;
             let is_cleared = self.answered.has(request, now);
             let Some(suspect) = self.suspect_mut(request, &report.service, now) else {
--- a/crates/decide/src/quarantine/record.rs
+++ b/crates/decide/src/quarantine/record.rs
@@ -43,7 +43,7 @@
         // The writer's clock may be off, so the age is capped at the time a held request is kept.
         let age_ms = unix_ms.saturating_sub(record.since).min(HELD_TTL.as_millis() as u64);
         let end = |target: &_| CrashReport { target: Clone::clone(target), age_ms, cleared: false };
-        let news = SuspectReport {
+        let report = SuspectReport {
             request: record.request,
             service: record.service.clone(),
             crashes: record.targets.iter().map(end).collect(),
@@ -52,7 +52,7 @@
             came_ms: 0,
         };
         // Crashes already known as cleared stay cleared.
-        let changes = self.merge(None, &[news], now);
+        let changes = self.merge(None, &[report], now);
         self.mark_stored(record.request);
         let is_released = self.suspects.get(&record.request).is_some_and(|c| !c.is_held());
         (changes, is_released)
--- a/crates/decide/src/quarantine/suspect.rs
+++ b/crates/decide/src/quarantine/suspect.rs
@@ -171,18 +171,18 @@
     }
 
     /// Merges the report of another node; returns whether anything was new.
-    pub(super) fn merge(&mut self, news: &SuspectReport, now: Time) -> bool {
+    pub(super) fn merge(&mut self, report: &SuspectReport, now: Time) -> bool {
         let ago = |ms: u64| now - Duration::from_millis(ms);
         let mut is_new = false;
-        for end in &news.crashes {
+        for end in &report.crashes {
             is_new |= self.add(&end.target, ago(end.age_ms), end.cleared);
         }
-        if news.tries > self.trials {
-            self.trials = news.tries;
-            self.last_trial = ago(news.tried_ms);
+        if report.tries > self.trials {
+            self.trials = report.tries;
+            self.last_trial = ago(report.tried_ms);
             is_new = true;
         }
-        self.last_arrival = self.last_arrival.max(ago(news.came_ms));
+        self.last_arrival = self.last_arrival.max(ago(report.came_ms));
         if is_new {
             self.gossip.mark_received(now);
         }
@@ -190,7 +190,7 @@
     }
 
     /// The report of what this node knows of it.
-    pub(super) fn to_news(&self, request: Fingerprint, now: Time) -> SuspectReport {
+    pub(super) fn to_report(&self, request: Fingerprint, now: Time) -> SuspectReport {
         let age = |at: Time| now.since(at).as_millis() as u64;
         let end = |e: &Crash| CrashReport {
             target: e.target.clone(),
@@ -208,11 +208,11 @@
     }
 
     /// Whether this node knows anything that a report lacks.
-    pub(super) fn is_ahead_of(&self, news: &SuspectReport) -> bool {
+    pub(super) fn is_ahead_of(&self, report: &SuspectReport) -> bool {
         let is_missing = |e: &Crash| {
-            let known = news.crashes.iter().find(|n| n.target == e.target);
+            let known = report.crashes.iter().find(|n| n.target == e.target);
             known.is_none_or(|n| e.cleared && !n.cleared)
         };
-        self.crashes.iter().any(is_missing) || self.trials > news.tries
+        self.crashes.iter().any(is_missing) || self.trials > report.tries
     }
 }
--- a/crates/decide/src/region/map.rs
+++ b/crates/decide/src/region/map.rs
@@ -55,7 +55,7 @@
 
     /// Region of a failure domain; one without a configured region is a region of its own.
     pub fn region_of(&self, domain: &Name) -> Name {
-        self.regions.of(domain).unwrap_or(domain).clone()
+        self.regions.region_of(domain).unwrap_or(domain).clone()
     }
 
     /// Region of this node.
--- a/crates/decide/src/relay/list.rs
+++ b/crates/decide/src/relay/list.rs
@@ -57,7 +57,7 @@
             if let (Entry::Unreadable, Some(object)) = (&entry, before.remove(&name)) {
                 self.objects.insert(name.clone(), object);
             }
-            self.put(name, entry);
+            self.apply_entry(name, entry);
         }
         self.at = Some(at);
     }
@@ -66,11 +66,11 @@
     pub fn apply(&mut self, at: u64, entries: impl IntoIterator<Item = (Name, Entry<T>)>) {
         self.at = Some(at);
         for (name, entry) in entries {
-            self.put(name, entry);
+            self.apply_entry(name, entry);
         }
     }
 
-    fn put(&mut self, name: Name, entry: Entry<T>) {
+    fn apply_entry(&mut self, name: Name, entry: Entry<T>) {
         self.unreadable.remove(&name);
         match entry {
             Entry::Present(object) => _ = self.objects.insert(name, object),
--- a/crates/decide/src/resend/budget.rs
+++ b/crates/decide/src/resend/budget.rs
@@ -78,9 +78,9 @@
         let part = if is_new { RESTART_SLACK_PART } else { 1.0 };
         let slack = self.tuning.slack / nodes.max(1) as f64 * part;
         let allowed = (f64::from(requests) * self.tuning.ratio + slack) * DRAWN_PART;
-        let whole = allowed.floor();
-        let has_turn = self.takes_turns(nodes) && self.turn_position(now) < allowed - whole;
-        f64::from(repeats + 1) <= whole + f64::from(u8::from(has_turn))
+        let full_repeats = allowed.floor();
+        let has_turn = self.takes_turns(nodes) && self.turn_position(now) < allowed - full_repeats;
+        f64::from(repeats + 1) <= full_repeats + f64::from(u8::from(has_turn))
     }
 
     /// Whether nodes take turns with the fractional repeat of their part: as many nodes then hold
@@ -99,7 +99,7 @@
     }
 
     /// Takes one repeat if this node's part, one of `nodes`, has one left.
-    pub fn take(&mut self, now: Time, nodes: usize) -> bool {
+    pub fn withdraw(&mut self, now: Time, nodes: usize) -> bool {
         let granted = self.permits(now, nodes);
         if granted {
             self.bucket(now).repeats += 1;
--- a/crates/decide/src/retry/mod.rs
+++ b/crates/decide/src/retry/mod.rs
@@ -46,7 +46,7 @@
     }
 
     /// Takes one token; returns false if less than one is left.
-    pub fn take(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/decide/src/rollout/baseline.rs
+++ b/crates/decide/src/rollout/baseline.rs
@@ -50,9 +50,9 @@
     /// Failure rate: the recent one, with the overall rate of this route as its prior.
     pub fn failure_rate(&self, prior: BaseRate) -> BaseRate {
         let good = times::total(&self.times);
-        let whole = BaseRate::estimate(self.failed as f64, (self.failed + good) as f64, prior);
+        let overall = BaseRate::estimate(self.failed as f64, (self.failed + good) as f64, prior);
         let good_recent: f64 = self.times_recent.iter().sum();
-        BaseRate::estimate(self.failed_recent, self.failed_recent + good_recent, whole)
+        BaseRate::estimate(self.failed_recent, self.failed_recent + good_recent, overall)
     }
 
     /// First bucket that counts as slow; `None` while too few answers are known.
@@ -69,8 +69,8 @@
     pub fn slow_rate(&self, from: usize) -> BaseRate {
         let slow = times::count_from(&self.times, from);
         let good = times::total(&self.times);
-        let whole = BaseRate::estimate(slow as f64, good as f64, BaseRate::UNKNOWN);
+        let overall = BaseRate::estimate(slow as f64, good as f64, BaseRate::UNKNOWN);
         let slow_recent: f64 = self.times_recent.iter().skip(from).sum();
-        BaseRate::estimate(slow_recent, self.times_recent.iter().sum(), whole)
+        BaseRate::estimate(slow_recent, self.times_recent.iter().sum(), overall)
     }
 }
--- a/crates/decide/src/rollout/evidence.rs
+++ b/crates/decide/src/rollout/evidence.rs
@@ -128,7 +128,7 @@
     /// Notes the time of a successful answer that came late. Returns whether another one, of either
     /// version, came late shortly before: both were then delayed by one cause, which must not count
     /// twice.
-    pub fn note_late(&mut self, service: &Name, route: &Name, took: Duration, now: Time) -> bool {
+    pub fn record_late(&mut self, service: &Name, route: &Name, took: Duration, now: Time) -> bool {
         let tests = self.route(service, route);
         let from = tests.baseline.slow_bucket();
         if from.is_none_or(|from| times::bucket(took) < from) {
--- a/crates/decide/src/rollout/judge.rs
+++ b/crates/decide/src/rollout/judge.rs
@@ -124,13 +124,13 @@
     }
 
     /// Handles an event and returns the actions to take.
-    pub fn handle(&mut self, now: Time, event: JudgeEvent) -> Vec<JudgeAction> {
+    pub fn handle_event(&mut self, now: Time, event: JudgeEvent) -> Vec<JudgeAction> {
         if self.ended {
             return Vec::new();
         }
         let before = self.phase;
         let mut actions = Vec::new();
-        self.nodes.note_event(now);
+        self.nodes.record_event(now);
         match event {
             JudgeEvent::Report(report) => self.report(report, now, &mut actions),
             JudgeEvent::Nodes(up) => self.nodes.set_up(up, now),
--- a/crates/decide/src/rollout/judge/nodes.rs
+++ b/crates/decide/src/rollout/judge/nodes.rs
@@ -38,7 +38,7 @@
     }
 
     /// Notes an event of the judge, to detect pauses.
-    pub fn note_event(&mut self, now: Time) {
+    pub fn record_event(&mut self, now: Time) {
         if now.since(self.last_event) > MAX_EVENT_GAP {
             self.awake_since = now;
         }
--- a/crates/decide/src/rollout/plan.rs
+++ b/crates/decide/src/rollout/plan.rs
@@ -44,7 +44,7 @@
 /// Time kept for a write as part of the order's time.
 const WRITE_RESERVE_PART: f64 = 1.0 / 30.0;
 /// Minimum time wanted for a write, where the order is short and the cap allows it.
-const MIN_WANTED_WRITE: f64 = 0.8;
+const MIN_PREFERRED_WRITE: f64 = 0.8;
 /// Time kept between the end of the old version's requests and the write, for reports of that end;
 /// the maximum covers lost reports too.
 const REPORT_RESERVE: (f64, f64) = (0.5, 0.8);
@@ -121,11 +121,12 @@
 
     /// Time kept for the write; less where the requests of that time would exceed the cap.
     fn write_reserve(&self, observed: &Observed) -> f64 {
-        let wanted = (self.duration * WRITE_RESERVE_PART).clamp(MIN_WANTED_WRITE, WRITE_RESERVE.1);
+        let preferred =
+            (self.duration * WRITE_RESERVE_PART).clamp(MIN_PREFERRED_WRITE, WRITE_RESERVE.1);
         let allowed =
             (1.0 - MIN_TRIAL_PART) * self.cap(observed) / Plan::peak_rate(observed).max(MIN_RATE);
         (allowed - self.drain(observed))
-            .clamp(WRITE_RESERVE.0, wanted)
+            .clamp(WRITE_RESERVE.0, preferred)
             .min(self.duration * MAX_WRITE_PART)
     }
 
@@ -141,8 +142,8 @@
 
     /// Duration of the step.
     pub fn step_length(&self, observed: &Observed) -> f64 {
-        let wanted = (self.duration * STEP_TIME_PART).clamp(STEP_TIME.0, STEP_TIME.1);
-        wanted.min(self.full_at(observed) * MAX_STEP_TIME_PART)
+        let preferred = (self.duration * STEP_TIME_PART).clamp(STEP_TIME.0, STEP_TIME.1);
+        preferred.min(self.full_at(observed) * MAX_STEP_TIME_PART)
     }
 
     /// Time at which the step begins.
@@ -161,8 +162,8 @@
     /// Requests that a bad version may get, as far as can be planned.
     fn cap(&self, observed: &Observed) -> f64 {
         let left = (self.duration - observed.age).max(0.0);
-        let usual = observed.sent / observed.age.max(MIN_TRAFFIC_AGE);
-        let to_come = EXPECTED_PART * observed.rate.min(usual) * left;
+        let mean_rate = observed.sent / observed.age.max(MIN_TRAFFIC_AGE);
+        let to_come = EXPECTED_PART * observed.rate.min(mean_rate) * left;
         PLANNED_PART
             * (self.bounds.share * (observed.sent + to_come) + f64::from(self.bounds.slack))
     }
@@ -177,9 +178,9 @@
     /// is.
     fn full_step_cost(&self, observed: &Observed) -> f64 {
         let left = (self.duration - observed.age.max(self.full_at(observed))).max(0.0);
-        let whole = Plan::peak_rate(observed) * left;
-        if whole <= (1.0 - MIN_TRIAL_PART) * self.cap(observed) {
-            return whole;
+        let full_cost = Plan::peak_rate(observed) * left;
+        if full_cost <= (1.0 - MIN_TRIAL_PART) * self.cap(observed) {
+            return full_cost;
         }
         Plan::peak_rate(observed) * self.detection_time(observed).min(left)
     }
--- a/crates/decide/src/rollout/present.rs
+++ b/crates/decide/src/rollout/present.rs
@@ -23,7 +23,7 @@
 
     /// Whether these targets were there before `other`: by start time, which rewriting an entry
     /// does not change, otherwise by the revisions of their entries.
-    pub fn came_before(&self, other: &VersionTargets) -> bool {
+    pub fn appeared_before(&self, other: &VersionTargets) -> bool {
         self.started_before(other)
             || !other.started_before(self) && self.first_revision < other.first_revision
     }
@@ -86,7 +86,8 @@
 
     /// The version of a service that was there first.
     pub fn oldest(&self, service: &str) -> Option<&Name> {
-        let older = self.versions(service).reduce(|a, b| if b.1.came_before(a.1) { b } else { a });
+        let older =
+            self.versions(service).reduce(|a, b| if b.1.appeared_before(a.1) { b } else { a });
         older.map(|(version, _)| version)
     }
 
--- a/crates/decide/src/rollout/times.rs
+++ b/crates/decide/src/rollout/times.rs
@@ -50,11 +50,11 @@
 /// Bucket that contains the quantile `share`, or `None` without samples.
 pub fn quantile(times: &[u32], share: f64) -> Option<usize> {
     let total = total(times);
-    let wanted = ((share * total as f64).ceil() as u64).max(1);
+    let rank = ((share * total as f64).ceil() as u64).max(1);
     let mut sum = 0;
     let reaches = |n: &u32| {
         sum += u64::from(*n);
-        sum >= wanted
+        sum >= rank
     };
     times.iter().position(reaches)
 }
--- a/crates/decide/src/rollout/versions/side.rs
+++ b/crates/decide/src/rollout/versions/side.rs
@@ -59,15 +59,15 @@
     pub(super) fn select(
         &self,
         service: &str,
-        is_wanted: impl Fn(Option<Side>) -> bool,
+        is_selected: impl Fn(Option<Side>) -> bool,
     ) -> VersionSet<'_> {
         if !self.orders.is_followed() {
-            let every = is_wanted(Some(Side::Serving));
+            let every = is_selected(Some(Side::Serving));
             return if every { VersionSet::All } else { VersionSet::Listed(Vec::new()) };
         }
         let versions = self.live.versions(service).map(|(version, _)| version);
-        let wanted = |version: &&Name| is_wanted(self.side(service, version));
-        VersionSet::Listed(versions.filter(wanted).collect())
+        let selected = |version: &&Name| is_selected(self.side(service, version));
+        VersionSet::Listed(versions.filter(selected).collect())
     }
 
     /// Side of a rollout on which a version is; `None` if it gets no requests.
--- a/crates/decide/src/roster/changes.rs
+++ b/crates/decide/src/roster/changes.rs
@@ -36,7 +36,7 @@
 
 impl PendingChanges {
     /// Records a change of a peer's health.
-    pub fn note(&mut self, name: &Name, health: Health, now: Time) {
+    pub fn record(&mut self, name: &Name, health: Health, now: Time) {
         self.since.get_or_insert(now);
         self.latest.insert(name.clone(), health);
     }
--- a/crates/decide/src/roster/mod.rs
+++ b/crates/decide/src/roster/mod.rs
@@ -141,13 +141,13 @@
             self.remove(&id);
         }
         for view in up {
-            self.put(view, now);
+            self.upsert(view, now);
         }
         self.purge_departed(now);
     }
 
     /// Adds or updates a peer that is up.
-    pub fn put(&mut self, view: PeerView, now: Time) {
+    pub fn upsert(&mut self, view: PeerView, now: Time) {
         let hubs = self.hubs();
         let previous = self.up.get(&view.node.id);
         if previous.is_some_and(|previous| previous.node != view.node) {
@@ -229,7 +229,7 @@
     }
 
     /// Records that a peer announced that it is stopping and no longer coordinates.
-    pub fn note_stopping(&mut self, id: &NodeId, now: Time) {
+    pub fn mark_stopping(&mut self, id: &NodeId, now: Time) {
         self.stopping.entry(id.clone()).or_insert(now);
     }
 
--- a/crates/decide/src/roster/role_key.rs
+++ b/crates/decide/src/roster/role_key.rs
@@ -21,7 +21,7 @@
 /// Maximum skipped peers named in an order.
 const MAX_SKIPPED: usize = 8;
 
-/// Role for which nodes are ranked: a service, or its makers in one region.
+/// Role for which nodes are ranked: a service, or its workers in one region.
 #[derive(Debug, Clone, Copy)]
 pub struct RoleKey<'a> {
     /// Service, or another string that the role is hashed by.
@@ -156,7 +156,7 @@
 
     /// Nodes by rank for a role, first the one that holds it; `None` is this node.
     ///
-    /// Nodes of the role's region rank first: they are close to its makers, and both stay connected
+    /// Nodes of the role's region rank first: they are close to its workers, and both stay connected
     /// if the region is partitioned off. Hosts of higher capacity rank first, since a coordinator's
     /// network link and CPU carry the work of all nodes. Recently started nodes rank below settled
     /// ones, so that a restart moves the work once instead of twice. A stopping node ranks last.
--- a/crates/decide/src/route/table.rs
+++ b/crates/decide/src/route/table.rs
@@ -42,7 +42,7 @@
     /// Whether the last report showed it as ready; true until one says otherwise.
     pub ready: bool,
     /// Whether it is leaving or drained.
-    pub leaving: bool,
+    pub draining: bool,
     /// Model versions it holds, or `None` if nothing was reported.
     pub models: Option<Vec<Name>>,
     /// Attempts that this node has in flight.
@@ -64,7 +64,7 @@
             hash: hash::hash64(info.name.as_bytes()),
             info,
             ready: true,
-            leaving: false,
+            draining: false,
             models: None,
             in_flight: 0,
             sent_since: 0,
@@ -129,29 +129,29 @@
     }
 
     /// Applies a report about a target; one older than the last is ignored.
-    pub fn update(&mut self, now: Time, news: &TargetStatus) {
-        let Some(s) = self.slot_mut(&news.report.target) else {
+    pub fn update(&mut self, now: Time, status: &TargetStatus) {
+        let Some(s) = self.slot_mut(&status.report.target) else {
             return;
         };
-        if news.seq <= s.seq {
+        if status.seq <= s.seq {
             return;
         }
-        s.seq = news.seq;
-        s.ready = news.ready;
-        s.leaving = news.report.leaving;
-        if !news.ready {
+        s.seq = status.seq;
+        s.ready = status.ready;
+        s.draining = status.report.leaving;
+        if !status.ready {
             return;
         }
-        s.models = news.polled.then(|| news.report.models.clone());
-        s.wait = f64::from(news.report.wait);
+        s.models = status.polled.then(|| status.report.models.clone());
+        s.wait = f64::from(status.report.wait);
         s.reported_at = now;
         s.sent_since = 0;
     }
 
     /// Marks a target as leaving, after its own refusal or because its host is drained.
-    pub fn mark_leaving(&mut self, name: &str) {
+    pub fn mark_draining(&mut self, name: &str) {
         if let Some(s) = self.slot_mut(name) {
-            s.leaving = true;
+            s.draining = true;
         }
     }
 
@@ -223,6 +223,6 @@
             (Some(m), Some(held)) => held.iter().any(|h| &**h == m),
             _ => true,
         };
-        s.ready && !s.leaving && holds && !s.health.ejected(now)
+        s.ready && !s.draining && holds && !s.health.ejected(now)
     }
 }
--- a/crates/decide/tests/allowed.rs
+++ b/crates/decide/tests/allowed.rs
@@ -212,14 +212,14 @@
     }
 }
 
-/// Calls with a piece whose order does not allow the maker's region.
+/// Calls with a piece whose order does not allow the worker's region.
 fn outside<'a>(
     calls: &'a [Call],
     rules: &BTreeMap<Name, Option<BTreeSet<&str>>>,
-    makers: &BTreeMap<TargetId, Option<&str>>,
+    workers: &BTreeMap<TargetId, Option<&str>>,
 ) -> Vec<&'a Call> {
     let is_outside = |call: &&Call| {
-        let region = makers.get(&call.worker).copied().flatten();
+        let region = workers.get(&call.worker).copied().flatten();
         call.pieces.iter().any(|p| !is_inside(&rules[&p.attempt], region))
     };
     calls.iter().filter(is_outside).collect()
@@ -228,7 +228,7 @@
 #[test]
 fn the_check_detects_calls_outside_the_allowed_regions() {
     let mut c = coordinator(&[("m1", "a")]);
-    let started = calls(&c.handle(at(0), order_event(1, order("r1", 2))));
+    let started = calls(&c.handle_event(at(0), order_event(1, order("r1", 2))));
     let rules = [(Name::from("r1"), Some(BTreeSet::from(["north"])))].into();
     let at_region = |region| BTreeMap::from([(TargetId::from("m1"), region)]);
     assert_eq!(outside(&started, &rules, &at_region(Some("north"))).len(), 0);
@@ -239,7 +239,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Order { pieces: u32, rule: Option<BTreeSet<&'static str>>, near: usize, bytes: u64 },
-    Makers(BTreeSet<usize>),
+    Workers(BTreeSet<usize>),
     End { call: usize, how: usize },
     Cancel(usize),
     HandOver,
@@ -251,7 +251,7 @@
     prop_oneof![
         4 => (1u32..12, rule(), 0..DOMAINS.len(), bytes)
             .prop_map(|(pieces, rule, near, bytes)| Step::Order { pieces, rule, near, bytes }),
-        1 => prop::collection::btree_set(0usize..8, 0..8).prop_map(Step::Makers),
+        1 => prop::collection::btree_set(0usize..8, 0..8).prop_map(Step::Workers),
         4 => (0usize..8, 0usize..6).prop_map(|(call, how)| Step::End { call, how }),
         1 => (0usize..20).prop_map(Step::Cancel),
         1 => Just(Step::HandOver),
@@ -259,8 +259,8 @@
     ]
 }
 
-/// Makers of a coordinator: the present ones of two per failure domain.
-fn maker_infos(present: &BTreeSet<usize>, regions: &BTreeMap<&str, &str>) -> Vec<WorkerInfo> {
+/// Workers of a coordinator: the present ones of two per failure domain.
+fn worker_infos(present: &BTreeSet<usize>, regions: &BTreeMap<&str, &str>) -> Vec<WorkerInfo> {
     let info = |i: &usize| {
         let domain = DOMAINS[i % DOMAINS.len()];
         WorkerInfo {
@@ -285,8 +285,8 @@
 }
 
 proptest! {
-    /// Whatever happens to makers and calls, each piece of a shared call, including a second call,
-    /// is requested only where its own order allows it, and an order without an allowed maker is
+    /// Whatever happens to workers and calls, each piece of a shared call, including a second call,
+    /// is requested only where its own order allows it, and an order without an allowed worker is
     /// answered at once.
     #[test]
     fn no_piece_is_requested_outside_the_allowed_regions(
@@ -298,7 +298,7 @@
             .collect();
         let mut present: BTreeSet<usize> = (0..8).collect();
         let mut c = coordinator(&[]);
-        c.handle(at(0), Event::Workers(maker_infos(&present, &regions)));
+        c.handle_event(at(0), Event::Workers(worker_infos(&present, &regions)));
         let mut rules: BTreeMap<Name, Option<BTreeSet<&str>>> = BTreeMap::new();
         let mut open: BTreeMap<OrderId, Name> = BTreeMap::new();
         let mut flights: Vec<Call> = Vec::new();
@@ -319,9 +319,9 @@
                     next += 1;
                     order_event(next - 1, order)
                 }
-                Step::Makers(now_present) => {
+                Step::Workers(now_present) => {
                     present = now_present;
-                    Event::Workers(maker_infos(&present, &regions))
+                    Event::Workers(worker_infos(&present, &regions))
                 }
                 Step::End { call, how } if call < flights.len() => {
                     let call = flights.remove(call);
@@ -337,7 +337,7 @@
                 }
                 Step::End { .. } | Step::Cancel(_) => continue,
             };
-            let actions = c.handle(at(now), event);
+            let actions = c.handle_event(at(now), event);
             let started = calls(&actions);
             let found = outside(&started, &rules, &place);
             prop_assert!(found.is_empty(), "{:?}", found);
@@ -350,14 +350,14 @@
                     open.remove(id);
                 }
             }
-            let has_maker = |rule: &Option<BTreeSet<&str>>| {
+            let has_worker = |rule: &Option<BTreeSet<&str>>| {
                 let mut there = present.iter().map(|i| regions.get(DOMAINS[i % 4]).copied());
                 rule.is_none() || there.any(|region| is_inside(rule, region))
             };
-            for attempt in open.values().filter(|a| !has_maker(&rules[*a])) {
+            for attempt in open.values().filter(|a| !has_worker(&rules[*a])) {
                 let is_asked =
                     flights.iter().any(|f| f.pieces.iter().any(|p| p.attempt == *attempt));
-                prop_assert!(is_asked, "{} waits although no maker is allowed", attempt);
+                prop_assert!(is_asked, "{} waits although no worker is allowed", attempt);
             }
         }
     }
@@ -367,7 +367,7 @@
 fn order_near_a_disallowed_domain_goes_to_an_allowed_region() {
     let mut c = coordinator(&[]);
     let regions = BTreeMap::from([("a", "north"), ("b", "south")]);
-    c.handle(at(0), Event::Workers(maker_infos(&[0, 1].into(), &regions)));
+    c.handle_event(at(0), Event::Workers(worker_infos(&[0, 1].into(), &regions)));
     let bytes = 3_000_000;
     let order = BatchOrder {
         allowed: allowed(&Some(["south"].into())),
@@ -375,29 +375,29 @@
         moved_bytes: bytes,
         ..order("r1", 2)
     };
-    let started = calls(&c.handle(at(0), order_event(1, order)));
+    let started = calls(&c.handle_event(at(0), order_event(1, order)));
     assert_eq!(started.iter().map(|c| &*c.worker.name).collect::<Vec<_>>(), ["m1"]);
 }
 
 #[test]
-fn order_without_an_allowed_maker_fails_at_once_and_frees_its_results() {
+fn order_without_an_allowed_worker_fails_at_once_and_frees_its_results() {
     let mut c = coordinator(&[]);
     let regions = BTreeMap::from([("a", "north"), ("b", "south")]);
-    c.handle(at(0), Event::Workers(maker_infos(&[0, 1].into(), &regions)));
+    c.handle_event(at(0), Event::Workers(worker_infos(&[0, 1].into(), &regions)));
     let south = || allowed(&Some(["south"].into()));
     let large = BatchOrder { allowed: south(), ..order("r1", 15) };
-    let started = calls(&c.handle(at(0), order_event(1, large))).remove(0);
-    c.handle(at(200), Event::Workers(maker_infos(&[0].into(), &regions)));
-    let actions = c.handle(at(210), Event::CallEnded(started.number, made(&started)));
-    assert_eq!(answers(&actions).len(), 0, "already answered when its maker was removed");
+    let started = calls(&c.handle_event(at(0), order_event(1, large))).remove(0);
+    c.handle_event(at(200), Event::Workers(worker_infos(&[0].into(), &regions)));
+    let actions = c.handle_event(at(210), Event::CallEnded(started.number, made(&started)));
+    assert_eq!(answers(&actions).len(), 0, "already answered when its worker was removed");
     let freed = actions.iter().map(|a| match a {
         Action::Free(handles) => handles.len(),
         _ => 0,
     });
     assert_eq!(freed.sum::<usize>(), 10, "{actions:?}");
     let waits_for_nobody = BatchOrder { allowed: south(), ..order("r2", 1) };
-    let refused = answers(&c.handle(at(220), order_event(2, waits_for_nobody)));
+    let refused = answers(&c.handle_event(at(220), order_event(2, waits_for_nobody)));
     assert_eq!(refused, [(2, vec![PieceResult::Failed])]);
-    let anywhere = calls(&c.handle(at(230), order_event(3, order("r3", 1))));
+    let anywhere = calls(&c.handle_event(at(230), order_event(3, order("r3", 1))));
     assert_eq!(&*anywhere[0].worker.name, "m0");
 }
--- a/crates/decide/tests/batch_calls.rs
+++ b/crates/decide/tests/batch_calls.rs
@@ -27,7 +27,7 @@
             events.push(order_event(ms, order));
         }
         for event in events {
-            let actions = c.handle(at(ms), event);
+            let actions = c.handle_event(at(ms), event);
             latencies.extend(answers(&actions).iter().filter(|_| ms > 3000).map(|(id, _)| ms - id));
             for call in calls(&actions) {
                 pieces.push(call.pieces.len());
@@ -60,19 +60,20 @@
     let all: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "a")).collect();
     let mut c = coordinator(&all);
     let order = BatchOrder { slack_ms: 20_000, left_ms: 30_000, ..order("r", 9) };
-    let mut in_flight = calls(&c.handle(at(0), order_event(1, order)));
+    let mut in_flight = calls(&c.handle_event(at(0), order_event(1, order)));
     assert_eq!(in_flight.len(), 3, "{in_flight:?}");
     for round in 1..=3 {
         let ended = std::mem::take(&mut in_flight);
         for call in ended {
-            let actions = c.handle(at(round * 100), Event::CallEnded(call.number, CallEnd::Failed));
+            let actions =
+                c.handle_event(at(round * 100), Event::CallEnded(call.number, CallEnd::Failed));
             assert_eq!(answers(&actions), [], "in round {round}");
             in_flight.extend(calls(&actions));
         }
-        in_flight.extend(calls(&c.handle(at(round * 100), Event::Tick)));
+        in_flight.extend(calls(&c.handle_event(at(round * 100), Event::Tick)));
     }
     let ended = in_flight.into_iter().flat_map(|call| {
-        answers(&c.handle(at(400), Event::CallEnded(call.number, CallEnd::Failed)))
+        answers(&c.handle_event(at(400), Event::CallEnded(call.number, CallEnd::Failed)))
     });
     assert_eq!(ended.count(), 1, "it fails after the fourth failure");
 }
--- a/crates/decide/tests/batch_pool.rs
+++ b/crates/decide/tests/batch_pool.rs
@@ -37,7 +37,7 @@
     let mut c = Coordinator::new(pool(), Policy::default());
     let mut announce = |c: &mut Coordinator, fleet: &Fleet, now: Time| {
         let map = Map::new("a".into(), Regions::default());
-        feed.next_event(fleet, &engines(), &map, None, now).map(|event| c.handle(now, event))
+        feed.next_event(fleet, &engines(), &map, None, now).map(|event| c.handle_event(now, event))
     };
     announce(&mut c, &fleet, at(0));
     let before = c.visited();
@@ -49,9 +49,9 @@
             fleet.remove(&format!("m{}", i / 10).as_str().into(), None, at(0));
         }
         announce(&mut c, &fleet, now);
-        for call in calls(&c.handle(now, order_event(i, order("r", 2)))) {
+        for call in calls(&c.handle_event(now, order_event(i, order("r", 2)))) {
             announce(&mut c, &fleet, now);
-            c.handle(now, Event::CallEnded(call.number, made(&call)));
+            c.handle_event(now, Event::CallEnded(call.number, made(&call)));
         }
     }
     (c.visited() - before) as f64 / ORDERS as f64
--- a/crates/decide/tests/batch_trial.rs
+++ b/crates/decide/tests/batch_trial.rs
@@ -28,7 +28,8 @@
 fn run(c: &mut Coordinator, sizes: &[u32]) -> Vec<(usize, usize)> {
     let (mut trial, mut all, mut counts) = (0, 0, Vec::new());
     for (n, size) in sizes.iter().enumerate() {
-        let mut actions = c.handle(at(1), order_event(n as u64, order(&format!("r{n}"), *size)));
+        let mut actions =
+            c.handle_event(at(1), order_event(n as u64, order(&format!("r{n}"), *size)));
         let mut answered = answers(&actions).len();
         loop {
             let started = calls(&actions);
@@ -42,7 +43,7 @@
                     trial += call.pieces.len();
                 }
                 counts.push((trial, all));
-                actions.extend(c.handle(at(1), Event::CallEnded(call.number, made(&call))));
+                actions.extend(c.handle_event(at(1), Event::CallEnded(call.number, made(&call))));
             }
             answered += answers(&actions).len();
         }
@@ -61,7 +62,7 @@
         share in prop_oneof![Just(0.0), Just(0.02), Just(0.1), Just(0.5)],
     ) {
         let mut c = Coordinator::new(pool(), Policy::default());
-        c.handle(at(0), workers(3, trial, share));
+        c.handle_event(at(0), workers(3, trial, share));
         let counts = run(&mut c, &sizes);
         for (trial, all) in &counts {
             prop_assert!(*trial as f64 <= *all as f64 * share, "{trial} of {all}");
@@ -75,7 +76,7 @@
 #[test]
 fn a_version_no_longer_on_trial_gets_calls_like_any_other() {
     let mut c = Coordinator::new(pool(), Policy::default());
-    c.handle(at(0), workers(1, 1, 0.0));
+    c.handle_event(at(0), workers(1, 1, 0.0));
     assert!(run(&mut c, &[10; 5]).iter().all(|(trial, _)| *trial == 0));
     let new = WorkerInfo {
         id: "new-0".into(),
@@ -85,6 +86,6 @@
         max_pieces: None,
         share: None,
     };
-    c.handle(at(2), Event::Workers(vec![new]));
+    c.handle_event(at(2), Event::Workers(vec![new]));
     assert_eq!(run(&mut c, &[10; 5]).last(), Some(&(50, 50)));
 }
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -11,7 +11,7 @@
 use model::Time;
 use model::forward::{ColdTargets, Evacuations, Target, TargetId};
 use proptest::prelude::*;
-use support::{at, target, wanted};
+use support::{at, criteria, target};
 
 fn cold_target(cold_ms: u64) -> Target {
     Target { cold_ms, ..target("t0", "a") }
@@ -21,12 +21,12 @@
 
 fn limit(per_s: f64) -> ColdLimit {
     let cold = ColdTargets { lasts_ms: 3000, per_s };
-    ColdLimit::of(&cold, BOUNDS).expect("cold targets are limited")
+    ColdLimit::for_service(&cold, BOUNDS).expect("cold targets are limited")
 }
 
 fn pick(fleet: &Fleet, per_s: f64, cold_starts: ColdStarts<'_>, now: Time) -> Option<TargetId> {
-    let wanted = PickCriteria { cold_limit: Some(limit(per_s)), cold_starts, ..wanted(&[]) };
-    fleet.pick_by_wait(wanted, now, &mut Rng::new(1)).map(|t| t.id)
+    let criteria = PickCriteria { cold_limit: Some(limit(per_s)), cold_starts, ..criteria(&[]) };
+    fleet.pick_by_wait(criteria, now, &mut Rng::new(1)).map(|t| t.id)
 }
 
 #[test]
@@ -42,11 +42,11 @@
     ];
     for (per_s, overrun, slack, interval) in cases {
         let cold = ColdTargets { lasts_ms: 3000, per_s };
-        let limit = ColdLimit::of(&cold, ColdBounds { overrun, slack });
+        let limit = ColdLimit::for_service(&cold, ColdBounds { overrun, slack });
         assert_eq!(limit.map(|l| l.interval), Some(interval), "{per_s} x {overrun} + {slack}");
     }
     let unlimited = ColdTargets { lasts_ms: 3000, per_s: 0.0 };
-    assert_eq!(ColdLimit::of(&unlimited, BOUNDS), None);
+    assert_eq!(ColdLimit::for_service(&unlimited, BOUNDS), None);
 }
 
 #[test]
@@ -58,7 +58,7 @@
     assert_eq!(pick(&fleet, 9.1, ColdStarts::Avoid, at(10)), None);
     assert_eq!(pick(&fleet, 9.1, ColdStarts::InTurn(&|_| false), at(10)), None);
     assert_eq!(pick(&fleet, 9.1, owned, at(10)).map(|t| t.name).as_deref(), Some("t0"));
-    fleet.note_cold_start(&"t0".into(), limit(9.1), at(10));
+    fleet.record_cold_start(&"t0".into(), limit(9.1), at(10));
     assert_eq!(pick(&fleet, 9.1, owned, at(200)), None, "the next start is delayed");
     assert_eq!(pick(&fleet, 9.1, owned, at(260)).map(|t| t.name).as_deref(), Some("t0"));
     assert_eq!(
@@ -66,7 +66,7 @@
         Some("t0"),
         "warm by now"
     );
-    fleet.note_cold_start(&"t0".into(), limit(9.1), at(3000));
+    fleet.record_cold_start(&"t0".into(), limit(9.1), at(3000));
     assert!(
         pick(&fleet, 9.1, ColdStarts::Avoid, at(3000)).is_some(),
         "warm targets are not limited"
@@ -115,21 +115,21 @@
         seed in any::<u64>(),
     ) {
         let cold = ColdTargets { lasts_ms: 6000, per_s };
-        let limit = ColdLimit::of(&cold, ColdBounds { overrun, slack }).expect("cold targets are limited");
+        let limit = ColdLimit::for_service(&cold, ColdBounds { overrun, slack }).expect("cold targets are limited");
         let mut rng = Rng::new(seed);
         let mut arrivals = Vec::new();
         for start in starts {
             let mut fleet = Fleet::default();
             fleet.upsert(cold_target(6000), at(0));
             for ms in start..6000 {
-                let wanted = PickCriteria {
+                let criteria = PickCriteria {
                     max_per_target: u32::MAX,
                     cold_limit: Some(limit),
                     cold_starts: ColdStarts::InTurn(&|_| true),
-                    ..wanted(&[])
+                    ..criteria(&[])
                 };
-                if fleet.pick_by_wait(wanted, at(ms), &mut rng).is_some() {
-                    fleet.note_cold_start(&"t0".into(), limit, at(ms));
+                if fleet.pick_by_wait(criteria, at(ms), &mut rng).is_some() {
+                    fleet.record_cold_start(&"t0".into(), limit, at(ms));
                     arrivals.push(ms + rng.below(250) as u64);
                 }
             }
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -10,7 +10,7 @@
 use decide::rng::Rng;
 use model::forward::{Evacuations, Target};
 use proptest::prelude::*;
-use support::{at, target, wanted};
+use support::{at, criteria, target};
 
 fn list(revision: u64, domains: &[&str]) -> Evacuations {
     Evacuations { at: revision, domains: domains.iter().map(|d| (*d).into()).collect() }
@@ -27,9 +27,9 @@
 /// Targets of a hundred requests without and a hundred with a prompt.
 fn chosen(fleet: &Fleet) -> BTreeSet<String> {
     let mut rng = Rng::new(1);
-    let plain = (0..100).filter_map(|_| fleet.pick_by_wait(wanted(&[]), at(0), &mut rng));
+    let plain = (0..100).filter_map(|_| fleet.pick_by_wait(criteria(&[]), at(0), &mut rng));
     let plain: Vec<Target> = plain.collect();
-    let home = |key| fleet.pick_home(wanted(&[]), Home { key, shared_tokens: 10 }, at(0));
+    let home = |key| fleet.pick_home(criteria(&[]), Home { key, shared_tokens: 10 }, at(0));
     plain.into_iter().chain((0..100).filter_map(home)).map(|t| t.id.to_string()).collect()
 }
 
@@ -121,10 +121,10 @@
             let names: Vec<&str> = domains.iter().map(String::as_str).collect();
             known.update(list(i as u64 + 1, &names), at(n as u64));
             newest = newest.max(Some(i));
-            let wanted: BTreeSet<String> =
+            let expected: BTreeSet<String> =
                 sets[newest.expect("at least one list arrived")].iter().map(|d| format!("d{d}")).collect();
             let is: BTreeSet<String> = known.domains().map(|d| d.to_string()).collect();
-            prop_assert_eq!(is, wanted);
+            prop_assert_eq!(is, expected);
         }
     }
 }
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -13,7 +13,7 @@
 use model::forward::{
     Allowed, PromptPart, ReportedLimit, ReportedLoad, Target, TargetId, TargetLoad,
 };
-use support::{at, target, wanted};
+use support::{at, criteria, target};
 
 fn fleet(n: usize) -> Fleet {
     let mut fleet = Fleet::default();
@@ -32,7 +32,7 @@
     let home = |parts: &[(u64, u64)]| {
         let prompt: Vec<PromptPart> =
             parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens }).collect();
-        Home::of(&prompt).map(|h| (h.key, h.shared_tokens))
+        Home::for_prompt(&prompt).map(|h| (h.key, h.shared_tokens))
     };
     assert_eq!(home(&[]), None);
     assert_eq!(home(&[(7, 50)]), Some((7, 50)));
@@ -59,7 +59,7 @@
     }
     let mut homes = BTreeSet::new();
     for key in 0..200 {
-        let pick = |f: &Fleet| f.pick_home(wanted(&[]), home(key), at(0)).map(|t| t.id);
+        let pick = |f: &Fleet| f.pick_home(criteria(&[]), home(key), at(0)).map(|t| t.id);
         assert_eq!(pick(&one), pick(&other));
         homes.extend(pick(&one));
     }
@@ -69,10 +69,10 @@
 #[test]
 fn removing_a_home_moves_only_its_own_prompts() {
     let mut fleet = fleet(12);
-    let before: Vec<_> = (0..200).map(|k| fleet.pick_home(wanted(&[]), home(k), at(0))).collect();
+    let before: Vec<_> = (0..200).map(|k| fleet.pick_home(criteria(&[]), home(k), at(0))).collect();
     fleet.remove(&"t3".into(), None, at(0));
     for (key, was) in before.into_iter().enumerate() {
-        let is = fleet.pick_home(wanted(&[]), home(key as u64), at(0));
+        let is = fleet.pick_home(criteria(&[]), home(key as u64), at(0));
         let moved = was != is;
         assert_eq!(moved, was.is_some_and(|t| &*t.id.name == "t3"));
     }
@@ -85,12 +85,12 @@
     fleet.remove(&"t1".into(), None, at(0));
     let mut rng = Rng::new(1);
     for _ in 0..50 {
-        let plain = fleet.pick_by_wait(wanted(&[]), at(0), &mut rng).map(|t| t.id);
+        let plain = fleet.pick_by_wait(criteria(&[]), at(0), &mut rng).map(|t| t.id);
         assert_eq!(plain.map(|t| t.name).as_deref(), Some("t2"));
     }
     let tried = ["t2".into()];
-    assert_eq!(fleet.pick_by_wait(wanted(&tried), at(0), &mut rng), None);
-    assert_eq!(fleet.pick_home(wanted(&tried), home(1), at(0)), None);
+    assert_eq!(fleet.pick_by_wait(criteria(&tried), at(0), &mut rng), None);
+    assert_eq!(fleet.pick_home(criteria(&tried), home(1), at(0)), None);
 }
 
 #[test]
@@ -138,7 +138,7 @@
     let mut rng = Rng::new(1);
     fleet.observe(&"t0".into(), Observation::Unreachable, at(0));
     let pick =
-        |f: &Fleet, rng: &mut Rng, ms| f.pick_by_wait(wanted(&[]), at(ms), rng).map(|t| t.id);
+        |f: &Fleet, rng: &mut Rng, ms| f.pick_by_wait(criteria(&[]), at(ms), rng).map(|t| t.id);
     assert_eq!(pick(&fleet, &mut rng, 10).map(|t| t.name).as_deref(), Some("t1"));
     fleet.observe(&"t1".into(), Observation::Unreachable, at(20));
     assert!(pick(&fleet, &mut rng, 30).is_some(), "if all are ejected, one is tried anyway");
@@ -153,18 +153,18 @@
     for id in ["t0", "t1"] {
         fleet.observe(&id.into(), Observation::Answered(Duration::from_millis(50)), at(0));
     }
-    let local = fleet.pick_by_wait(wanted(&[]), at(0), &mut rng).expect("two targets are up");
+    let local = fleet.pick_by_wait(criteria(&[]), at(0), &mut rng).expect("two targets are up");
     assert_eq!(&*local.id.name, "t0", "own failure domain first");
     for _ in 0..3 {
         fleet.request_sent(&"t0".into(), 0);
     }
-    let spread = fleet.pick_by_wait(wanted(&[]), at(0), &mut rng).expect("two targets are up");
+    let spread = fleet.pick_by_wait(criteria(&[]), at(0), &mut rng).expect("two targets are up");
     assert_eq!(&*spread.id.name, "t1");
     for _ in 0..3 {
         fleet.request_done(&"t0".into());
         fleet.observe(&"t0".into(), Observation::Failed, at(0));
     }
-    let sound = fleet.pick_by_wait(wanted(&[]), at(0), &mut rng).expect("two targets are up");
+    let sound = fleet.pick_by_wait(criteria(&[]), at(0), &mut rng).expect("two targets are up");
     assert_eq!(&*sound.id.name, "t1");
 }
 
@@ -175,7 +175,7 @@
     let (mut now, mut first, mut all) = (0, 0, 0);
     while now < for_ms {
         let chosen =
-            fleet.pick_by_wait(wanted(&[]), at(now), &mut rng).expect("two targets are up").id;
+            fleet.pick_by_wait(criteria(&[]), at(now), &mut rng).expect("two targets are up").id;
         let took = if &*chosen.name == "t0" { t0_ms } else { t1_ms };
         now += took;
         first += usize::from(&*chosen.name == "t0");
@@ -208,7 +208,7 @@
         fleet.observe(&id.into(), Observation::Answered(Duration::from_millis(50)), at(0));
     }
     assert!(!fleet.record_load(&"t0".into(), ReportedLoad::Load(load), at(0)));
-    let chosen = fleet.pick_by_wait(wanted(&[]), at(ms), &mut rng).expect("two targets are up");
+    let chosen = fleet.pick_by_wait(criteria(&[]), at(ms), &mut rng).expect("two targets are up");
     chosen.id.name.to_string()
 }
 
@@ -260,18 +260,18 @@
 fn target_gets_at_most_this_nodes_share_of_connections() {
     let mut fleet = fleet(2);
     let mut rng = Rng::new(1);
-    let wanted = PickCriteria { max_per_target: 2, ..wanted(&[]) };
+    let criteria = PickCriteria { max_per_target: 2, ..criteria(&[]) };
     let mut taken = BTreeSet::new();
     for _ in 0..4 {
-        let target = fleet.pick_by_wait(wanted, at(0), &mut rng).expect("a slot is free");
+        let target = fleet.pick_by_wait(criteria, at(0), &mut rng).expect("a slot is free");
         fleet.request_sent(&target.id, 0);
         taken.insert(target.id);
     }
     assert_eq!(taken.len(), 2);
-    assert_eq!(fleet.pick_by_wait(wanted, at(0), &mut rng), None);
-    assert_eq!(fleet.pick_home(wanted, home(1), at(0)), None);
+    assert_eq!(fleet.pick_by_wait(criteria, at(0), &mut rng), None);
+    assert_eq!(fleet.pick_home(criteria, home(1), at(0)), None);
     fleet.request_done(&"t1".into());
-    assert_eq!(fleet.pick_home(wanted, home(1), at(0)).map(|t| t.id.name).as_deref(), Some("t1"));
+    assert_eq!(fleet.pick_home(criteria, home(1), at(0)).map(|t| t.id.name).as_deref(), Some("t1"));
 }
 
 /// Guards against a target with a limit that gets no requests after one slow answer while another
@@ -283,7 +283,7 @@
     let id = TargetId::from("t0");
     fleet.observe(&id, Observation::Answered(Duration::from_secs(1)), at(0));
     let mut chosen = |fleet: &Fleet, ms| {
-        fleet.pick_by_wait(wanted(&[]), at(ms), &mut rng).map(|t| t.id.name.to_string())
+        fleet.pick_by_wait(criteria(&[]), at(ms), &mut rng).map(|t| t.id.name.to_string())
     };
     assert_eq!(chosen(&fleet, 5_000).as_deref(), Some("t1"), "names no limit");
     fleet.record_limit(&id, ReportedLimit::PerSecond(1.0), at(5_000), at(5_010));
@@ -299,12 +299,12 @@
 #[test]
 fn overloaded_home_spills_to_the_next_in_order() {
     let mut fleet = fleet(6);
-    let first = fleet.pick_home(wanted(&[]), home(5), at(0)).expect("six targets are up");
+    let first = fleet.pick_home(criteria(&[]), home(5), at(0)).expect("six targets are up");
     fleet.request_sent(&first.id, 1_000_000);
-    let second = fleet.pick_home(wanted(&[]), home(5), at(0)).expect("six targets are up");
+    let second = fleet.pick_home(criteria(&[]), home(5), at(0)).expect("six targets are up");
     assert_ne!(first.id, second.id);
     fleet.prompt_read(&first.id, 1_000_000);
-    assert_eq!(fleet.pick_home(wanted(&[]), home(5), at(0)).map(|t| t.id), Some(first.id));
+    assert_eq!(fleet.pick_home(criteria(&[]), home(5), at(0)).map(|t| t.id), Some(first.id));
 }
 
 #[test]
@@ -318,13 +318,13 @@
     let mut homes = [0.0; 3];
     let keys = 3000;
     for key in 0..keys {
-        let wanted = PickCriteria { home_weights: &by_domain, ..wanted(&[]) };
-        let home = fleet.pick_home(wanted, home(key), at(0)).expect("18 targets are up");
+        let criteria = PickCriteria { home_weights: &by_domain, ..criteria(&[]) };
+        let home = fleet.pick_home(criteria, home(key), at(0)).expect("18 targets are up");
         homes[["a", "b", "c"].iter().position(|d| *d == &*home.domain).expect("a domain")] += 1.0;
     }
     for (got, producers) in homes.into_iter().zip([2.0, 2.0, 1.0]) {
-        let wanted = keys as f64 * producers / 5.0;
-        assert!((got - wanted).abs() < wanted * 0.15, "{homes:?}");
+        let expected = keys as f64 * producers / 5.0;
+        assert!((got - expected).abs() < expected * 0.15, "{homes:?}");
     }
     assert!(
         home_weights(&fleet, "unknown", "engine", &Allowed::ANY, at(0)).is_empty(),
@@ -338,13 +338,13 @@
     let regions = regions.map(|(d, r)| (d.into(), r.into())).into_iter().collect();
     let map = Map::new("a".into(), Regions::new(regions));
     let own = "north".into();
-    let wanted = PickCriteria { map: &map, home_region: Some(&own), ..wanted(&[]) };
+    let criteria = PickCriteria { map: &map, home_region: Some(&own), ..criteria(&[]) };
     let mut fleet = fleet(12);
     let mut rng = Rng::new(1);
     let mut chosen = |fleet: &Fleet| {
-        let plain = (0..50).filter_map(|_| fleet.pick_by_wait(wanted, at(0), &mut rng));
+        let plain = (0..50).filter_map(|_| fleet.pick_by_wait(criteria, at(0), &mut rng));
         let mut domains: BTreeSet<String> = plain.map(|t| t.domain.to_string()).collect();
-        let homes = (0..50).filter_map(|key| fleet.pick_home(wanted, home(key), at(0)));
+        let homes = (0..50).filter_map(|key| fleet.pick_home(criteria, home(key), at(0)));
         domains.extend(homes.map(|t| t.domain.to_string()));
         domains.into_iter().collect::<String>()
     };
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -138,14 +138,14 @@
     // A stage that always fails: no retry is left once the reserve is used up.
     for _ in 0..1000 {
         sent += 1;
-        retried += u32::from(b.take());
+        retried += u32::from(b.withdraw());
     }
     assert_eq!(retried, 10);
     assert!(f64::from(sent + retried) / f64::from(sent) <= 1.2);
     for _ in 0..50 {
         b.success();
     }
-    assert!(b.take());
+    assert!(b.withdraw());
 }
 
 #[test]
@@ -212,10 +212,10 @@
 #[test]
 fn an_empty_bucket_returns_the_time_until_the_next_token() {
     let mut b = TokenBucket::new(2.0, Time::ZERO);
-    assert!(b.take(Time::ZERO).is_ok());
-    let wait = b.take(Time::ZERO).expect_err("empty");
+    assert!(b.try_acquire(Time::ZERO).is_ok());
+    let wait = b.try_acquire(Time::ZERO).expect_err("empty");
     assert!((490..=510).contains(&wait.as_millis()), "{wait:?}");
-    assert!(b.take(Time::ZERO + wait).is_ok());
+    assert!(b.try_acquire(Time::ZERO + wait).is_ok());
 }
 
 /// Simulates nodes that borrow slices from a home; returns the requests admitted in ten seconds.
@@ -238,7 +238,8 @@
                 s.renew(now, now, slice);
             }
             let per_second = demand(i);
-            if per_second > 0 && ms % (1000 / per_second) == 0 && s.take(now, nodes).is_ok() {
+            if per_second > 0 && ms % (1000 / per_second) == 0 && s.try_acquire(now, nodes).is_ok()
+            {
                 admitted += u64::from(ms >= 2000);
             }
         }
--- a/crates/decide/tests/notice.rs
+++ b/crates/decide/tests/notice.rs
@@ -110,22 +110,22 @@
     assert_eq!(exclusion(&fleet, "t0", at(2999)), Some(Exclusion::BackedOff));
     assert_eq!(exclusion(&fleet, "t1", at(2999)), None, "other targets are unaffected");
     assert_eq!(exclusion(&fleet, "t0", at(3000)), None);
-    fleet.note_attempt(&id, at(3000));
+    fleet.record_attempt(&id, at(3000));
     assert_eq!(
         exclusion(&fleet, "t0", at(3001)),
         Some(Exclusion::BackedOff),
         "a probe is in flight"
     );
-    fleet.note_accepted(&id, at(100));
+    fleet.record_accepted(&id, at(100));
     assert_eq!(
         exclusion(&fleet, "t0", at(3002)),
         Some(Exclusion::BackedOff),
         "sent before the end of the backoff"
     );
     assert_eq!(exclusion(&fleet, "t0", at(3500)), None, "another probe after a timeout");
-    fleet.note_attempt(&id, at(3500));
-    fleet.note_accepted(&id, at(3000));
-    fleet.note_attempt(&id, at(3510));
+    fleet.record_attempt(&id, at(3500));
+    fleet.record_accepted(&id, at(3000));
+    fleet.record_attempt(&id, at(3510));
     assert_eq!(exclusion(&fleet, "t0", at(3511)), None, "the backoff is over");
 }
 
--- a/crates/decide/tests/permit.rs
+++ b/crates/decide/tests/permit.rs
@@ -127,10 +127,10 @@
         // The head of a stream, older than the observation of another request.
         ((None, 0, 1000), (Some(2.0), 500, 600), Some(2.0)),
     ];
-    for ((a, a0, a1), (b, b0, b1), wanted) in table {
+    for ((a, a0, a1), (b, b0, b1), expected) in table {
         let (a, b) = (observation(a, a0, a1), observation(b, b0, b1));
-        assert_eq!(a.merge(b).per_s, wanted, "{a:?} {b:?}");
-        assert_eq!(b.merge(a).per_s, wanted, "in the reverse order: {b:?} {a:?}");
+        assert_eq!(a.merge(b).per_s, expected, "{a:?} {b:?}");
+        assert_eq!(b.merge(a).per_s, expected, "in the reverse order: {b:?} {a:?}");
     }
 }
 
--- a/crates/decide/tests/place.rs
+++ b/crates/decide/tests/place.rs
@@ -61,7 +61,7 @@
             number: 1,
             domain: &self.domain,
             reports: &self.reports,
-            leaving: &self.leaving,
+            draining_hosts: &self.leaving,
         };
         self.placer.plan(self.now, self.epoch, view)
     }
--- a/crates/decide/tests/quarantine_spread.rs
+++ b/crates/decide/tests/quarantine_spread.rs
@@ -71,7 +71,7 @@
                 (0..self.nodes.len()).filter(|n| *n != from && self.reaches(from, *n)).collect();
             let peers: Vec<Node> = peers.into_iter().map(|n| self.nodes[n].0.clone()).collect();
             let (me, now) = (self.nodes[from].0.id.clone(), self.now);
-            for Outgoing { peer, news, versions } in
+            for Outgoing { peer, reports, versions } in
                 self.nodes[from].1.outgoing(&me.name, &peers, |_| true, now)
             {
                 self.messages += 1;
@@ -84,8 +84,8 @@
                     self.nodes[from].1.mark_unsupported(&peer.id);
                     continue;
                 }
-                self.nodes[to].1.merge(Some(&me), &news, now);
-                let reply = self.nodes[to].1.missing_from(&news, now);
+                self.nodes[to].1.merge(Some(&me), &reports, now);
+                let reply = self.nodes[to].1.missing_from(&reports, now);
                 self.nodes[from].1.merge(Some(&peer.id), &reply, now);
                 self.nodes[from].1.acknowledge(&peer.id, &versions);
             }
--- a/crates/decide/tests/region_spill.rs
+++ b/crates/decide/tests/region_spill.rs
@@ -215,7 +215,7 @@
 
     fn feed(&mut self, i: usize, event: Event) {
         let now = self.now;
-        let actions = self.regions[i].c.handle(at(now), event);
+        let actions = self.regions[i].c.handle_event(at(now), event);
         for worker in probes(&actions) {
             let is_up = self.regions[i].is_up;
             self.feed(i, Event::Probed(worker, is_up));
@@ -327,17 +327,17 @@
         (u32::MAX, None, 40, "no local worker: spills without known waits"),
         (u32::MAX, Some(800), u32::MAX, "no region accepts it"),
     ];
-    for (own, there, told, why) in cases {
+    for (own, there, reported, why) in cases {
         let mut spill = Spill::default();
         if let Some(there) = there {
             spill.update_waits("b".into(), waits(there), at(0));
         }
         assert_eq!(
             spill.bound_waits(waits(own), &others, false, at(10)).for_rank(rank),
-            told,
+            reported,
             "{why}"
         );
-        let large = if own == u32::MAX { told } else { own };
+        let large = if own == u32::MAX { reported } else { own };
         let bound = spill.bound_waits(waits(own), &others, true, at(10));
         assert_eq!(
             bound.for_rank(rank),
--- a/crates/decide/tests/regions.rs
+++ b/crates/decide/tests/regions.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn orders_go_to_the_wanted_or_nearest_region_with_makers() {
+fn orders_go_to_the_requested_or_nearest_region_with_workers() {
     let seen = map(&[("b1", 60), ("b2", 60), ("c1", 30), ("c2", 30)]);
     let cases: [(Option<&str>, &[&str], Option<&str>); 6] = [
         (None, &["a", "b", "c"], Some("a")),
@@ -84,17 +84,17 @@
         (None, &["b"], Some("b")),
         (None, &[], Some("a")),
     ];
-    for (wanted, able, expected) in cases {
+    for (requested, able, expected) in cases {
         let able: BTreeSet<Name> = able.iter().map(|r| (*r).into()).collect();
-        let placed = seen.choose_region(wanted.map(Into::into), &able);
-        assert_eq!(placed.as_deref(), expected, "wanted {wanted:?} of {able:?}");
+        let placed = seen.choose_region(requested.map(Into::into), &able);
+        assert_eq!(placed.as_deref(), expected, "requested {requested:?} of {able:?}");
     }
 }
 
 #[test]
 fn each_stage_is_placed_near_its_inputs() {
     let seen = map(&[("b1", 60), ("b2", 60), ("c1", 30), ("c2", 30)]);
-    /// Regions with makers for a stage.
+    /// Regions with workers for a stage.
     type Able<'a> = Option<&'a [&'a str]>;
     type Case<'a> = ([Able<'a>; 3], [Option<&'a str>; 3], &'a str);
     let all: Able<'_> = Some(&["a", "b", "c"]);
--- a/crates/decide/tests/resend.rs
+++ b/crates/decide/tests/resend.rs
@@ -33,9 +33,9 @@
         (Repeat::Once, 1, &[Excluded, Excluded], Next::End(Ending::NotRun)),
         (Repeat::Idempotent, 2, &[Excluded, Excluded], Next::End(Ending::NotRun)),
     ];
-    for (repeat, max_targets, seen, wanted) in cases {
+    for (repeat, max_targets, seen, expected) in cases {
         let next = attempts(*repeat, *max_targets, seen).next(LEFT, || true);
-        assert_eq!(next, *wanted, "{repeat:?}, max_targets {max_targets}, after {seen:?}");
+        assert_eq!(next, *expected, "{repeat:?}, max_targets {max_targets}, after {seen:?}");
     }
 }
 
@@ -82,7 +82,7 @@
     let asks = (60_000.0 / step) as usize;
     for i in 0..asks {
         let ms = (i as f64 * step) as u64;
-        if budgets[i % asking].take(Time::from_millis(ms), nodes) {
+        if budgets[i % asking].withdraw(Time::from_millis(ms), nodes) {
             granted.push(ms);
         }
     }
@@ -119,7 +119,7 @@
         budgets[node].record_request(now);
         sent.push((now, false));
         for _ in 0..2 {
-            if budgets[node].take(now, nodes) {
+            if budgets[node].withdraw(now, nodes) {
                 sent.push((now, true));
             }
         }
@@ -153,7 +153,7 @@
                 budgets[node].record_request(now);
                 sent.push((ms, false));
                 for _ in 0..2 {
-                    if budgets[node].take(now, nodes) {
+                    if budgets[node].withdraw(now, nodes) {
                         sent.push((ms, true));
                     }
                 }
--- a/crates/decide/tests/restarts.rs
+++ b/crates/decide/tests/restarts.rs
@@ -18,7 +18,7 @@
     Allowed, BatchOrder, PieceResult, Policy, PrefillAsk, Side, Target, TargetChange, TargetId,
 };
 use proptest::prelude::*;
-use support::{at, target, wanted};
+use support::{at, criteria, target};
 
 /// The entry of target `t` at a revision.
 fn entry(start: u64, revision: u64) -> Target {
@@ -46,7 +46,7 @@
         let limit =
             ColdLimit { duration: Duration::from_secs(9), interval: Some(Duration::from_secs(1)) };
         let old = id(before);
-        fleet.note_cold_start(&old, limit, at(10));
+        fleet.record_cold_start(&old, limit, at(10));
         fleet.request_sent(&old, 700);
         fleet.observe(&old, Observation::Answered(Duration::from_millis(80)), at(20));
         assert!(fleet.observe(&old, Observation::Unreachable, at(30)), "ejected");
@@ -75,7 +75,7 @@
             ColdLimit { duration: Duration::from_secs(9), interval: Some(Duration::from_secs(1)) };
         fleet.prompt_read(&id(before), 700);
         fleet.request_done(&id(before));
-        fleet.note_cold_start(&id(before), limit, at(50));
+        fleet.record_cold_start(&id(before), limit, at(50));
         let ends = [Observation::Failed, Observation::Unreachable, Observation::Replaced];
         for end in ends {
             assert!(!fleet.observe(&id(before), end, at(50)), "{end:?}");
@@ -128,9 +128,9 @@
     let mut fleet = fleet(vec![entry(17, 5)]);
     let tried = [id(17)];
     let mut rng = Rng::new(1);
-    assert_eq!(fleet.pick_by_wait(wanted(&tried), at(0), &mut rng), None);
+    assert_eq!(fleet.pick_by_wait(criteria(&tried), at(0), &mut rng), None);
     fleet.upsert(entry(18, 6), at(10));
-    let chosen = fleet.pick_by_wait(wanted(&tried), at(10), &mut rng).map(|t| t.id);
+    let chosen = fleet.pick_by_wait(criteria(&tried), at(10), &mut rng).map(|t| t.id);
     assert_eq!(chosen, Some(id(18)));
 }
 
@@ -250,8 +250,8 @@
     assert!(!fleet.is_usable(&id(17), Terms::ANY, at(10)));
 }
 
-/// An event with makers of one name and these starts.
-fn makers_event(starts: &[u64], domain: &str) -> Event {
+/// An event with workers of one name and these starts.
+fn workers_event(starts: &[u64], domain: &str) -> Event {
     let info = |start: &u64| WorkerInfo {
         id: id(*start),
         domain: domain.into(),
@@ -263,30 +263,30 @@
     Event::Workers(starts.iter().map(info).collect())
 }
 
-/// A coordinator with a call at start 17 of its only maker, which then restarts as 18.
-fn restarted_maker() -> (Coordinator, Call) {
+/// A coordinator with a call at start 17 of its only worker, which then restarts as 18.
+fn restarted_worker() -> (Coordinator, Call) {
     let mut c = Coordinator::new(batch::pool(), Policy::default());
-    c.handle(at(0), makers_event(&[17], "a"));
+    c.handle_event(at(0), workers_event(&[17], "a"));
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r1", 1) };
-    let first = batch::calls(&c.handle(at(0), batch::order_event(1, large)));
+    let first = batch::calls(&c.handle_event(at(0), batch::order_event(1, large)));
     assert_eq!(first[0].worker, id(17));
-    c.handle(at(10), makers_event(&[18], "a"));
+    c.handle_event(at(10), workers_event(&[18], "a"));
     (c, first[0].clone())
 }
 
 #[test]
-fn a_restarted_maker_has_all_its_slots_and_result_capacity() {
-    let (mut c, old) = restarted_maker();
+fn a_restarted_worker_has_all_its_slots_and_result_capacity() {
+    let (mut c, old) = restarted_worker();
     let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
-    let next = batch::calls(&c.handle(at(20), batch::order_event(2, large.clone())));
+    let next = batch::calls(&c.handle_event(at(20), batch::order_event(2, large.clone())));
     assert_eq!(next.len(), 1, "the slot of the previous start does not count");
     assert_eq!(next[0].worker, id(18));
     // Results of the previous start take no room at the new one.
-    c.handle(at(30), Event::CallEnded(old.number, batch::made(&old)));
+    c.handle_event(at(30), Event::CallEnded(old.number, batch::made(&old)));
     let end = batch::made(&next[0]);
-    c.handle(at(40), Event::CallEnded(next[0].number, end));
+    c.handle_event(at(40), Event::CallEnded(next[0].number, end));
     let small = BatchOrder { result_bytes: 1_000_000, ..batch::order("r3", 1) };
-    let third = batch::calls(&c.handle(at(50), batch::order_event(3, small)));
+    let third = batch::calls(&c.handle_event(at(50), batch::order_event(3, small)));
     assert_eq!(third[0].worker, id(18));
 }
 
@@ -294,13 +294,13 @@
 fn a_call_end_of_the_previous_start_neither_ejects_nor_limits_the_new_start() {
     let no_room = |call: &Call| CallEnd::Answered(vec![PieceResult::NoRoom; call.pieces.len()]);
     for end in [None, Some(CallEnd::Failed), Some(CallEnd::Full)] {
-        let (mut c, old) = restarted_maker();
+        let (mut c, old) = restarted_worker();
         let end = end.unwrap_or_else(|| no_room(&old));
-        let mut actions = c.handle(at(20), Event::CallEnded(old.number, end.clone()));
-        actions.extend(c.handle(at(21), Event::Probed(id(17), false)));
+        let mut actions = c.handle_event(at(20), Event::CallEnded(old.number, end.clone()));
+        actions.extend(c.handle_event(at(21), Event::Probed(id(17), false)));
         let large = BatchOrder { result_bytes: 80_000_000, ..batch::order("r2", 1) };
-        actions.extend(c.handle(at(22), batch::order_event(2, large)));
-        actions.extend(c.handle(at(22), Event::Tick));
+        actions.extend(c.handle_event(at(22), batch::order_event(2, large)));
+        actions.extend(c.handle_event(at(22), Event::Tick));
         // If it were ejected or short of room it would have no call yet.
         let started = batch::calls(&actions);
         assert_eq!(started.len(), 1, "{end:?}: one slot allows one call");
--- a/crates/decide/tests/rollout_cost.rs
+++ b/crates/decide/tests/rollout_cost.rs
@@ -21,7 +21,7 @@
     }
     fleet.versions_mut().apply(Rollouts { at: 10, ..Rollouts::default() }, at(0));
     let each = || {
-        let all = fleet.of_service("engine");
+        let all = fleet.service_targets("engine");
         all.filter(|b| fleet.exclusion(b, Terms::ANY, at(1)).is_none()).count()
     };
     let once = || fleet.usable("engine", Terms::ANY, at(1)).count();
--- a/crates/decide/tests/rollout_evidence.rs
+++ b/crates/decide/tests/rollout_evidence.rs
@@ -33,12 +33,12 @@
         ((0, 0, 40), (0, 50, 150), None),
         ((0, 0, 40), (20, 0, 40), Some(Cause::Failures)),
     ];
-    for (serving, trial, wanted) in cases {
+    for (serving, trial, expected) in cases {
         let mut evidence = Evidence::default();
         record(&mut evidence, Side::Serving, serving.0, serving.1, serving.2);
         record(&mut evidence, Side::Trial, trial.0, trial.1, trial.2);
         let verdict = evidence.proves_bad("s");
-        assert_eq!(verdict.as_ref().map(|v| v.cause), wanted, "{serving:?} {trial:?}");
+        assert_eq!(verdict.as_ref().map(|v| v.cause), expected, "{serving:?} {trial:?}");
         let Some(verdict) = verdict else {
             continue;
         };
@@ -50,24 +50,24 @@
 #[test]
 fn late_answers_in_one_burst_count_once() {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
-    let (usual, late) = (Duration::from_millis(40), Duration::from_millis(150));
+    let (typical, late) = (Duration::from_millis(40), Duration::from_millis(150));
     let mut evidence = Evidence::default();
-    let mut note_late = |took, ms| {
-        evidence.note_late(&service, &route, took, Time::ZERO + Duration::from_millis(ms))
+    let mut record_late = |took, ms| {
+        evidence.record_late(&service, &route, took, Time::ZERO + Duration::from_millis(ms))
     };
-    assert!(![0, 1].map(|ms| note_late(late, ms))[1], "without a baseline nothing is late");
+    assert!(![0, 1].map(|ms| record_late(late, ms))[1], "without a baseline nothing is late");
     record(&mut evidence, Side::Serving, 0, 50, 40);
     let cases = [
-        (usual, 100, false),
+        (typical, 100, false),
         (late, 101, false),
         (late, 102, true),
-        (usual, 102, false),
+        (typical, 102, false),
         (late, 121, true),
         (late, 141, false),
     ];
-    for (took, ms, wanted) in cases {
+    for (took, ms, expected) in cases {
         let now = Time::ZERO + Duration::from_millis(ms);
-        assert_eq!(evidence.note_late(&service, &route, took, now), wanted, "{took:?} at {ms}");
+        assert_eq!(evidence.record_late(&service, &route, took, now), expected, "{took:?} at {ms}");
     }
 }
 
@@ -90,7 +90,7 @@
 fn a_call_counts_as_a_failure_in_proportion_to_its_failed_pieces() {
     let (service, route): (Name, Name) = ("s".into(), "r".into());
     // Part of each call that failed, number of calls, and how many of them count as failures.
-    for (part, calls, wanted) in [(0.0, 50, 0), (1.0, 7, 7), (1.0 / 12.0, 120, 10), (0.5, 9, 4)] {
+    for (part, calls, expected) in [(0.0, 50, 0), (1.0, 7, 7), (1.0 / 12.0, 120, 10), (0.5, 9, 4)] {
         let mut evidence = Evidence::default();
         for _ in 0..calls {
             evidence.record_sent(&service, &route, Side::Serving, 12);
@@ -106,6 +106,6 @@
             panic!("one route");
         };
         let good: u32 = seen.serving.times.iter().sum();
-        assert_eq!((seen.serving.bad, good), (wanted, calls - wanted), "{part}");
+        assert_eq!((seen.serving.bad, good), (expected, calls - expected), "{part}");
     }
 }
--- a/crates/decide/tests/rollout_judge.rs
+++ b/crates/decide/tests/rollout_judge.rs
@@ -74,7 +74,7 @@
     }
 
     fn handle(&mut self, event: JudgeEvent) {
-        let actions = self.judge.handle(Time::from_millis(self.now), event);
+        let actions = self.judge.handle_event(Time::from_millis(self.now), event);
         self.actions.extend(actions.into_iter().map(|action| (self.now, action)));
     }
 
@@ -277,7 +277,7 @@
 
 #[test]
 fn a_new_judge_adopts_the_furthest_reported_phase() {
-    for (reported, wanted) in [
+    for (reported, expected) in [
         (vec![Phase::Share(0.1)], None),
         (vec![Phase::Share(0.1), Phase::All], Some(Phase::All)),
         (vec![Phase::All, Phase::Back], Some(Phase::Back)),
@@ -288,7 +288,7 @@
             harness.handle(report("a", *phase, 0));
         }
         let phase = Some(harness.judge.phase()).filter(|p| !matches!(p, Phase::Share(_)));
-        assert_eq!(phase, wanted, "{reported:?}");
+        assert_eq!(phase, expected, "{reported:?}");
     }
 }
 
--- a/crates/decide/tests/rollout_versions.rs
+++ b/crates/decide/tests/rollout_versions.rs
@@ -92,10 +92,10 @@
         (20, named(RolledBack, 20), (SERVING, None)),
         (20, named(Completed, 20), (None, SERVING)),
     ];
-    for (known, orders, wanted) in cases {
+    for (known, orders, expected) in cases {
         let mut versions = versions(&[("v1", 5), ("v2", 11)]);
         versions.apply(list(known, &orders), at(0));
-        assert_eq!(sides(&versions), wanted, "at {known}: {orders:?}");
+        assert_eq!(sides(&versions), expected, "at {known}: {orders:?}");
         let unsettled = (known < 11).then_some(11);
         assert_eq!(versions.unsettled(), unsettled, "at {known}");
     }
@@ -226,8 +226,8 @@
     for phase in [Phase::Share(0.5), Phase::All, Phase::Back] {
         assert!(!versions.set_phase(&first, phase), "{phase:?} of the first");
     }
-    let told = (versions.phase("engine"), versions.age("engine", at(110)));
-    assert_eq!(told, (Some(Phase::Share(0.0)), Some(ms(10))));
+    let observed = (versions.phase("engine"), versions.age("engine", at(110)));
+    assert_eq!(observed, (Some(Phase::Share(0.0)), Some(ms(10))));
     assert!(versions.set_phase(&second, Phase::Share(0.1)));
     versions.apply(list(22, &[order("v2", Active, 22)]), at(130));
     assert!(versions.set_phase(&second, Phase::All), "the same order, now active");
@@ -294,8 +294,8 @@
     versions.add_target(&"engine".into(), &"v3".into(), 15, 0);
     assert_eq!((sides(&versions), trial_share(&versions)), ((None, TRIAL), 1.0));
     assert_eq!(versions.side("engine", "v3"), None);
-    let told = versions.list().expect("known");
-    assert_eq!((told.orders, told.unreadable), (vec![active.clone()], vec!["engine".into()]));
+    let adopted = versions.list().expect("known");
+    assert_eq!((adopted.orders, adopted.unreadable), (vec![active.clone()], vec!["engine".into()]));
     assert_eq!(versions.apply(list(30, &[]), at(3)), [RolloutChange::Withdrawn(active)]);
     assert_eq!(sides(&versions), (SERVING, None));
     assert_eq!(versions.side("engine", "v3"), None, "the order may have been for it");
@@ -327,7 +327,7 @@
     let mut old = versions(&seen);
     old.apply(list(12, &active(12)), at(0));
     old.apply(list(15, &[]), at(1));
-    let told = Rollouts { at: 30, ..old.list().expect("known") };
+    let known = Rollouts { at: 30, ..old.list().expect("known") };
     // Revision of the first list that the starting node read by itself, and whether it adopts the
     // peer's record.
     for (began, is_taken) in [(None, true), (Some(20), true), (Some(14), false)] {
@@ -335,11 +335,11 @@
         if let Some(began) = began {
             new.apply(list(began, &[]), at(2));
         }
-        new.apply(told.clone(), at(3));
-        let wanted = if is_taken { None } else { SERVING };
-        assert_eq!(sides(&new), (SERVING, wanted), "{began:?}");
+        new.apply(known.clone(), at(3));
+        let expected = if is_taken { None } else { SERVING };
+        assert_eq!(sides(&new), (SERVING, expected), "{began:?}");
         new.apply(list(40, &active(40)), at(4));
-        new.apply(Rollouts { at: 41, orders: active(40).to_vec(), ..told.clone() }, at(5));
+        new.apply(Rollouts { at: 41, orders: active(40).to_vec(), ..known.clone() }, at(5));
         assert_eq!(new.side("engine", "v2"), TRIAL, "ordered again since: {began:?}");
     }
 }
@@ -376,7 +376,7 @@
 fn an_old_target_rewriting_its_entry_after_a_completion_is_no_new_release() {
     // Revision and start time of a target of another version than the completed one, whose own
     // target started at 200, and its side at a node that starts now.
-    for (revision, start, wanted) in
+    for (revision, start, expected) in
         [(5, 100, None), (25, 100, None), (25, 300, SERVING), (25, 0, SERVING), (25, 200, SERVING)]
     {
         let mut versions = versions(&[]);
@@ -384,7 +384,7 @@
         versions.add_target(&"engine".into(), &"v1".into(), revision, start);
         versions.add_target(&"engine".into(), &"v2".into(), 28, 400);
         versions.add_target(&"engine".into(), &"v2".into(), 11, 200);
-        assert_eq!(sides(&versions), (wanted, SERVING), "{revision} {start}");
+        assert_eq!(sides(&versions), (expected, SERVING), "{revision} {start}");
     }
 }
 
@@ -417,10 +417,10 @@
         (Phase::All, false, 0.0),
         (Phase::Share(0.5), false, 0.0),
     ];
-    for (phase, changes, wanted) in cases {
+    for (phase, changes, expected) in cases {
         assert_eq!(versions.set_phase(&id("v2"), phase), changes, "{phase:?}");
         assert!(
-            (trial_share(&versions) - wanted).abs() < 0.02,
+            (trial_share(&versions) - expected).abs() < 0.02,
             "{phase:?}: {}",
             trial_share(&versions)
         );
@@ -521,7 +521,7 @@
         for side in [Side::Serving, Side::Trial] {
             let terms = Terms { side, ..Terms::ANY };
             let usable = fleet.usable("engine", terms, at(1)).map(|b| &b.target.id);
-            let all = fleet.of_service("engine");
+            let all = fleet.service_targets("engine");
             let free = all.filter(|b| fleet.exclusion(b, terms, at(1)).is_none()).map(|b| &b.target.id);
             prop_assert_eq!(usable.collect::<Vec<_>>(), free.collect::<Vec<_>>());
         }
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -109,7 +109,7 @@
         silent.mark_answered(&id, at(60_200));
         assert_eq!(first(&silent, 0, service, 60_300), was, "an answer ends the silence");
         let mut stopping = roster(0, &up, 60_000);
-        stopping.note_stopping(&id, at(60_000));
+        stopping.mark_stopping(&id, at(60_000));
         assert_ne!(first(&stopping, 0, service, 60_100), was);
         assert!(stopping.is_awaitable(&id), "work that it has begun is waited for");
         let mut suspected = roster(0, &up, 60_000);
@@ -259,7 +259,7 @@
 fn state_of_departed_peers_is_purged() {
     let mut roster = roster(0, &[60_000; 2], 60_000);
     let id = view(1, 0, 0).node.id;
-    roster.note_stopping(&id, at(60_000));
+    roster.mark_stopping(&id, at(60_000));
     roster.update(Vec::new(), at(61_000));
     assert!(roster.is_awaitable(&id));
     roster.update(Vec::new(), at(130_000));
@@ -445,12 +445,12 @@
     let mut changes = PendingChanges::default();
     assert_eq!(changes.take_due(at(900)), None);
     for i in 0..100 {
-        changes.note(&name(i).into(), Health::Suspect, at(1_000 + i as u64));
+        changes.record(&name(i).into(), Health::Suspect, at(1_000 + i as u64));
     }
-    changes.note(&name(7).into(), Health::Dead, at(1_150));
-    changes.note(&name(9).into(), Health::Alive, at(1_160));
-    changes.note(&"new".into(), Health::Alive, at(1_170));
-    changes.note(&"gone".into(), Health::Left, at(1_180));
+    changes.record(&name(7).into(), Health::Dead, at(1_150));
+    changes.record(&name(9).into(), Health::Alive, at(1_160));
+    changes.record(&"new".into(), Health::Alive, at(1_170));
+    changes.record(&"gone".into(), Health::Left, at(1_180));
     assert_eq!(changes.take_due(at(1_249)), None, "changes are still collected");
     let summary = changes.take_due(at(1_250)).expect("it is due");
     let ViewChange { alive, suspected, dead, left, names } = summary;
@@ -509,7 +509,7 @@
             } else {
                 let up_ms = [40, 5_000, 60_000][rng.below(3)];
                 up.insert(i, ms - up_ms.min(ms));
-                incremental.put(view_in_domain(i, up_ms, ms), at(ms));
+                incremental.upsert(view_in_domain(i, up_ms, ms), at(ms));
             }
             let mut fresh = Roster::new("node-0".into(), domain(0).into(), 0);
             fresh.update(
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -76,7 +76,7 @@
 fn no_policy_picks_a_leaving_unready_or_mismatched_target() {
     for kind in ALL {
         let mut t = table(4, |_| 0);
-        t.mark_leaving("t0");
+        t.mark_draining("t0");
         let down = TargetStatus { ready: false, ..report("t1", 1) };
         t.update(NOW, &down);
         for (name, model) in [("t2", "m@v1"), ("t3", "m@v2")] {
@@ -86,8 +86,8 @@
         }
         let mut policy = make_policy(kind, 1);
         for prefix in 0..100 {
-            let wanted = RouteQuery { model: Some("m@v2"), ..query(prefix) };
-            let i = policy.pick(&wanted, &t).expect("t3 fits");
+            let route_query = RouteQuery { model: Some("m@v2"), ..query(prefix) };
+            let i = policy.pick(&route_query, &t).expect("t3 fits");
             assert_eq!(&*t.slots()[i].info.name, "t3", "{kind:?}");
         }
     }
@@ -95,7 +95,7 @@
 
 #[test]
 fn reports_from_peers_do_not_determine_the_models_of_a_target() {
-    let (name, wanted) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..query(0) });
+    let (name, route_query) = (Name::from("t0"), RouteQuery { model: Some("m@v1"), ..query(0) });
     let mut board = LoadTable::default();
     board.set_targets([name.clone()].iter());
     let polled = TargetReport { target: name.clone(), seq: 1, ..TargetReport::default() };
@@ -107,7 +107,7 @@
     for (report, fits) in [(&holds_none, false), (elsewhere.get("t0").expect("heard"), true)] {
         let mut t = table(1, |_| 0);
         t.update(NOW, report);
-        let picked = make_policy(PolicyKind::Home, 1).pick(&wanted, &t);
+        let picked = make_policy(PolicyKind::Home, 1).pick(&route_query, &t);
         assert_eq!(picked.is_some(), fits, "{report:?}");
     }
 }
@@ -119,7 +119,7 @@
     leaving.report.leaving = true;
     t.update(NOW, &leaving);
     t.update(NOW, &report("t0", 4));
-    assert!(t.slots()[0].leaving);
+    assert!(t.slots()[0].draining);
 }
 
 #[test]
@@ -200,12 +200,12 @@
 fn a_changed_pool_keeps_the_state_of_remaining_targets() {
     let mut t = table(3, |_| 0);
     t.record_sent(NOW, "t1");
-    t.mark_leaving("t2");
+    t.mark_draining("t2");
     let mut infos: Vec<TargetInfo> = t.slots().iter().map(|s| s.info.clone()).collect();
     infos.remove(0);
     infos.reverse();
     t.set_targets(infos);
     assert_eq!(t.slot("t1").map(|s| s.in_flight), Some(1));
-    assert!(t.slot("t2").is_some_and(|s| s.leaving));
+    assert!(t.slot("t2").is_some_and(|s| s.draining));
     assert!(t.slot("t0").is_none());
 }
--- a/crates/decide/tests/stages.rs
+++ b/crates/decide/tests/stages.rs
@@ -127,9 +127,9 @@
         ([100, 0, 0, 250], [150, 250, 250, 0]),
         ([0, 0, 0, 0], [0, 0, 0, 0]),
     ];
-    for (durations, wanted) in cases {
+    for (durations, expected) in cases {
         let starts = latest_starts(&chain_and_one, &durations.map(ms));
-        assert_eq!(starts, wanted.map(ms), "{durations:?}");
+        assert_eq!(starts, expected.map(ms), "{durations:?}");
     }
 }
 
--- a/crates/decide/tests/support/batch.rs
+++ b/crates/decide/tests/support/batch.rs
@@ -61,7 +61,7 @@
 /// A coordinator with these workers.
 pub fn coordinator(of: &[(&str, &str)]) -> Coordinator {
     let mut c = Coordinator::new(pool(), Policy::default());
-    c.handle(at(0), workers(of));
+    c.handle_event(at(0), workers(of));
     c
 }
 
--- a/crates/decide/tests/support/fleet.rs
+++ b/crates/decide/tests/support/fleet.rs
@@ -34,7 +34,7 @@
 }
 
 /// Criteria for a request to a warm engine that was already sent to the targets in `exclude`.
-pub fn wanted<'a>(exclude: &'a [TargetId]) -> PickCriteria<'a> {
+pub fn criteria<'a>(exclude: &'a [TargetId]) -> PickCriteria<'a> {
     PickCriteria {
         service: "engine",
         terms: Terms::ANY,
--- a/crates/decide/tests/support/rollout/mod.rs
+++ b/crates/decide/tests/support/rollout/mod.rs
@@ -309,7 +309,7 @@
         let Some(machine) = &mut self.judges[judge] else {
             return;
         };
-        for action in machine.handle(now, event) {
+        for action in machine.handle_event(now, event) {
             match action {
                 JudgeAction::Write(state) => self.write(judge, state),
                 JudgeAction::Judged { verdict, .. } => {
--- a/crates/decide/tests/support/rollout/traffic.rs
+++ b/crates/decide/tests/support/rollout/traffic.rs
@@ -130,7 +130,7 @@
                 u64::from(self.fiftieth_bad_ms.is_some_and(|at| self.now > at + back));
         }
         let spread: f64 = (0..6).map(|_| self.rng.next_f64()).sum::<f64>() - 3.0;
-        let usual = 40.0 * (1 + route) as f64 * (0.5 * spread).exp();
+        let typical = 40.0 * (1 + route) as f64 * (0.5 * spread).exp();
         let hit = new && self.is_bad(route);
         let (fails, times) = match self.case.fault {
             Fault::Fails(part) => (hit && self.rng.next_f64() < part, 1.0),
@@ -139,7 +139,7 @@
         let bad = fails || times > 1.0;
         let fails = fails || self.rng.next_f64() < self.case.noise;
         let failed = self.failed_pieces(pieces, hit);
-        let took = Duration::from_secs_f64(usual * times / 1000.0);
+        let took = Duration::from_secs_f64(typical * times / 1000.0);
         let due = self.now + took.as_millis() as u64;
         self.pending.push(Reverse((due, self.answers.len())));
         let side = if new { Side::Trial } else { Side::Serving };
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -93,7 +93,7 @@
 impl RetryPolicy for Budgets<'_> {
     fn allow_retry(&mut self, step: usize) -> bool {
         let stage = &self.pipeline.stages[step];
-        let taken = self.core.fleet.pool(&stage.pool).is_some_and(|p| p.lock().budget.take());
+        let taken = self.core.fleet.pool(&stage.pool).is_some_and(|p| p.lock().budget.withdraw());
         self.core.metrics.retry(&stage.name, taken);
         taken
     }
@@ -162,7 +162,7 @@
         match told {
             Told::Leaving(attempt) => {
                 if let Some(f) = self.flights.get(&attempt) {
-                    f.pool.lock().table.mark_leaving(&f.target);
+                    f.pool.lock().table.mark_draining(&f.target);
                     self.core.report_refusal(f.target.clone());
                 }
             }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -190,7 +190,7 @@
                 continue;
             };
             for t in spec.targets.iter().filter(|t| hosts.contains(&t.host)) {
-                pool.lock().table.mark_leaving(&t.name);
+                pool.lock().table.mark_draining(&t.name);
             }
         }
     }
--- a/crates/entry/src/rates.rs
+++ b/crates/entry/src/rates.rs
@@ -37,7 +37,7 @@
         let mut slices = self.slices.lock().expect("no panic while held");
         let key = (workspace.clone(), pipeline.clone());
         let slice = slices.entry(key).or_insert_with(|| RateSlice::new(rate, nodes, now));
-        slice.take(now, nodes)
+        slice.try_acquire(now, nodes)
     }
 
     /// Lends as the home of a workspace.
--- a/crates/forward/src/border.rs
+++ b/crates/forward/src/border.rs
@@ -226,8 +226,8 @@
     fn stage_call(&self, pieces: &[PieceOrder]) -> Post;
     /// Headers of a call that only this instance of a target may run.
     fn instance_headers(&self, target: &TargetId) -> HeaderMap;
-    /// Parses the answer to a stage call; `maker` is the worker that ran it.
-    fn stage_answer(&self, maker: &TargetId, body: &[u8]) -> Result<Vec<PieceResult>, Malformed>;
+    /// Parses the answer to a stage call; `worker` is the one that ran it.
+    fn stage_answer(&self, worker: &TargetId, body: &[u8]) -> Result<Vec<PieceResult>, Malformed>;
     /// Call that frees results at the worker that holds them.
     fn stage_free(&self, handles: &[Handle]) -> Post;
     /// Epoch of the store, from the head of one of its answers: the number of times that it was
--- a/crates/forward/src/crossed.rs
+++ b/crates/forward/src/crossed.rs
@@ -78,7 +78,10 @@
     fn to_domain(node: &Node, kind: MessageKind, domain: &Name) -> Option<RegionTraffic> {
         let (local, remote) = node.fleet(|f| {
             let regions = f.regions();
-            Some((regions.of(&node.settings().domain)?.clone(), regions.of(domain)?.clone()))
+            Some((
+                regions.region_of(&node.settings().domain)?.clone(),
+                regions.region_of(domain)?.clone(),
+            ))
         })?;
         let count = |from, to| node.metrics.crossed_bytes(kind.as_str(), from, to);
         (local != remote).then(|| RegionTraffic {
@@ -131,13 +134,14 @@
     if !is_multi_region(node) {
         return;
     }
-    let region =
-        |id: &TargetId| node.fleet(|f| f.domain_of(id).and_then(|d| f.regions().of(d).cloned()));
+    let region = |id: &TargetId| {
+        node.fleet(|f| f.domain_of(id).and_then(|d| f.regions().region_of(d).cloned()))
+    };
     let Some(to) = region(by) else {
         return;
     };
-    for (maker, bytes) in inputs {
-        if let Some(from) = region(&maker).filter(|from| *from != to) {
+    for (worker, bytes) in inputs {
+        if let Some(from) = region(&worker).filter(|from| *from != to) {
             node.metrics.crossed_bytes(MessageKind::Input.as_str(), &from, &to).inc_by(bytes);
         }
     }
--- a/crates/forward/src/heard.rs
+++ b/crates/forward/src/heard.rs
@@ -18,7 +18,7 @@
     node.record_load(target, head.load);
     record_notice(node, target, head.notice);
     if !head.not_run {
-        node.fleet(|f| f.note_accepted(&target.id, sent));
+        node.fleet(|f| f.record_accepted(&target.id, sent));
     }
 }
 
@@ -47,7 +47,7 @@
         let notices = f.notices();
         let is_backing_off = notices.backoff_until(id, now).is_some();
         let state = (f.limits().get(id).is_some(), notices.is_draining(id), is_backing_off);
-        f.note_attempt(id, now);
+        f.record_attempt(id, now);
         state
     });
     if is_limited {
--- a/crates/forward/src/limits/mod.rs
+++ b/crates/forward/src/limits/mod.rs
@@ -19,7 +19,7 @@
 use crate::peers::PeerBackoff;
 
 pub use ask::{Permit, handle_permit_request, request_permit};
-pub use spread::handle_news;
+pub use spread::handle_update;
 
 /// Reason of a refusal while targets are at their limits.
 pub const AT_LIMIT: &str = "its targets are at the limits that they name";
@@ -33,7 +33,7 @@
     /// Keepers that did not respond.
     unresponsive: PeerBackoff,
     retry_pacers: RefCell<HashMap<Name, RetryPacer>>,
-    pending_news: spread::PendingNews,
+    pending_updates: spread::PendingUpdates,
 }
 
 impl LocalLimits {
--- a/crates/forward/src/limits/spread.rs
+++ b/crates/forward/src/limits/spread.rs
@@ -29,7 +29,7 @@
 
 /// Targets whose limits are yet to be announced, with their failure domains.
 #[derive(Default)]
-pub(super) struct PendingNews {
+pub(super) struct PendingUpdates {
     targets: RefCell<BTreeMap<TargetId, Name>>,
     added: Notify,
 }
@@ -37,21 +37,21 @@
 /// Runs until the process ends.
 pub(super) async fn run(node: Rc<Node>) {
     loop {
-        node.limits.pending_news.added.notified().await;
+        node.limits.pending_updates.added.notified().await;
         tokio::time::sleep(BATCH_DELAY).await;
-        let limits = take_pending(&node);
+        let limits = drain_pending(&node);
         let peers = node.peers.roster(|r| r.peers());
         let known: Vec<_> =
             peers.into_iter().filter(|p| !node.limits.is_unsupported(&p.id)).collect();
-        let news = LimitUpdate { limits, spread: false };
+        let update = LimitUpdate { limits, spread: false };
         let on_result = |peer: &PeerNode, result| record_send_result(&node, peer, result);
-        peers::broadcast::<_, ()>(&node, &known, LIMITS, &news, MAX_TRANSIT, on_result).await;
+        peers::broadcast::<_, ()>(&node, &known, LIMITS, &update, MAX_TRANSIT, on_result).await;
         tokio::time::sleep(MIN_ROUND_INTERVAL).await;
     }
 }
 
-fn take_pending(node: &Node) -> Vec<TargetLimit> {
-    let targets = std::mem::take(&mut *node.limits.pending_news.targets.borrow_mut());
+fn drain_pending(node: &Node) -> Vec<TargetLimit> {
+    let targets = std::mem::take(&mut *node.limits.pending_updates.targets.borrow_mut());
     let now = node.now();
     let limit = |(target, domain): (TargetId, Name)| {
         let observation = node.limits.issuer(|i| i.observation(&target))?.to_peer(now);
@@ -71,7 +71,7 @@
 
 /// Queues an announcement of a target's limit to all peers.
 pub(super) fn announce(node: &Node, target: &TargetId, domain: &Name) {
-    let unsent = &node.limits.pending_news;
+    let unsent = &node.limits.pending_updates;
     unsent.targets.borrow_mut().insert(target.clone(), domain.clone());
     unsent.added.notify_one();
 }
@@ -87,11 +87,12 @@
             tokio::task::spawn_local(async move {
                 let limit =
                     TargetLimit { target: id, domain, limit: observation.to_peer(node.now()) };
-                let news = LimitUpdate { limits: vec![limit], spread: true };
+                let update = LimitUpdate { limits: vec![limit], spread: true };
                 let client = &node.client;
                 // If the report is lost, the next permit request carries the observation.
                 let result =
-                    peers::call_named(&node, client, peer.entry, LIMITS, &news, MAX_TRANSIT).await;
+                    peers::call_named(&node, client, peer.entry, LIMITS, &update, MAX_TRANSIT)
+                        .await;
                 record_send_result(&node, &peer, result);
             });
         }
@@ -112,13 +113,13 @@
 }
 
 /// Handles a message about limits from a peer.
-pub fn handle_news(node: &Node, news: LimitUpdate) {
+pub fn handle_update(node: &Node, update: LimitUpdate) {
     let now = node.now();
-    for TargetLimit { target, domain, limit: observation } in news.limits {
+    for TargetLimit { target, domain, limit: observation } in update.limits {
         let observation = LimitObservation::from_peer(&observation, now);
-        let from = if news.spread { "witness" } else { "peer" };
+        let from = if update.spread { "witness" } else { "peer" };
         merge_from_peer(node, &target, observation, from);
-        if news.spread {
+        if update.spread {
             merge_as_keeper(node, &target, &domain, observation);
         }
     }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -190,7 +190,7 @@
     /// Limit on requests to cold targets of a service; `None` if they are treated like others.
     pub fn cold_limit(&self, service: &str) -> Option<ColdLimit> {
         let cold = self.table.borrow().service(service)?.cold?;
-        ColdLimit::of(&cold, self.settings.borrow().cold.bounds())
+        ColdLimit::for_service(&cold, self.settings.borrow().cold.bounds())
     }
 
     /// Calls `f` with the fleet, which stays borrowed until it returns.
@@ -255,7 +255,7 @@
     /// Takes one repeat from this node's share of the service's repeat budget, if permitted.
     pub fn take_repeat(&self, service: &Name) -> bool {
         let (now, nodes) = (self.now(), self.peers.roster(|r| r.max_seen()));
-        let granted = self.budget(service, |b| b.take(now, nodes));
+        let granted = self.budget(service, |b| b.withdraw(now, nodes));
         if granted {
             self.metrics.count_repeat(service);
         } else {
--- a/crates/forward/src/paths.rs
+++ b/crates/forward/src/paths.rs
@@ -67,19 +67,19 @@
         self.fleet(|f| f.eligible_in(service, allowed, self.now()).map(region).collect())
     }
 
-    /// Region in which an order will run: `wanted`, or else the local region, if it has eligible
+    /// Region in which an order will run: `requested`, or else the local region, if it has eligible
     /// workers or none has; otherwise the nearest that has. `None` if the map has no separate
     /// regions.
     pub fn region_for(
         &self,
         service: &str,
         allowed: &Allowed,
-        wanted: Option<Name>,
+        requested: Option<Name>,
     ) -> Option<Name> {
         let map = self.peers.roster(|r| r.map());
         if !map.is_split() {
             return None;
         }
-        map.choose_region(wanted, &self.eligible_regions(&map, service, allowed))
+        map.choose_region(requested, &self.eligible_regions(&map, service, allowed))
     }
 }
--- a/crates/forward/src/peers/membership.rs
+++ b/crates/forward/src/peers/membership.rs
@@ -79,7 +79,7 @@
     node.peers.roster(|r| {
         for id in changed {
             match machine.peer(&id) {
-                Some(p) => r.put(view(p), now),
+                Some(p) => r.upsert(view(p), now),
                 None => r.remove(&id),
             }
         }
@@ -110,9 +110,9 @@
         }
         Action::NewerManifest(number, from) => request_rules(node, number, from),
         Action::Changed(rumor) => {
-            changes.note(&rumor.node.id.name, rumor.health, node.now());
+            changes.record(&rumor.node.id.name, rumor.health, node.now());
             if rumor.health == Health::Left {
-                node.peers.roster(|r| r.note_stopping(&rumor.node.id, node.now()));
+                node.peers.roster(|r| r.mark_stopping(&rumor.node.id, node.now()));
             }
         }
         Action::Load(_) => {}
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -157,7 +157,7 @@
 
 async fn limit_report(node: &Rc<Node>, request: Request<Incoming>) -> HandlerResult {
     let news = read_message(request, "not news of limits").await?;
-    limits::handle_news(node, news);
+    limits::handle_update(node, news);
     Ok(rmp_named(&()))
 }
 
--- a/crates/forward/src/quarantine/spread.rs
+++ b/crates/forward/src/quarantine/spread.rs
@@ -86,9 +86,9 @@
 fn build_report(
     node: &Node,
     suspects: Vec<SuspectReport>,
-    makers: Vec<WorkerCrash>,
+    worker_crashes: Vec<WorkerCrash>,
 ) -> QuarantineReport {
-    QuarantineReport { from: node.peers.id.clone(), suspects, worker_crashes: makers }
+    QuarantineReport { from: node.peers.id.clone(), suspects, worker_crashes }
 }
 
 /// Reports a worker's crash to all peers, since the nodes that serve its attempts are not known.
@@ -106,12 +106,12 @@
 }
 
 async fn send(node: Rc<Node>, message: Outgoing) {
-    let Outgoing { peer, news, versions } = message;
+    let Outgoing { peer, reports, versions } = message;
     let q = &node.quarantine;
     // The existing connection may have fallen silent.
     let new_client = q.peer_sends.has_failed(&peer.id).then(|| Client::new(peers::CONNECT_TIMEOUT));
     let client = new_client.as_ref().unwrap_or(&node.client);
-    let report = build_report(&node, news, Vec::new());
+    let report = build_report(&node, reports, Vec::new());
     let result = peers::call_named(&node, client, peer.entry, QUARANTINE, &report, TIMEOUT).await;
     let answered = match result {
         Ok(reply) => {
--- a/crates/forward/src/rollout/judge.rs
+++ b/crates/forward/src/rollout/judge.rs
@@ -169,7 +169,7 @@
 }
 
 fn handle_event(node: &Rc<Node>, judge: &Rc<LocalJudge>, event: JudgeEvent) {
-    let actions = judge.machine.borrow_mut().handle(node.now(), event);
+    let actions = judge.machine.borrow_mut().handle_event(node.now(), event);
     for action in actions {
         perform(node, judge, action);
     }
--- a/crates/forward/src/rollout/report.rs
+++ b/crates/forward/src/rollout/report.rs
@@ -115,7 +115,8 @@
 /// that its requests still need.
 fn open_at_other_versions(node: &Node, order: &RolloutId) -> u32 {
     node.fleet(|f| {
-        let others = f.of_service(&order.service).filter(|b| b.target.version != order.version);
+        let others =
+            f.service_targets(&order.service).filter(|b| b.target.version != order.version);
         others.map(|b| b.outstanding + node.rollouts.needed_results.count_at(&b.target.id)).sum()
     })
 }
--- a/crates/forward/src/rollout/sent.rs
+++ b/crates/forward/src/rollout/sent.rs
@@ -76,7 +76,7 @@
         }
         node.metrics.rollout_good(&order.service, version, took);
         let mut evidence = node.rollouts.evidence.borrow_mut();
-        if !evidence.note_late(&order.service, route, took, node.now()) {
+        if !evidence.record_late(&order.service, route, took, node.now()) {
             evidence.record_good(&order.service, route, *side, took);
         }
     }
@@ -94,7 +94,7 @@
         let is_bad = {
             let mut evidence = node.rollouts.evidence.borrow_mut();
             let is_late_again =
-                failed == 0 && evidence.note_late(&order.service, route, took, node.now());
+                failed == 0 && evidence.record_late(&order.service, route, took, node.now());
             !is_late_again
                 && evidence.record_partial(&order.service, route, *side, failed_share, took)
         };
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -74,7 +74,7 @@
             Some(home) => self.node.fleet(|f| f.pick_home(criteria, home, now)),
             None => self.node.fleet(|f| self.node.rng(|r| f.pick_by_wait(criteria, now, r))),
         }?;
-        self.node.fleet(|f| f.note_chosen(&chosen.id, now));
+        self.node.fleet(|f| f.record_choice(&chosen.id, now));
         Some(chosen)
     }
 
@@ -122,9 +122,10 @@
     }
 
     /// Whether all results are stored in allowed regions.
-    pub(super) fn is_result_allowed(&self, made: &RequestResults) -> bool {
+    pub(super) fn is_result_allowed(&self, results: &RequestResults) -> bool {
         let allowed = self.allowed_regions();
-        self.node.fleet(|f| made.workers().all(|worker| f.is_in_allowed_region(worker, &allowed)))
+        self.node
+            .fleet(|f| results.workers().all(|worker| f.is_in_allowed_region(worker, &allowed)))
     }
 
     /// The first service that the request needs and that has no target in the allowed regions;
@@ -171,7 +172,7 @@
     }
 
     fn home(&self) -> Option<Home> {
-        Home::of(&self.head.prompt).filter(|_| self.node.settings().policy.homes)
+        Home::for_prompt(&self.head.prompt).filter(|_| self.node.settings().policy.homes)
     }
 
     /// Region whose targets are preferred as homes: that of the inputs, or else the local one;
@@ -315,7 +316,7 @@
     fn record_cold_start(&self, target: &Target) {
         if let Some(limit) = self.node.cold_limit(&self.service) {
             let now = self.node.now();
-            self.node.fleet(|f| f.note_cold_start(&target.id, limit, now));
+            self.node.fleet(|f| f.record_cold_start(&target.id, limit, now));
         }
     }
 
@@ -395,7 +396,7 @@
     }
 
     fn log_choice(&self, target: &Target, chosen_by: &str, tokens_ahead: u64) {
-        let region = self.node.fleet(|f| f.regions().of(&target.domain).cloned());
+        let region = self.node.fleet(|f| f.regions().region_of(&target.domain).cloned());
         let allowed: Vec<Name> = self.allowed_regions().names().cloned().collect();
         let phase = self.node.fleet(|f| f.versions().phase(&self.service));
         let side = match self.current_side() {
--- a/crates/forward/src/stages/call.rs
+++ b/crates/forward/src/stages/call.rs
@@ -127,7 +127,8 @@
     targets_age_ms: u64,
     why: &str,
 ) {
-    let count = |wanted: fn(&PieceResult) -> bool| results.iter().filter(|r| wanted(r)).count();
+    let count =
+        |is_counted: fn(&PieceResult) -> bool| results.iter().filter(|r| is_counted(r)).count();
     Event::Call {
         service: &runner.pool.service,
         number: call.number,
--- a/crates/forward/src/stages/free.rs
+++ b/crates/forward/src/stages/free.rs
@@ -68,7 +68,7 @@
     match destination {
         Destination::Worker(worker, pool) => {
             free_at_worker(&node, &worker, &handles).await;
-            node.pools.note_freed(&node, &pool, handles);
+            node.pools.record_freed(&node, &pool, handles);
         }
         Destination::Coordinator(peer, pool) => {
             let message = FreeRequest { pool, handles };
--- a/crates/forward/src/stages/order.rs
+++ b/crates/forward/src/stages/order.rs
@@ -245,7 +245,7 @@
         Ok(_) => Err("it answered for other pieces".into()),
         Err(e) => {
             if e.status() == Some(STATUS_STOPPING) {
-                node.peers.roster(|r| r.note_stopping(&peer.id, node.now()));
+                node.peers.roster(|r| r.mark_stopping(&peer.id, node.now()));
             } else if e.not_sent() {
                 node.peers.roster(|r| r.mark_silent(&peer.id, node.now()));
             }
--- a/crates/forward/src/stages/runner.rs
+++ b/crates/forward/src/stages/runner.rs
@@ -91,7 +91,7 @@
     }
 
     /// Tells the pool's coordinator that results were freed at their workers.
-    pub fn note_freed(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
+    pub fn record_freed(&self, node: &Rc<Node>, pool: &PoolId, handles: Vec<Handle>) {
         let runner = self.runners.borrow().get(pool).cloned();
         if let Some(runner) = runner {
             runner.handle_event(node, Event::Freed(handles));
@@ -182,9 +182,10 @@
         let worker_event = node.fleet(|f| workers.next_event(f, &self.pool, &map, cold, now));
         drop(workers);
         let mut machine = self.machine.borrow_mut();
-        let mut actions =
-            worker_event.map(|worker_event| machine.handle(now, worker_event)).unwrap_or_default();
-        actions.extend(machine.handle(now, event));
+        let mut actions = worker_event
+            .map(|worker_event| machine.handle_event(now, worker_event))
+            .unwrap_or_default();
+        actions.extend(machine.handle_event(now, event));
         drop(machine);
         for action in actions {
             self.perform(node, action);
