--- a/crates/control/src/domain.rs
+++ b/crates/control/src/domain.rs
@@ -51,7 +51,7 @@
         number: accepted.number,
         domain: &shared.settings.domain,
         reports: &news,
-        draining_hosts: &leaving,
+        leaving_hosts: &leaving,
     };
     for order in placer.plan(shared.clock.now(), epoch, view) {
         // The lease is asked again just before each send: the node may have been paused.
--- a/crates/decide/src/place/mod.rs
+++ b/crates/decide/src/place/mod.rs
@@ -39,7 +39,7 @@
     /// Latest report of each target.
     pub reports: &'a BTreeMap<Name, TargetStatus>,
     /// Hosts marked as leaving in the host list.
-    pub draining_hosts: &'a BTreeSet<Name>,
+    pub leaving_hosts: &'a BTreeSet<Name>,
 }
 
 impl View<'_> {
@@ -47,10 +47,10 @@
         self.reports.get(target).is_some_and(|n| n.ready && n.report.models.contains(version))
     }
 
-    fn is_draining(&self, t: &model::object::Target) -> bool {
+    fn is_leaving(&self, t: &model::object::Target) -> bool {
         let drained = self.set.drains.values().any(|d| d.host == t.host);
         let announced = self.reports.get(&t.name).is_some_and(|n| n.report.leaving);
-        drained || announced || self.draining_hosts.contains(&t.host)
+        drained || announced || self.leaving_hosts.contains(&t.host)
     }
 
     fn is_ready(&self, target: &Name) -> bool {
@@ -88,7 +88,7 @@
     ) {
         let local = pool.targets.iter().filter(|t| t.domain == *view.domain);
         let remaining: Vec<&Name> = local
-            .filter(|t| !view.is_draining(t) && view.is_ready(&t.name))
+            .filter(|t| !view.is_leaving(t) && view.is_ready(&t.name))
             .map(|t| &t.name)
             .collect();
         let chosen = hash::rendezvous(model, remaining.iter().copied(), replicas);
@@ -118,14 +118,14 @@
     fn drain(&mut self, now: Time, epoch: u64, view: View, out: &mut Vec<Order>) {
         for pool in view.set.pools.values() {
             let local = pool.targets.iter().filter(|t| t.domain == *view.domain);
-            for t in local.filter(|t| view.is_draining(t)) {
+            for t in local.filter(|t| view.is_leaving(t)) {
                 let Some(state) = view.reports.get(&t.name).filter(|n| n.ready) else {
                     continue;
                 };
                 let is_elsewhere = |m: &Name| {
                     pool.targets
                         .iter()
-                        .any(|o| !view.is_draining(o) && view.serves_version(&o.name, m))
+                        .any(|o| !view.is_leaving(o) && view.serves_version(&o.name, m))
                 };
                 let replaced = state.report.models.iter().all(is_elsewhere);
                 if replaced && !state.report.leaving {
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -308,10 +308,10 @@
 }
 
 #[test]
-fn homes_are_weighted_by_producers_of_their_inputs() {
+fn homes_are_weighted_by_workers_of_their_inputs() {
     let mut fleet = fleet(18);
-    let producers = [("m1", "a"), ("m2", "a"), ("m3", "b"), ("m4", "b"), ("m5", "c")];
-    for (id, domain) in producers {
+    let workers = [("m1", "a"), ("m2", "a"), ("m3", "b"), ("m4", "b"), ("m5", "c")];
+    for (id, domain) in workers {
         fleet.upsert(Target { service: "encode".into(), ..target(id, domain) }, at(0));
     }
     let by_domain = home_weights(&fleet, "encode", "engine", &Allowed::ANY, at(0));
@@ -322,8 +322,8 @@
         let home = fleet.pick_home(criteria, home(key), at(0)).expect("18 targets are up");
         homes[["a", "b", "c"].iter().position(|d| *d == &*home.domain).expect("a domain")] += 1.0;
     }
-    for (got, producers) in homes.into_iter().zip([2.0, 2.0, 1.0]) {
-        let expected = keys as f64 * producers / 5.0;
+    for (got, workers) in homes.into_iter().zip([2.0, 2.0, 1.0]) {
+        let expected = keys as f64 * workers / 5.0;
         assert!((got - expected).abs() < expected * 0.15, "{homes:?}");
     }
     assert!(
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn own_region_is_preferred_until_others_are_faster() {
+fn the_local_region_is_preferred_until_others_are_faster() {
     let regions = [("a", "north"), ("b", "south"), ("c", "south")];
     let regions = regions.map(|(d, r)| (d.into(), r.into())).into_iter().collect();
     let map = Map::new("a".into(), Regions::new(regions));
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn a_leaving_load_reaches_all_nodes_within_a_few_periods() {
+fn a_draining_load_reaches_all_nodes_within_a_few_periods() {
     let mut network = Network::new(57, 1, 9);
     network.run(12_000);
     let load = LoadRumor { target: 77, wait: 0, seq: 1, flags: 3 };
--- a/crates/decide/tests/place.rs
+++ b/crates/decide/tests/place.rs
@@ -61,7 +61,7 @@
             number: 1,
             domain: &self.domain,
             reports: &self.reports,
-            draining_hosts: &self.leaving,
+            leaving_hosts: &self.leaving,
         };
         self.placer.plan(self.now, self.epoch, view)
     }
--- a/crates/decide/tests/rollout_judge.rs
+++ b/crates/decide/tests/rollout_judge.rs
@@ -240,13 +240,13 @@
 
 #[test]
 fn latency_spikes_of_both_versions_cause_no_rollback() {
-    const USUAL: usize = 9;
+    const TYPICAL: usize = 9;
     const LATE: usize = 16;
     let mut harness = Harness::new(Active);
     let (mut serving, mut trial) = (Answers::default(), Answers::default());
     for n in 1..=90 {
         // Once a second, all requests in flight are delayed: few answers arrive, all of them late.
-        let (bucket, count) = if n % 10 == 0 { (LATE, 12) } else { (USUAL, 50) };
+        let (bucket, count) = if n % 10 == 0 { (LATE, 12) } else { (TYPICAL, 50) };
         for (answers, count) in [(&mut serving, count), (&mut trial, 2)] {
             answers.times.resize(LATE + 1, 0);
             answers.times[bucket] += count;
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn no_policy_picks_a_leaving_unready_or_mismatched_target() {
+fn no_policy_picks_a_draining_unready_or_mismatched_target() {
     for kind in ALL {
         let mut t = table(4, |_| 0);
         t.mark_draining("t0");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn the_own_failure_domain_is_preferred_until_full() {
+fn the_local_failure_domain_is_preferred_until_full() {
     let mut t = table(6, |i| u8::from(i >= 3));
     for prefix in 0..100 {
         let name = pick(PolicyKind::Home, &t, prefix).expect("a target");
