--- a/crates/control/src/domain.rs
+++ b/crates/control/src/domain.rs
@@ -56,7 +56,7 @@
         number: applied.number,
         domain: &shared.settings.domain,
         reports: &load_reports,
-        leaving: &leaving,
+        leaving_hosts: &leaving,
     };
     for order in placer.plan(shared.clock.now(), epoch, view) {
         // Check the lease again just before each send: the process may have been paused.
--- a/crates/decide/src/place/mod.rs
+++ b/crates/decide/src/place/mod.rs
@@ -39,7 +39,7 @@
     /// Latest report of each target.
     pub reports: &'a BTreeMap<Name, TargetStatus>,
     /// Hosts marked as leaving in the host list.
-    pub leaving: &'a BTreeSet<Name>,
+    pub leaving_hosts: &'a BTreeSet<Name>,
 }
 
 impl View<'_> {
@@ -50,7 +50,7 @@
     fn is_leaving(&self, t: &model::object::Target) -> bool {
         let drained = self.set.drains.values().any(|d| d.host == t.host);
         let announced = self.reports.get(&t.name).is_some_and(|n| n.report.leaving);
-        drained || announced || self.leaving.contains(&t.host)
+        drained || announced || self.leaving_hosts.contains(&t.host)
     }
 
     fn is_ready(&self, target: &Name) -> bool {
--- a/crates/decide/tests/rollout_judge.rs
+++ b/crates/decide/tests/rollout_judge.rs
@@ -74,7 +74,7 @@
     }
 
     fn handle(&mut self, event: JudgeEvent) {
-        let actions = self.judge.handle(Time::from_millis(self.now), event);
+        let actions = self.judge.handle_event(Time::from_millis(self.now), event);
         self.actions.extend(actions.into_iter().map(|action| (self.now, action)));
     }
 
@@ -240,13 +240,13 @@
 
 #[test]
 fn latency_spikes_of_both_versions_cause_no_rollback() {
-    const USUAL: usize = 9;
+    const TYPICAL: usize = 9;
     const LATE: usize = 16;
     let mut harness = Harness::new(Active);
     let (mut serving, mut trial) = (Answers::default(), Answers::default());
     for n in 1..=90 {
         // Once a second, all requests in flight are delayed: few answers arrive, all of them late.
-        let (bucket, count) = if n % 10 == 0 { (LATE, 12) } else { (USUAL, 50) };
+        let (bucket, count) = if n % 10 == 0 { (LATE, 12) } else { (TYPICAL, 50) };
         for (answers, count) in [(&mut serving, count), (&mut trial, 2)] {
             answers.times.resize(LATE + 1, 0);
             answers.times[bucket] += count;
@@ -277,7 +277,7 @@
 
 #[test]
 fn a_new_judge_adopts_the_furthest_reported_phase() {
-    for (reported, wanted) in [
+    for (reported, expected) in [
         (vec![Phase::Share(0.1)], None),
         (vec![Phase::Share(0.1), Phase::All], Some(Phase::All)),
         (vec![Phase::All, Phase::Back], Some(Phase::Back)),
@@ -288,7 +288,7 @@
             harness.handle(report("a", *phase, 0));
         }
         let phase = Some(harness.judge.phase()).filter(|p| !matches!(p, Phase::Share(_)));
-        assert_eq!(phase, wanted, "{reported:?}");
+        assert_eq!(phase, expected, "{reported:?}");
     }
 }
 
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -88,7 +88,7 @@
 impl RetryPolicy for RetryBudgets<'_> {
     fn allow_retry(&mut self, step: usize) -> bool {
         let stage = &self.pipeline.stages[step];
-        let taken = self.core.fleet.pool(&stage.pool).is_some_and(|p| p.lock().budget.take());
+        let taken = self.core.fleet.pool(&stage.pool).is_some_and(|p| p.lock().budget.withdraw());
         self.core.metrics.record_retry(&stage.name, taken);
         taken
     }
@@ -166,7 +166,7 @@
         match event {
             AttemptEvent::TargetLeaving(attempt) => {
                 if let Some(f) = self.in_flight.get(&attempt) {
-                    f.pool.lock().table.mark_leaving(&f.target);
+                    f.pool.lock().table.mark_draining(&f.target);
                     self.core.report_refusal(f.target.clone());
                 }
             }
