--- a/crates/bench/src/cmd/in_force.rs
+++ b/crates/bench/src/cmd/in_force.rs
@@ -41,11 +41,13 @@
             };
             let begun = Instant::now();
             let written = cli::cmd::write_all(&remote, vec![declaration]).await?;
-            cli::cmd::wait(&remote, &written, MOST).await.context("a change did not arrive")?;
+            cli::cmd::wait_in_force(&remote, &written, MOST)
+                .await
+                .context("a change did not arrive")?;
             times.push(begun.elapsed().as_secs_f64());
         }
         times.sort_by(f64::total_cmp);
-        let nodes: u32 = remote.fleets().await?.iter().map(|(_, f)| f.nodes).sum();
+        let nodes: u32 = remote.fleet_statuses().await?.iter().map(|(_, f)| f.nodes).sum();
         let at = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
         println!(
             "{} changes, {nodes} nodes: median {:.3} s, p95 {:.3} s, worst {:.3} s",
--- a/crates/bench/src/experiment/fleet.rs
+++ b/crates/bench/src/experiment/fleet.rs
@@ -134,7 +134,7 @@
     pub async fn cache(&self) -> (u64, u64) {
         let mut sum = (0, 0);
         for e in &self.engines {
-            let (prompt, cached) = e.cache().await;
+            let (prompt, cached) = e.cache_tokens().await;
             sum.0 += prompt;
             sum.1 += cached;
         }
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -8,13 +8,13 @@
 use tokio::time::Instant;
 
 use crate::declare::{self, Declaration};
-use crate::remote::{Put, Remote};
+use crate::remote::{Remote, WriteResult};
 
 /// Wait between two looks at the status.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Looks after which a refusal counts as final.
-const REFUSED_LOOKS: u32 = 15;
+const MAX_REJECTED_POLLS: u32 = 15;
 
 /// Writes declarations.
 pub struct Apply {
@@ -36,7 +36,8 @@
         let written = write_all(&remote, all).await?;
         println!("{} objects written", written.len());
         if self.wait {
-            let number = wait(&remote, &written, Duration::from_secs(self.timeout)).await?;
+            let number =
+                wait_in_force(&remote, &written, Duration::from_secs(self.timeout)).await?;
             println!("manifest {number} is in force everywhere");
         }
         Ok(())
@@ -66,7 +67,7 @@
         let put = remote.write(kind, &d.name, expect, Some(&d.spec)).await;
         let put =
             put.with_context(|| format!("stopped after {} objects were written", written.len()))?;
-        if let Put::Done(version) = put {
+        if let WriteResult::Written(version) = put {
             println!("{key} version {version}");
             written.push(Written { key, version });
         }
@@ -76,14 +77,18 @@
 
 /// Waits until every written version was accepted and is in force on every node
 /// that the failure domains report; returns the manifest's number.
-pub async fn wait(remote: &Remote, written: &[Written], most: Duration) -> anyhow::Result<u64> {
-    let until = Instant::now() + most;
+pub async fn wait_in_force(
+    remote: &Remote,
+    written: &[Written],
+    timeout: Duration,
+) -> anyhow::Result<u64> {
+    let deadline = Instant::now() + timeout;
     let mut number = 0;
     for w in written {
-        number = number.max(accepted(remote, w, until).await?);
+        number = number.max(wait_accepted(remote, w, deadline).await?);
     }
     loop {
-        let fleets = remote.fleets().await.unwrap_or_default();
+        let fleets = remote.fleet_statuses().await.unwrap_or_default();
         let behind: Vec<String> = fleets
             .iter()
             .filter(|(_, f)| f.lowest < number || f.applied < f.nodes)
@@ -93,15 +98,15 @@
             return Ok(number);
         }
         anyhow::ensure!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "manifest {number} is not in force everywhere: {}",
             if fleets.is_empty() { "no failure domain reports".into() } else { behind.join("; ") }
         );
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn accepted(remote: &Remote, w: &Written, until: Instant) -> anyhow::Result<u64> {
+async fn wait_accepted(remote: &Remote, w: &Written, deadline: Instant) -> anyhow::Result<u64> {
     let mut refused = 0;
     loop {
         let status = remote.status(&w.key).await.ok().flatten();
@@ -112,7 +117,7 @@
             // What it needs may be on its way in the same apply.
             refused += 1;
             anyhow::ensure!(
-                refused < REFUSED_LOOKS,
+                refused < MAX_REJECTED_POLLS,
                 "{} version {} was not accepted: {}",
                 w.key,
                 w.version,
@@ -120,11 +125,11 @@
             );
         }
         anyhow::ensure!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "{} version {} has no status yet",
             w.key,
             w.version
         );
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::args::{Args, Report};
 
-pub use apply::{Apply, Written, wait, write_all};
+pub use apply::{Apply, Written, wait_in_force, write_all};
 pub use burn::Burn;
 
 /// Runs a subcommand.
--- a/crates/cli/src/cmd/watch.rs
+++ b/crates/cli/src/cmd/watch.rs
@@ -9,7 +9,7 @@
 use crate::Remote;
 
 /// How long one watch waits.
-const WATCH: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Prints statuses.
 pub struct Watch {
@@ -23,14 +23,15 @@
     /// Prints one line a change.
     pub async fn run(self) -> anyhow::Result<()> {
         let remote = Remote::new(&self.store)?;
-        let until = self.seconds.map(|s| Instant::now() + Duration::from_secs(s));
+        let deadline = self.seconds.map(|s| Instant::now() + Duration::from_secs(s));
         let mut revision = 0;
         loop {
-            let left = until.map_or(WATCH, |u| u.saturating_duration_since(Instant::now()));
-            if left.is_zero() {
+            let remaining =
+                deadline.map_or(WATCH_TIMEOUT, |d| d.saturating_duration_since(Instant::now()));
+            if remaining.is_zero() {
                 return Ok(());
             }
-            match remote.store().watch(kind::STATUS, revision, left.min(WATCH)).await {
+            match remote.store().watch(kind::STATUS, revision, remaining.min(WATCH_TIMEOUT)).await {
                 Ok(listing) => {
                     revision = listing.revision;
                     for o in listing.objects {
--- a/crates/cli/src/declare.rs
+++ b/crates/cli/src/declare.rs
@@ -30,7 +30,7 @@
 }
 
 #[derive(Deserialize)]
-struct Head {
+struct DocumentHeader {
     kind: String,
 }
 
@@ -46,7 +46,7 @@
 /// Reads a file, or every `.yaml` file under a folder, and checks it all together.
 pub fn load(path: &Path) -> anyhow::Result<Vec<Declaration>> {
     let mut files = Vec::new();
-    find(path, &mut files).with_context(|| format!("could not read {}", path.display()))?;
+    find_files(path, &mut files).with_context(|| format!("could not read {}", path.display()))?;
     anyhow::ensure!(!files.is_empty(), "{}: no .yaml file found", path.display());
     files.sort();
     let mut all = Vec::new();
@@ -59,7 +59,7 @@
     Ok(all)
 }
 
-fn find(path: &Path, files: &mut Vec<PathBuf>) -> std::io::Result<()> {
+fn find_files(path: &Path, files: &mut Vec<PathBuf>) -> std::io::Result<()> {
     if !path.is_dir() {
         files.push(path.into());
         return Ok(());
@@ -67,7 +67,7 @@
     for entry in std::fs::read_dir(path)? {
         let path = entry?.path();
         if path.is_dir() {
-            find(&path, files)?;
+            find_files(&path, files)?;
         } else if path.extension().is_some_and(|e| e == "yaml" || e == "yml") {
             files.push(path);
         }
@@ -78,44 +78,48 @@
 /// Parses the documents of one file.
 pub fn parse(path: &Path, text: &str) -> anyhow::Result<Vec<Declaration>> {
     let mut out = Vec::new();
-    for (skipped, part) in documents(text) {
+    for (lines_before, part) in split_documents(text) {
         let empty = part.lines().all(|l| l.trim().is_empty() || l.trim_start().starts_with('#'));
         if empty {
             continue;
         }
-        let head: Head =
-            serde_saphyr::from_str(&part).map_err(|e| syntax_error(path, skipped, &e))?;
+        let head: DocumentHeader =
+            serde_saphyr::from_str(&part).map_err(|e| syntax_error(path, lines_before, &e))?;
         let (name, spec) = match head.kind.as_str() {
-            "Pipeline" => read(path, skipped, &part, Spec::Pipeline as fn(Pipeline) -> Spec)?,
-            "Workspace" => read(path, skipped, &part, Spec::Workspace as fn(Workspace) -> Spec)?,
-            "Pool" => read(path, skipped, &part, Spec::Pool as fn(Pool) -> Spec)?,
-            "Model" => read(path, skipped, &part, Spec::Model as fn(Model) -> Spec)?,
-            "Drain" => read(path, skipped, &part, Spec::Drain as fn(Drain) -> Spec)?,
+            "Pipeline" => {
+                parse_document(path, lines_before, &part, Spec::Pipeline as fn(Pipeline) -> Spec)?
+            }
+            "Workspace" => {
+                parse_document(path, lines_before, &part, Spec::Workspace as fn(Workspace) -> Spec)?
+            }
+            "Pool" => parse_document(path, lines_before, &part, Spec::Pool as fn(Pool) -> Spec)?,
+            "Model" => parse_document(path, lines_before, &part, Spec::Model as fn(Model) -> Spec)?,
+            "Drain" => parse_document(path, lines_before, &part, Spec::Drain as fn(Drain) -> Spec)?,
             other => anyhow::bail!(
                 "{}:{}: kind {other:?} is not one of {}",
                 path.display(),
-                skipped + 1,
+                lines_before + 1,
                 KINDS.join(", ")
             ),
         };
-        out.push(Declaration { path: path.into(), line: skipped + 1, name, spec });
+        out.push(Declaration { path: path.into(), line: lines_before + 1, name, spec });
     }
     Ok(out)
 }
 
-fn read<S: DeserializeOwned>(
+fn parse_document<S: DeserializeOwned>(
     path: &Path,
-    skipped: u64,
+    lines_before: u64,
     part: &str,
-    make: fn(S) -> Spec,
+    to_spec: fn(S) -> Spec,
 ) -> anyhow::Result<(Name, Spec)> {
     let document: Document<S> =
-        serde_saphyr::from_str(part).map_err(|e| syntax_error(path, skipped, &e))?;
-    Ok((document.name, make(document.spec)))
+        serde_saphyr::from_str(part).map_err(|e| syntax_error(path, lines_before, &e))?;
+    Ok((document.name, to_spec(document.spec)))
 }
 
 /// Documents of a text with the count of lines before each.
-fn documents(text: &str) -> Vec<(u64, String)> {
+fn split_documents(text: &str) -> Vec<(u64, String)> {
     let mut out = vec![(0, String::new())];
     for (i, line) in text.lines().enumerate() {
         if line.trim_end() == "---" {
@@ -149,10 +153,10 @@
     if faults.is_empty() {
         return Ok(());
     }
-    let place = |f: &object::Fault| {
+    let with_location = |f: &object::Fault| {
         let at = seen.get(&*f.object).map(|d| format!("{}:{}: ", d.path.display(), d.line));
         format!("{}{f}", at.unwrap_or_default())
     };
-    let lines: Vec<String> = faults.iter().map(place).collect();
+    let lines: Vec<String> = faults.iter().map(with_location).collect();
     anyhow::bail!("{}", lines.join("\n"))
 }
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -9,17 +9,17 @@
 use util::http::Client;
 
 /// Tries to read back a write whose answer was lost.
-const READ_BACK: u32 = 10;
+const MAX_READ_BACKS: u32 = 10;
 /// Wait between them.
-const PAUSE: Duration = Duration::from_millis(300);
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What became of one write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Put {
+pub enum WriteResult {
     /// Nothing to change.
-    Same,
+    Unchanged,
     /// Written at this version.
-    Done(u64),
+    Written(u64),
 }
 
 /// The Object API as operators use it.
@@ -58,20 +58,29 @@
         name: &str,
         expect: u64,
         spec: Option<&Spec>,
-    ) -> anyhow::Result<Put> {
+    ) -> anyhow::Result<WriteResult> {
         let nonce = rand::random::<u64>();
         let envelope =
             spec.map(|s| Envelope { spec: s.to_value(), author: self.author.clone(), nonce });
         let value = envelope.as_ref().map(|e| serde_json::to_value(e).expect("envelopes encode"));
         match self.store.put(kind, name, expect, value).await {
-            Ok(version) => Ok(Put::Done(version)),
-            Err(e) if e.kind == ErrorKind::Conflict => self.conflict(kind, name, expect).await,
-            Err(e) if e.may_be_applied() => self.settle(kind, name, expect, nonce, e).await,
+            Ok(version) => Ok(WriteResult::Written(version)),
+            Err(e) if e.kind == ErrorKind::Conflict => {
+                self.conflict_error(kind, name, expect).await
+            }
+            Err(e) if e.may_be_applied() => {
+                self.resolve_lost_write(kind, name, expect, nonce, e).await
+            }
             Err(e) => Err(e).with_context(|| format!("could not write {kind}/{name}")),
         }
     }
 
-    async fn conflict(&self, kind: &str, name: &str, expect: u64) -> anyhow::Result<Put> {
+    async fn conflict_error(
+        &self,
+        kind: &str,
+        name: &str,
+        expect: u64,
+    ) -> anyhow::Result<WriteResult> {
         let (version, envelope) = self.read(kind, name).await?;
         let what = match envelope {
             Some(e) => format!("{} changed it to {}", e.author, e.spec),
@@ -81,22 +90,22 @@
     }
 
     /// Reads back a write whose answer was lost.
-    async fn settle(
+    async fn resolve_lost_write(
         &self,
         kind: &str,
         name: &str,
         expect: u64,
         nonce: u64,
         lost: store::StoreError,
-    ) -> anyhow::Result<Put> {
-        for _ in 0..READ_BACK {
-            tokio::time::sleep(PAUSE).await;
+    ) -> anyhow::Result<WriteResult> {
+        for _ in 0..MAX_READ_BACKS {
+            tokio::time::sleep(READ_BACK_INTERVAL).await;
             let Ok((version, envelope)) = self.read(kind, name).await else {
                 continue;
             };
             match envelope {
-                Some(e) if e.nonce == nonce => return Ok(Put::Done(version)),
-                _ if version != expect => return self.conflict(kind, name, expect).await,
+                Some(e) if e.nonce == nonce => return Ok(WriteResult::Written(version)),
+                _ if version != expect => return self.conflict_error(kind, name, expect).await,
                 _ => {}
             }
         }
@@ -112,7 +121,7 @@
     }
 
     /// How far the manifest has spread, by failure domain.
-    pub async fn fleets(&self) -> anyhow::Result<Vec<(String, model::status::Fleet)>> {
+    pub async fn fleet_statuses(&self) -> anyhow::Result<Vec<(String, model::status::Fleet)>> {
         let listing = self.store.list(kind::STATUS).await.context("could not list statuses")?;
         let mut out = Vec::new();
         for o in listing.objects {
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -9,14 +9,14 @@
 use serde_json::{Map, Value};
 
 /// Bytes of a file between two reports of progress.
-const PROGRESS_EVERY: u64 = 64 << 20;
+const PROGRESS_INTERVAL_BYTES: u64 = 64 << 20;
 /// Fields that every line has, shown apart from the others.
-const COMMON: [&str; 4] = ["at_ms", "node", "event", "id"];
+const COMMON_FIELDS: [&str; 4] = ["at_ms", "node", "event", "id"];
 
 /// Event that tells of a failure domain whose targets get nothing new, or may again.
 const EVACUATION: &str = "evacuation";
 /// Beginning of the events that tell of a service's move to another version.
-const ROLLOUT: &str = "rollout";
+const ROLLOUT_PREFIX: &str = "rollout";
 
 /// One log line.
 #[derive(Debug, Clone, PartialEq)]
@@ -44,31 +44,31 @@
 
 impl Line {
     /// Reads a line; `None` if it is no event, an error if it looks like one and is not.
-    pub fn read(text: &str) -> Option<Result<Line, serde_json::Error>> {
+    pub fn parse(text: &str) -> Option<Result<Line, serde_json::Error>> {
         let start = text.find('{')?;
         let fields = match serde_json::from_str::<Map<String, Value>>(&text[start..]) {
             Ok(fields) => fields,
             Err(e) => return Some(Err(e)),
         };
-        let word = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_string);
-        let (node, event) = (word("node")?, word("event")?);
+        let string = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_string);
+        let (node, event) = (string("node")?, string("event")?);
         let at_ms = fields.get("at_ms").and_then(Value::as_u64)?;
         let time = text[..start].split_whitespace().find(|w| w.contains('T'));
         let time = time.unwrap_or_default().to_string();
         Some(Ok(Line { time, node, at_ms, event, fields }))
     }
 
-    fn word(&self, name: &str) -> &str {
+    fn text_field(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 
-    fn number(&self, name: &str) -> u64 {
+    fn number_field(&self, name: &str) -> u64 {
         self.fields.get(name).and_then(Value::as_u64).unwrap_or_default()
     }
 
     /// The fields that are this event's own, as `name=value`.
     pub fn details(&self) -> String {
-        let own = self.fields.iter().filter(|(name, _)| !COMMON.contains(&name.as_str()));
+        let own = self.fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
         let text = own.map(|(name, value)| match value {
             Value::String(s) if s.is_empty() => format!("{name}=-"),
             Value::String(s) => format!("{name}={s}"),
@@ -83,35 +83,35 @@
     /// it was sent to while it was open.
     pub fn read(id: &str, files: &[impl AsRef<Path>]) -> anyhow::Result<Trace> {
         let mut trace = Trace::default();
-        let mut beliefs = Vec::new();
+        let mut related = Vec::new();
         for file in files {
-            trace.read_file(id, file.as_ref(), &mut beliefs)?;
+            trace.read_file(id, file.as_ref(), &mut related)?;
         }
         let targets: BTreeSet<String> =
-            trace.lines.iter().map(|l| l.word("target").to_string()).collect();
-        let (first, last) = trace.span();
-        let concerns = |l: &Line| {
-            let target = l.word("target");
+            trace.lines.iter().map(|l| l.text_field("target").to_string()).collect();
+        let (first, last) = trace.time_range();
+        let is_related = |l: &Line| {
+            let target = l.text_field("target");
             let is_known = !target.is_empty() && targets.contains(target);
             let is_open = l.time >= first && l.time <= last;
-            is_open && (is_known || l.event == EVACUATION || l.event.starts_with(ROLLOUT))
+            is_open && (is_known || l.event == EVACUATION || l.event.starts_with(ROLLOUT_PREFIX))
         };
-        trace.lines.extend(beliefs.into_iter().filter(concerns));
+        trace.lines.extend(related.into_iter().filter(is_related));
         trace.lines.sort_by(|a, b| (&a.time, a.at_ms).cmp(&(&b.time, b.at_ms)));
         Ok(trace)
     }
 
-    fn span(&self) -> (String, String) {
+    fn time_range(&self) -> (String, String) {
         let times = || self.lines.iter().map(|l| l.time.clone());
         (times().min().unwrap_or_default(), times().max().unwrap_or_default())
     }
 
-    fn read_file(&mut self, id: &str, file: &Path, beliefs: &mut Vec<Line>) -> anyhow::Result<()> {
-        let open =
+    fn read_file(&mut self, id: &str, file: &Path, related: &mut Vec<Line>) -> anyhow::Result<()> {
+        let opened =
             File::open(file).with_context(|| format!("could not open {}", file.display()))?;
-        let size = open.metadata().map(|m| m.len()).unwrap_or_default();
+        let size = opened.metadata().map(|m| m.len()).unwrap_or_default();
         let mut progress = Progress::new(file, size);
-        let mut reader = BufReader::new(open);
+        let mut reader = BufReader::new(opened);
         let mut bytes = Vec::new();
         loop {
             bytes.clear();
@@ -123,15 +123,15 @@
             }
             progress.add(n as u64);
             let text = String::from_utf8_lossy(&bytes);
-            match Line::read(text.trim_end()) {
+            match Line::parse(text.trim_end()) {
                 None => {}
                 Some(Err(_)) => self.malformed += 1,
-                Some(Ok(line)) if line.word("id") == id => self.lines.push(line),
+                Some(Ok(line)) if line.text_field("id") == id => self.lines.push(line),
                 Some(Ok(line))
                     if matches!(line.event.as_str(), "ejected" | "target" | EVACUATION)
-                        || line.event.starts_with(ROLLOUT) =>
+                        || line.event.starts_with(ROLLOUT_PREFIX) =>
                 {
-                    beliefs.push(line);
+                    related.push(line);
                 }
                 Some(Ok(_)) => {}
             }
@@ -140,13 +140,13 @@
 
     /// The region of the last target that was chosen, and the regions that were allowed if the
     /// rules named any; nothing if no region is known.
-    fn place(&self) -> String {
+    fn region_summary(&self) -> String {
         let Some(chosen) = self.lines.iter().rev().find(|l| l.event == "chosen") else {
             return String::new();
         };
         let names = chosen.fields.get("allowed").and_then(Value::as_array);
         let allowed: Vec<&str> = names.into_iter().flatten().filter_map(Value::as_str).collect();
-        match (chosen.word("region"), allowed.as_slice()) {
+        match (chosen.text_field("region"), allowed.as_slice()) {
             ("", _) => String::new(),
             (region, []) => format!("; sent to region {region}, any was allowed"),
             (region, allowed) => {
@@ -160,45 +160,52 @@
         let Some(end) = self.lines.iter().rev().find(|l| l.event == "request") else {
             return "no final answer in these files: the node ended, or its log is missing".into();
         };
-        let (took, stages) = (end.number("took_ms"), end.number("stages_ms"));
-        let first = end.number("first_ms");
-        let why = end.word("why");
-        let slowest =
-            self.lines.iter().filter(|l| l.event == "stage").max_by_key(|l| l.number("took_ms"));
+        let (took, stages) = (end.number_field("took_ms"), end.number_field("stages_ms"));
+        let first = end.number_field("first_ms");
+        let why = end.text_field("why");
+        let slowest = self
+            .lines
+            .iter()
+            .filter(|l| l.event == "stage")
+            .max_by_key(|l| l.number_field("took_ms"));
         let stage = slowest.map_or(String::new(), |l| {
             format!(
                 "; its slowest stage was {} at {} with {} ms",
-                l.number("stage"),
-                l.word("service"),
-                l.number("took_ms")
+                l.number_field("stage"),
+                l.text_field("service"),
+                l.number_field("took_ms")
             )
         });
-        let (place, version) = (self.place(), self.version());
+        let (place, version) = (self.region_summary(), self.version_summary());
         let times = format!(
             "{took} ms in all, {stages} ms in stages, first event after {first} ms{stage}{place}{version}"
         );
-        match end.word("outcome") {
-            "answered" | "streamed" => format!("answered with {}: {times}", end.number("status")),
-            "refused" => format!("refused with {} before it ran: {why}", end.number("status")),
+        match end.text_field("outcome") {
+            "answered" | "streamed" => {
+                format!("answered with {}: {times}", end.number_field("status"))
+            }
+            "refused" => {
+                format!("refused with {} before it ran: {why}", end.number_field("status"))
+            }
             "not_run" => format!("given up before it ran: {why}; {times}"),
             "caller_left" => format!("its caller left: {times}"),
             "broken_off" => format!("broken off after part of its answer: {why}; {times}"),
             "failed" => {
-                format!("its target answered with {}: {why}; {times}", end.number("status"))
+                format!("its target answered with {}: {why}; {times}", end.number_field("status"))
             }
             _ => format!("may have run, and brought no answer: {why}; {times}"),
         }
     }
 
     /// Which version the request was last sent to and why, if its target tells one.
-    fn version(&self) -> String {
+    fn version_summary(&self) -> String {
         let chosen = self.lines.iter().rev().find(|l| l.event == "chosen");
-        let Some(chosen) = chosen.filter(|l| !l.word("version").is_empty()) else {
+        let Some(chosen) = chosen.filter(|l| !l.text_field("version").is_empty()) else {
             return String::new();
         };
         let percent =
             chosen.fields.get("share").and_then(Value::as_f64).unwrap_or_default() * 100.0;
-        let why = match chosen.word("side") {
+        let why = match chosen.text_field("side") {
             "trial" => format!(", on trial with {percent:.1} % of the requests"),
             "serving" => format!(", while another one is on trial with {percent:.1} % of them"),
             "left_trial" => {
@@ -206,7 +213,7 @@
             }
             _ => String::new(),
         };
-        format!("; at version {}{why}", chosen.word("version"))
+        format!("; at version {}{why}", chosen.text_field("version"))
     }
 }
 
@@ -215,19 +222,19 @@
     file: &'a Path,
     size: u64,
     read: u64,
-    told: u64,
-    shown: bool,
+    reported: u64,
+    enabled: bool,
 }
 
 impl<'a> Progress<'a> {
     fn new(file: &'a Path, size: u64) -> Self {
-        Progress { file, size, read: 0, told: 0, shown: std::io::stderr().is_terminal() }
+        Progress { file, size, read: 0, reported: 0, enabled: std::io::stderr().is_terminal() }
     }
 
     fn add(&mut self, bytes: u64) {
         self.read += bytes;
-        if self.shown && self.read - self.told >= PROGRESS_EVERY {
-            self.told = self.read;
+        if self.enabled && self.read - self.reported >= PROGRESS_INTERVAL_BYTES {
+            self.reported = self.read;
             let percent = self.read * 100 / self.size.max(1);
             eprintln!("{}: {percent} %", self.file.display());
         }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -9,11 +9,11 @@
     Command::new(env!("CARGO_BIN_EXE_pumicevale")).args(args).output().expect("it ran")
 }
 
-fn text(out: &Output) -> String {
+fn output_text(out: &Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr))
 }
 
-fn file(name: &str, content: &str) -> PathBuf {
+fn write_file(name: &str, content: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("pumicevale-cli-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("d.yaml");
@@ -23,10 +23,10 @@
 
 #[test]
 fn a_bad_file_exits_2_and_names_the_place() {
-    let file = file("bad", "kind: Workspace\nname: w\nspec:\n  deadlin: 5\n");
+    let file = write_file("bad", "kind: Workspace\nname: w\nspec:\n  deadlin: 5\n");
     let out = run(&["validate", "-f", file.to_str().expect("a path")]);
-    assert_eq!(out.status.code(), Some(2), "{}", text(&out));
-    assert!(text(&out).contains("d.yaml:4:3"), "{}", text(&out));
+    assert_eq!(out.status.code(), Some(2), "{}", output_text(&out));
+    assert!(output_text(&out).contains("d.yaml:4:3"), "{}", output_text(&out));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -34,7 +34,7 @@
     let (_stopper, stop) = util::stop::channel();
     let (at, api, _) = standin::run::start_api("127.0.0.1:0", stop).await.expect("started");
     let store = at.to_string();
-    let f = file("good", "kind: Workspace\nname: w\nspec: {deadline: 100}\n");
+    let f = write_file("good", "kind: Workspace\nname: w\nspec: {deadline: 100}\n");
     let f = f.to_str().expect("a path").to_string();
     let call = move |args: Vec<String>| async move {
         tokio::task::spawn_blocking(move || {
@@ -48,22 +48,34 @@
         list.iter().map(|a| (*a).to_string()).chain(["--store".into(), store.clone()]).collect()
     };
     let out = call(args(&["diff", "-f", &f])).await;
-    assert!(text(&out).contains("+ Workspace/w"), "{}", text(&out));
+    assert!(output_text(&out).contains("+ Workspace/w"), "{}", output_text(&out));
     api.set_faults(ApiFaults { lose: 1, ..ApiFaults::default() });
     let out = call(args(&["apply", "-f", &f])).await;
-    assert!(out.status.success() && text(&out).contains("1 objects written"), "{}", text(&out));
+    assert!(
+        out.status.success() && output_text(&out).contains("1 objects written"),
+        "{}",
+        output_text(&out)
+    );
     let out = call(args(&["apply", "-f", &f])).await;
-    assert!(text(&out).contains("0 objects written"), "{}", text(&out));
+    assert!(output_text(&out).contains("0 objects written"), "{}", output_text(&out));
     let out = call(args(&["get", "workspace", "w"])).await;
-    assert!(text(&out).contains("deadline: 100"), "{}", text(&out));
+    assert!(output_text(&out).contains("deadline: 100"), "{}", output_text(&out));
     let out = call(args(&["get", "gadget"])).await;
-    assert!(!out.status.success() && text(&out).contains("is not one of"), "{}", text(&out));
+    assert!(
+        !out.status.success() && output_text(&out).contains("is not one of"),
+        "{}",
+        output_text(&out)
+    );
     let out = call(args(&["drain", "h1", "--reason", "taken back"])).await;
-    assert!(out.status.success(), "{}", text(&out));
+    assert!(out.status.success(), "{}", output_text(&out));
     let out = call(args(&["drain", "h1", "--undo"])).await;
-    assert!(text(&out).contains("deleted"), "{}", text(&out));
+    assert!(output_text(&out).contains("deleted"), "{}", output_text(&out));
     let out = call(args(&["drain", "h1", "--undo"])).await;
-    assert!(!out.status.success() && text(&out).contains("not being drained"), "{}", text(&out));
+    assert!(
+        !out.status.success() && output_text(&out).contains("not being drained"),
+        "{}",
+        output_text(&out)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/cli/tests/declare.rs
+++ b/crates/cli/tests/declare.rs
@@ -5,7 +5,7 @@
 
 use cli::declare::{check, load, parse};
 
-fn fault(text: &str) -> String {
+fn load_error(text: &str) -> String {
     let result = parse(Path::new("x.yaml"), text).and_then(|all| check(&all));
     format!("{:#}", result.expect_err("refused"))
 }
@@ -59,7 +59,7 @@
         ),
     ];
     for (name, text, says) in cases {
-        let got = fault(text);
+        let got = load_error(text);
         assert!(got.contains(says), "{name}: {got}");
     }
 }
@@ -68,11 +68,11 @@
 fn an_engine_stage_needs_a_model_of_its_pool() {
     let pool = "kind: Pool\nname: e\nspec: {role: engine, cost: 1, targets: [{name: t, address: \"1.2.3.4:5\", domain: d, host: h}]}\n---\n";
     let stage = |s: &str| format!("{pool}kind: Pipeline\nname: p\nspec: {{stages: [{s}]}}\n");
-    assert!(fault(&stage("{name: s, pool: e}")).contains("a stage on engines needs a model"));
-    assert!(fault(&stage("{name: s, pool: e, model: m}")).contains("no Model is named"));
+    assert!(load_error(&stage("{name: s, pool: e}")).contains("a stage on engines needs a model"));
+    assert!(load_error(&stage("{name: s, pool: e, model: m}")).contains("no Model is named"));
     let model =
         format!("{pool}kind: Model\nname: m\nspec: {{pool: e, version: v1, replicas: 2}}\n");
-    assert!(fault(&model).contains("at most 1, the pool's count of targets"));
+    assert!(load_error(&model).contains("at most 1, the pool's count of targets"));
 }
 
 #[test]
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn log(name: &str, lines: &[&str]) -> PathBuf {
+fn write_log(name: &str, lines: &[&str]) -> PathBuf {
     let file = std::env::temp_dir().join(format!("pumicevale-{}-{name}.log", std::process::id()));
     std::fs::write(&file, lines.join("\n")).expect("the temporary folder is writable");
     file
@@ -14,7 +14,7 @@
     command.arg("explain").arg(id).args(files).output().expect("the program was built")
 }
 
-const ONE: &[&str] = &[
+const NODE_LOG: &[&str] = &[
     r#"2026-12-02T10:00:00.100 INFO  {"at_ms":90,"node":"a","event":"target","target":"i-1","service":"s","state":"ready"}"#,
     r#"2026-12-02T10:00:01.000 INFO  {"at_ms":990,"node":"a","event":"stage","id":"r1","stage":0,"service":"encode","pieces":2,"made":true,"took_ms":700}"#,
     r#"2026-12-02T10:00:01.001 INFO  {"at_ms":991,"node":"a","event":"chosen","id":"r1","target":"i-1","by":"home","left_ms":400,"targets_age_ms":1200}"#,
@@ -32,7 +32,7 @@
         r#"2026-12-02T10:00:00.901 INFO  {"at_ms":6,"node":"b","event":"#,
         "a line that is no event",
     ];
-    let out = explain("r1", &[log("one", ONE), log("two", &other)]);
+    let out = explain("r1", &[write_log("one", NODE_LOG), write_log("two", &other)]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert!(out.status.success());
     let events: Vec<&str> = text.lines().filter_map(|l| l.split_whitespace().nth(2)).collect();
@@ -62,7 +62,7 @@
         let line = format!(
             r#"2026-12-02T10:00:01.302 INFO  {{"at_ms":1,"node":"a","event":"request","id":"r","status":200,"outcome":"{outcome}","why":"W","target":"","stages_ms":1,"first_ms":1,"took_ms":1}}"#
         );
-        let out = explain("r", &[log(outcome, &[&line])]);
+        let out = explain("r", &[write_log(outcome, &[&line])]);
         let text = String::from_utf8_lossy(&out.stdout);
         assert!(text.contains(words), "{outcome}: {text}");
     }
@@ -84,7 +84,7 @@
             r#"2026-12-02T10:00:01.301 INFO  {{"at_ms":1,"node":"a","event":"chosen","id":"r","target":"i-1"{fields}}}"#
         );
         let end = r#"2026-12-02T10:00:01.302 INFO  {"at_ms":2,"node":"a","event":"request","id":"r","status":200,"outcome":"answered","why":"","target":"i-1","stages_ms":1,"first_ms":1,"took_ms":1}"#;
-        let out = explain("r", &[log(&format!("region-{n}"), &[&chosen, end])]);
+        let out = explain("r", &[write_log(&format!("region-{n}"), &[&chosen, end])]);
         let text = String::from_utf8_lossy(&out.stdout);
         assert!(text.contains(words), "{fields}: {text}");
     }
@@ -107,7 +107,7 @@
         );
         let phase = r#"2026-12-02T10:00:01.200 INFO  {"at_ms":2,"node":"b","event":"rollout_phase","service":"s","version":"v2","phase":"share","share":0.5,"why":"judge","age_ms":900}"#;
         let end = r#"2026-12-02T10:00:01.302 INFO  {"at_ms":3,"node":"a","event":"request","id":"r","status":200,"outcome":"answered","why":"","target":"i-1","stages_ms":1,"first_ms":1,"took_ms":1}"#;
-        let out = explain("r", &[log(&format!("version-{n}"), &[&chosen, phase, end])]);
+        let out = explain("r", &[write_log(&format!("version-{n}"), &[&chosen, phase, end])]);
         let text = String::from_utf8_lossy(&out.stdout);
         assert!(text.contains(words), "{side}: {text}");
         assert!(text.contains("rollout_phase"), "what changed meanwhile: {text}");
@@ -116,7 +116,7 @@
 
 #[test]
 fn an_id_that_is_nowhere_and_a_file_that_is_missing_are_errors() {
-    let out = explain("r9", &[log("none", ONE)]);
+    let out = explain("r9", &[write_log("none", NODE_LOG)]);
     assert!(!out.status.success());
     assert!(String::from_utf8_lossy(&out.stderr).contains("no line of request \"r9\""));
     let out = explain("r1", &[PathBuf::from("missing.log")]);
--- a/crates/dev/src/stack.rs
+++ b/crates/dev/src/stack.rs
@@ -20,12 +20,12 @@
 use util::stop::{self, Stop, Stopper};
 
 /// Any free port.
-const ANY: &str = "127.0.0.1:0";
+const LOOPBACK_ANY_PORT: &str = "127.0.0.1:0";
 /// Looks for readiness, and the wait between them.
-const LOOKS: u32 = 600;
-const LOOK: Duration = Duration::from_millis(50);
+const MAX_READY_POLLS: u32 = 600;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait until the configuration is in force.
-const IN_FORCE: Duration = Duration::from_secs(30);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What to start.
 #[derive(Debug, Clone)]
@@ -39,9 +39,9 @@
     /// Model versions that engines hold.
     pub models: Vec<Name>,
     /// Milliseconds of one call of the other targets.
-    pub service: f64,
+    pub service_ms: f64,
     /// Milliseconds that the balancer needs to see that a node is not ready.
-    pub balancer_lag: u64,
+    pub balancer_lag_ms: u64,
 }
 
 impl Options {
@@ -52,8 +52,8 @@
             domains: domains.iter().map(|d| Name::from(*d)).collect(),
             engine: EngineSpec { step: 5.0, ..EngineSpec::default() },
             models: Vec::new(),
-            service: 4.0,
-            balancer_lag: 0,
+            service_ms: 4.0,
+            balancer_lag_ms: 0,
         }
     }
 
@@ -90,7 +90,7 @@
     /// Starts all parts on free loopback ports.
     pub async fn start(options: Options) -> anyhow::Result<Stack> {
         let (stopper, stop) = stop::channel();
-        let (store, api, task) = standin::run::start_api(ANY, stop.clone()).await?;
+        let (store, api, task) = standin::run::start_api(LOOPBACK_ANY_PORT, stop.clone()).await?;
         let mut stack = Stack {
             store,
             api,
@@ -124,10 +124,10 @@
         for t in &mut pool.targets {
             let spec = TargetSpec {
                 name: t.name.clone(),
-                address: ANY.into(),
+                address: LOOPBACK_ANY_PORT.into(),
                 role: pool.role,
                 width: 8,
-                service: options.service,
+                service: options.service_ms,
                 engine: options.engine,
                 models: if pool.role == Role::Engine { options.models.clone() } else { Vec::new() },
                 fenced: pool.fenced,
@@ -151,14 +151,14 @@
             store_rate: 100.0,
             width: 256,
             depth: 512,
-            balancer_lag: options.balancer_lag,
+            balancer_lag: options.balancer_lag_ms,
             ..entry::Settings::local(name.clone(), domain.clone())
         };
         let bound = entry::Bound::new(settings).await?;
         let settings = control::Settings {
             name,
             domain: domain.clone(),
-            address: ANY.parse().context("a loopback address")?,
+            address: LOOPBACK_ANY_PORT.parse().context("a loopback address")?,
             entry: bound.peers(),
             seeds: Vec::new(),
             links: self.controls.iter().map(|c| c.address).collect(),
@@ -179,20 +179,23 @@
     pub async fn apply(&self) -> anyhow::Result<u64> {
         let remote = Remote::new(&self.store.to_string())?;
         let written = cli::cmd::write_all(&remote, self.declarations.clone()).await?;
-        let number = cli::cmd::wait(&remote, &written, IN_FORCE).await?;
-        self.ready().await?;
+        let number = cli::cmd::wait_in_force(&remote, &written, IN_FORCE_TIMEOUT).await?;
+        self.wait_ready().await?;
         Ok(number)
     }
 
-    async fn ready(&self) -> anyhow::Result<()> {
+    async fn wait_ready(&self) -> anyhow::Result<()> {
         let client = Client::new(Duration::from_secs(1));
         for address in self.callers() {
             let address = address.to_string();
-            let mut looks = 0;
+            let mut polls = 0;
             while client.text(&address, "/readyz", Duration::from_secs(1)).await.is_err() {
-                looks += 1;
-                anyhow::ensure!(looks < LOOKS, "entry node {address} did not become ready");
-                tokio::time::sleep(LOOK).await;
+                polls += 1;
+                anyhow::ensure!(
+                    polls < MAX_READY_POLLS,
+                    "entry node {address} did not become ready"
+                );
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         }
         Ok(())
--- a/crates/dev/tests/bad_input.rs
+++ b/crates/dev/tests/bad_input.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{Ask, client, key, stack};
+use common::{TestRequest, client, new_key, stack};
 use http_body_util::{BodyExt, Full};
 use hyper::{Method, Request};
 use model::outcome::Outcome;
@@ -20,7 +20,7 @@
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
     status: u16,
-    says: &'static str,
+    expected: &'static str,
 }
 
 fn case(name: &'static str, status: u16, says: &'static str) -> Case {
@@ -31,11 +31,11 @@
         headers: vec![("pumicevale-workspace", "w".into())],
         body: b"{\"text\":\"x\"}".to_vec(),
         status,
-        says,
+        expected: says,
     }
 }
 
-fn with(mut c: Case, name: &'static str, value: &str) -> Case {
+fn with_header(mut c: Case, name: &'static str, value: &str) -> Case {
     c.headers.push((name, value.into()));
     c
 }
@@ -61,21 +61,25 @@
             headers: vec![("pumicevale-workspace", "other".into())],
             ..case("unknown workspace", 404, "no workspace")
         },
-        with(case("two workspaces", 400, "more than once"), "pumicevale-workspace", "w"),
-        with(case("negative deadline", 400, "above 0"), "pumicevale-deadline-ms", "-5"),
-        with(case("zero deadline", 400, "above 0"), "pumicevale-deadline-ms", "0"),
-        with(case("no deadline", 400, "above 0"), "pumicevale-deadline-ms", "soon"),
-        with(case("priority", 400, "urgent, normal or patient"), "pumicevale-priority", "now"),
-        with(case("session", 400, "1 to 256"), "pumicevale-session", &"s".repeat(300)),
-        with(case("key form", 400, "version 7"), "idempotency-key", "17"),
-        with(
+        with_header(case("two workspaces", 400, "more than once"), "pumicevale-workspace", "w"),
+        with_header(case("negative deadline", 400, "above 0"), "pumicevale-deadline-ms", "-5"),
+        with_header(case("zero deadline", 400, "above 0"), "pumicevale-deadline-ms", "0"),
+        with_header(case("no deadline", 400, "above 0"), "pumicevale-deadline-ms", "soon"),
+        with_header(
+            case("priority", 400, "urgent, normal or patient"),
+            "pumicevale-priority",
+            "now",
+        ),
+        with_header(case("session", 400, "1 to 256"), "pumicevale-session", &"s".repeat(300)),
+        with_header(case("key form", 400, "version 7"), "idempotency-key", "17"),
+        with_header(
             case("key version", 400, "version 7"),
             "idempotency-key",
             "f47ac10b-58cc-4372-a567-0e02b2c3d479",
         ),
         order(case("no key", 400, "needs an Idempotency-Key")),
-        order(with(case("old key", 400, "old-key"), "idempotency-key", &old)),
-        order(with(case("key ahead", 400, "future-key"), "idempotency-key", &future)),
+        order(with_header(case("old key", 400, "old-key"), "idempotency-key", &old)),
+        order(with_header(case("key ahead", 400, "future-key"), "idempotency-key", &future)),
     ]
 }
 
@@ -85,7 +89,7 @@
     let to = stack.callers()[0].to_string();
     let good = {
         let to = stack.callers()[0];
-        tokio::spawn(async move { Ask::minutes(1, true).send(&client(), to).await })
+        tokio::spawn(async move { TestRequest::minutes(1, true).send(&client(), to).await })
     };
     let good = good.await.expect("sent");
     let ran: usize = stack.targets.values().map(|t| t.runs().len()).sum();
@@ -100,17 +104,17 @@
         assert_eq!(response.headers()["pumicevale-outcome"], "not-run", "{}", c.name);
         let body = response.into_body().collect().await.expect("a body").to_bytes();
         let text = String::from_utf8_lossy(&body);
-        assert!(text.contains(c.says), "{}: {text}", c.name);
+        assert!(text.contains(c.expected), "{}: {text}", c.name);
     }
     let after: usize = stack.targets.values().map(|t| t.runs().len()).sum();
     assert_eq!(ran, after, "bad input reached a target");
     assert_eq!(good.outcomes, vec![Outcome::Complete]);
-    let next = Ask::order(2, key()).send(&client(), stack.callers()[0]).await;
+    let next = TestRequest::order(2, new_key()).send(&client(), stack.callers()[0]).await;
     assert_eq!(next.outcomes, vec![Outcome::Complete]);
     stack.stop().await;
 }
 
-async fn raw(to: std::net::SocketAddr, bytes: &[u8]) -> String {
+async fn send_raw(to: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut socket = TcpStream::connect(to).await.expect("connected");
     let _ = socket.write_all(bytes).await;
     let mut answer = Vec::new();
@@ -137,14 +141,14 @@
         ("two lengths", head("content-length: 1\r\ncontent-length: 2\r\n")),
         ("slow head", "POST /v1/pipelines/minutes HTTP/1.1\r\nhost: x\r\n".to_string()),
     ] {
-        let answer = raw(to, bytes.as_bytes()).await;
+        let answer = send_raw(to, bytes.as_bytes()).await;
         assert!(!answer.contains(" 200 "), "{name}: {answer}");
-        let next = Ask::minutes(3, false).send(&client(), to).await;
+        let next = TestRequest::minutes(3, false).send(&client(), to).await;
         assert_eq!(next.outcomes, vec![Outcome::Complete], "after {name}");
     }
     let slow_body = "POST /v1/pipelines/minutes HTTP/1.1\r\nhost: x\r\n\
                      pumicevale-workspace: w\r\ncontent-length: 50\r\n\r\n{";
-    let answer = raw(to, slow_body.as_bytes()).await;
+    let answer = send_raw(to, slow_body.as_bytes()).await;
     assert!(answer.contains(" 408 "), "{answer}");
     stack.stop().await;
 }
--- a/crates/dev/tests/common/mod.rs
+++ b/crates/dev/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use util::http::{Client, Lines};
 
 /// Two targets a pool; `minutes` is all repeatable, `order` pays once.
-pub const DECLARED: &str = r#"
+pub const DECLARATIONS: &str = r#"
 kind: Pool
 name: encoders
 spec:
@@ -89,7 +89,7 @@
 
 /// The declarations of these tests.
 pub fn declarations() -> Vec<Declaration> {
-    let all = declare::parse(Path::new("test.yaml"), DECLARED).expect("valid");
+    let all = declare::parse(Path::new("test.yaml"), DECLARATIONS).expect("valid");
     declare::check(&all).expect("valid");
     all
 }
@@ -108,13 +108,13 @@
 }
 
 /// A fresh key.
-pub fn key() -> Key {
+pub fn new_key() -> Key {
     Key::new(util::clock::unix_ms(), rand::random())
 }
 
 /// One request to send.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct TestRequest {
     pub pipeline: &'static str,
     pub workspace: &'static str,
     pub key: Option<Key>,
@@ -123,15 +123,22 @@
     pub words: usize,
 }
 
-impl Ask {
+impl TestRequest {
     /// A streamed or whole request for a summary.
     pub fn minutes(call: u64, streamed: bool) -> Self {
-        Ask { pipeline: "minutes", workspace: "w", key: None, streamed, call, words: 12 }
+        TestRequest { pipeline: "minutes", workspace: "w", key: None, streamed, call, words: 12 }
     }
 
     /// An order, paid once.
     pub fn order(call: u64, key: Key) -> Self {
-        Ask { pipeline: "order", workspace: "w", key: Some(key), streamed: false, call, words: 6 }
+        TestRequest {
+            pipeline: "order",
+            workspace: "w",
+            key: Some(key),
+            streamed: false,
+            call,
+            words: 6,
+        }
     }
 
     fn input(&self) -> Value {
@@ -140,7 +147,7 @@
     }
 
     /// The text that a complete answer has.
-    pub fn want(&self) -> String {
+    pub fn expected_text(&self) -> String {
         let input = json!({ "request": self.input(), "results": {} });
         match self.pipeline {
             "minutes" => standin::text::generate(&input).concat(),
@@ -173,7 +180,7 @@
             outcomes: Vec::new(),
             disconnected: false,
             text: String::new(),
-            expected_text: self.want(),
+            expected_text: self.expected_text(),
         };
         let peer = to.to_string();
         match client.send(&peer, self.request(to)).await {
@@ -202,9 +209,9 @@
     let bytes = body.to_bytes();
     if let Ok(answer) = serde_json::from_slice::<Answer>(&bytes) {
         seen.text = answer.text;
-        end(seen, answer.end);
+        record_report(seen, answer.end);
     } else if let Ok(last) = serde_json::from_slice::<RequestReport>(&bytes) {
-        end(seen, last);
+        record_report(seen, last);
     } else {
         let problem: Value = serde_json::from_slice(&bytes).expect("JSON");
         assert_eq!(problem["outcome"], "not-run", "{problem}");
@@ -240,12 +247,12 @@
             next += 1;
             seen.text.push_str(&piece.text);
         } else {
-            end(seen, serde_json::from_str(data).expect("a final word"));
+            record_report(seen, serde_json::from_str(data).expect("a final word"));
         }
     }
 }
 
-fn end(seen: &mut CallRecord, last: RequestReport) {
+fn record_report(seen: &mut CallRecord, last: RequestReport) {
     seen.request = Some(last.request);
     seen.outcomes.push(last.outcome);
 }
@@ -288,7 +295,7 @@
 }
 
 /// Waits until `done`, looking now and then; fails after a long while.
-pub async fn until(what: &str, mut done: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     for _ in 0..1200 {
         if done() {
             return;
--- a/crates/dev/tests/faults.rs
+++ b/crates/dev/tests/faults.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use audit::CallRecord;
-use common::{Ask, client, declarations, key, record, stack, stack_with, until};
+use common::{TestRequest, client, declarations, new_key, record, stack, stack_with, wait_until};
 use dev::Stack;
 use model::outcome::Outcome;
 use standin::faults::{ApiFaults, TargetFaults};
@@ -15,7 +15,7 @@
     seen.outcomes.first().copied()
 }
 
-async fn send_many(stack: &Stack, asks: Vec<Ask>) -> Vec<CallRecord> {
+async fn send_many(stack: &Stack, asks: Vec<TestRequest>) -> Vec<CallRecord> {
     let callers = stack.callers();
     let client = client();
     let tasks: Vec<_> = asks
@@ -33,8 +33,8 @@
     seen
 }
 
-fn minutes(n: u64) -> Vec<Ask> {
-    (0..n).map(|i| Ask::minutes(i, i % 2 == 0)).collect()
+fn minutes(n: u64) -> Vec<TestRequest> {
+    (0..n).map(|i| TestRequest::minutes(i, i % 2 == 0)).collect()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -58,7 +58,8 @@
         let mut call = 0;
         for target in ["enc-1", "ret-1", "eng-1"] {
             stack.targets[target].set_faults(faults.clone());
-            let asks: Vec<Ask> = (0..6).map(|i| Ask::minutes(call + i, i % 2 == 0)).collect();
+            let asks: Vec<TestRequest> =
+                (0..6).map(|i| TestRequest::minutes(call + i, i % 2 == 0)).collect();
             call += 6;
             let seen = send_many(&stack, asks).await;
             for s in &seen {
@@ -117,13 +118,16 @@
     for t in ["pay-1", "pay-2"] {
         stack.targets[t].set_faults(TargetFaults { drop: true, ..TargetFaults::default() });
     }
-    let keys: Vec<_> = (0..4).map(|_| key()).collect();
-    let ask = |(i, k): (usize, &model::key::Key)| Ask::order(i as u64, *k);
+    let keys: Vec<_> = (0..4).map(|_| new_key()).collect();
+    let ask = |(i, k): (usize, &model::key::Key)| TestRequest::order(i as u64, *k);
     let mut seen = send_many(&stack, keys.iter().enumerate().map(ask).collect()).await;
     // The caller asks again with the same key, at the other node too.
     for round in 1..4 {
-        let rotated: Vec<Ask> =
-            keys.iter().enumerate().map(|(i, k)| Ask::order((round * 10 + i) as u64, *k)).collect();
+        let rotated: Vec<TestRequest> = keys
+            .iter()
+            .enumerate()
+            .map(|(i, k)| TestRequest::order((round * 10 + i) as u64, *k))
+            .collect();
         let mut rotated = rotated;
         rotated.rotate_left(round % 2);
         seen.extend(send_many(&stack, rotated).await);
@@ -140,8 +144,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_key_at_two_nodes_at_once_pays_at_most_once() {
     let stack = stack().await;
-    let keys: Vec<_> = (0..20).map(|_| key()).collect();
-    let asks: Vec<Ask> = (0..40).map(|i| Ask::order(i as u64, keys[i / 2])).collect();
+    let keys: Vec<_> = (0..20).map(|_| new_key()).collect();
+    let asks: Vec<TestRequest> =
+        (0..40).map(|i| TestRequest::order(i as u64, keys[i / 2])).collect();
     let seen = send_many(&stack, asks).await;
     let complete = seen.iter().filter(|s| outcome(s) == Some(Outcome::Complete)).count();
     assert_eq!(complete, 20, "{seen:?}");
@@ -164,8 +169,9 @@
     let mut call = 0;
     for (name, faults) in cases {
         stack.api.set_faults(faults);
-        let keys: Vec<_> = (0..4).map(|_| key()).collect();
-        let asks: Vec<Ask> = (0..8).map(|i| Ask::order(call + i, keys[i as usize / 2])).collect();
+        let keys: Vec<_> = (0..4).map(|_| new_key()).collect();
+        let asks: Vec<TestRequest> =
+            (0..8).map(|i| TestRequest::order(call + i, keys[i as usize / 2])).collect();
         call += 8;
         let part = send_many(&stack, asks).await;
         if name == "down" {
@@ -177,7 +183,7 @@
         }
         seen.extend(part);
         // Repeatable work goes on whatever the store does.
-        let patient = send_many(&stack, vec![Ask::minutes(call + 100, false)]).await;
+        let patient = send_many(&stack, vec![TestRequest::minutes(call + 100, false)]).await;
         assert_eq!(outcome(&patient[0]), Some(Outcome::Complete), "{name}");
     }
     stack.api.set_faults(f());
@@ -191,12 +197,12 @@
     let callers = stack.callers();
     let tasks: Vec<_> = (0..12)
         .map(|i| {
-            let ask = Ask { words: 40, ..Ask::minutes(i, true) };
+            let ask = TestRequest { words: 40, ..TestRequest::minutes(i, true) };
             let (to, client) = (callers[0], client());
             tokio::spawn(async move { ask.send(&client, to).await })
         })
         .collect();
-    until("the streams begin", || {
+    wait_until("the streams begin", || {
         stack.targets.values().map(|t| t.runs().len()).sum::<usize>() >= 30
     })
     .await;
@@ -208,8 +214,8 @@
         seen.push(s);
     }
     assert_eq!(record(&stack, "minutes", seen).audit(), vec![]);
-    let gone = Ask::minutes(99, false).send(&client(), callers[0]).await;
-    assert!(gone.disconnected, "the stopped node takes nothing any more");
+    let after_stop = TestRequest::minutes(99, false).send(&client(), callers[0]).await;
+    assert!(after_stop.disconnected, "the stopped node takes nothing any more");
     stack.stop().await;
 }
 
@@ -225,7 +231,7 @@
     let mut quiet = 0;
     for round in 1..200 {
         let before = runs();
-        let asks = (0..10).map(|i| Ask::minutes(round * 10 + i, false)).collect();
+        let asks = (0..10).map(|i| TestRequest::minutes(round * 10 + i, false)).collect();
         let seen = send_many(&stack, asks).await;
         assert!(seen.iter().all(|s| outcome(s) == Some(Outcome::Complete)));
         assert!(quiet == 0 || runs() == before, "new work after it had ceased");
@@ -242,7 +248,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_target_that_says_it_is_leaving_is_left_at_once() {
     let stack = stack().await;
-    stack.targets["enc-1"].leave();
+    stack.targets["enc-1"].set_leaving();
     let seen = send_many(&stack, minutes(10)).await;
     assert!(seen.iter().all(|s| outcome(s) == Some(Outcome::Complete)), "{seen:?}");
     assert_eq!(stack.targets["enc-1"].runs().len(), 0);
@@ -266,16 +272,18 @@
     let stack = stack_with(20.0).await;
     let to = stack.callers()[0];
     let task = tokio::spawn(async move {
-        Ask { words: 5000, ..Ask::minutes(1, true) }.send(&client(), to).await
+        TestRequest { words: 5000, ..TestRequest::minutes(1, true) }.send(&client(), to).await
     });
     let engines = ["eng-1", "eng-2"];
-    until("the stream begins", || engines.iter().any(|e| !stack.targets[*e].runs().is_empty()))
-        .await;
+    wait_until("the stream begins", || {
+        engines.iter().any(|e| !stack.targets[*e].runs().is_empty())
+    })
+    .await;
     task.abort();
     for _ in 0..400 {
         let mut running = 0;
         for e in engines {
-            running += stack.targets[e].running().await;
+            running += stack.targets[e].open_calls().await;
         }
         if running == 0 {
             stack.stop().await;
@@ -289,7 +297,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_workspace_over_its_rate_is_not_run() {
     let stack = stack().await;
-    let asks = (0..6).map(|i| Ask { workspace: "limited", ..Ask::minutes(i, false) }).collect();
+    let asks = (0..6)
+        .map(|i| TestRequest { workspace: "limited", ..TestRequest::minutes(i, false) })
+        .collect();
     let seen = send_many(&stack, asks).await;
     let refused = seen.iter().filter(|s| outcome(s) == Some(Outcome::NotRun)).count();
     assert!(refused >= 4, "at most one token a node: {seen:?}");
@@ -314,6 +324,6 @@
         }
     }
     let written = cli::cmd::write_all(&remote, changed).await.expect("written");
-    cli::cmd::wait(&remote, &written, Duration::from_secs(60)).await.expect("in force");
+    cli::cmd::wait_in_force(&remote, &written, Duration::from_secs(60)).await.expect("in force");
     stack.stop().await;
 }
--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use audit::{CallRecord, Record, StepRun};
-use common::{Ask, client, key, rules};
+use common::{TestRequest, client, new_key, rules};
 use hyper::Method;
 use model::claim::Claims;
 use model::object::Spec;
@@ -20,7 +20,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::json;
-use standin::journal::Ran as Journal;
+use standin::journal::RunRecord;
 
 /// Names the role and the settings file in a child process.
 const ROLE: &str = "PUMICEVALE_TEST_ROLE";
@@ -116,7 +116,7 @@
 
 impl Fleet {
     /// The loopback address of one part; the second byte is this process's own.
-    fn at(&self, part: usize) -> String {
+    fn ip(&self, part: usize) -> String {
         format!("127.{}.7.{}", self.base, part + 1)
     }
 
@@ -126,12 +126,12 @@
         file
     }
 
-    fn callers(&self, node: usize) -> SocketAddr {
-        format!("{}:7000", self.at(10 + node)).parse().expect("an address")
+    fn caller_address(&self, node: usize) -> SocketAddr {
+        format!("{}:7000", self.ip(10 + node)).parse().expect("an address")
     }
 
     fn store_address(&self) -> SocketAddr {
-        format!("{}:7000", self.at(0)).parse().expect("an address")
+        format!("{}:7000", self.ip(0)).parse().expect("an address")
     }
 
     fn start() -> Fleet {
@@ -158,15 +158,15 @@
 
     fn start_node(&mut self, node: usize) {
         let (name, domain) = (format!("n{node}"), DOMAINS[node % 3]);
-        let (ip, store) = (self.at(10 + node), self.store_address());
+        let (ip, store) = (self.ip(10 + node), self.store_address());
         let near: Vec<&str> = DOMAINS.iter().copied().filter(|d| *d != domain).collect();
         let seeds: Vec<String> = (0..NODES)
             .filter(|n| n % 3 == node % 3 && *n < 6)
-            .map(|n| format!("\"{}:7001\"", self.at(10 + n)))
+            .map(|n| format!("\"{}:7001\"", self.ip(10 + n)))
             .collect();
         let links: Vec<String> = (0..3)
             .filter(|n| *n != node % 3)
-            .map(|n| format!("\"{}:7001\"", self.at(10 + n)))
+            .map(|n| format!("\"{}:7001\"", self.ip(10 + n)))
             .collect();
         let control = format!(
             "name: {name}\ndomain: {domain}\naddress: {ip}:7001\nentry: {ip}:7002\n\
@@ -195,7 +195,7 @@
                 continue;
             };
             for t in &mut pool.targets {
-                let address = format!("{}:7000", self.at(part));
+                let address = format!("{}:7000", self.ip(part));
                 part += 1;
                 let role = format!("{:?}", pool.role).to_lowercase();
                 let text = format!(
@@ -209,16 +209,18 @@
                 t.address = address.into();
             }
         }
-        self.until_answering(self.store_address(), "/calls").await;
+        self.wait_answering(self.store_address(), "/calls").await;
         let remote = cli::Remote::new(&self.store_address().to_string()).expect("an address");
         let written = cli::cmd::write_all(&remote, declarations).await.expect("written");
-        cli::cmd::wait(&remote, &written, Duration::from_secs(60)).await.expect("in force");
+        cli::cmd::wait_in_force(&remote, &written, Duration::from_secs(60))
+            .await
+            .expect("in force");
         for node in 0..NODES {
-            self.until_answering(self.callers(node), "/readyz").await;
+            self.wait_answering(self.caller_address(node), "/readyz").await;
         }
     }
 
-    async fn until_answering(&self, at: SocketAddr, path: &str) {
+    async fn wait_answering(&self, at: SocketAddr, path: &str) {
         for _ in 0..1200 {
             let wait = Duration::from_secs(1);
             if client().text(&at.to_string(), path, wait).await.is_ok() {
@@ -230,7 +232,7 @@
     }
 
     /// Switches a target's faults.
-    async fn fault(&self, target: &str, faults: &serde_json::Value) {
+    async fn set_faults(&self, target: &str, faults: &serde_json::Value) {
         let file = format!("{target}.yaml");
         let (at, _) = self
             .targets
@@ -244,18 +246,18 @@
     }
 
     /// Sends pairs of orders with one key to two nodes each, and summaries.
-    async fn load(&self, call: u64, n: u64) -> (Vec<CallRecord>, Vec<CallRecord>) {
+    async fn send_load(&self, call: u64, n: u64) -> (Vec<CallRecord>, Vec<CallRecord>) {
         let mut orders = Vec::new();
         let mut minutes = Vec::new();
         for i in 0..n {
-            let k = key();
+            let k = new_key();
             for j in 0..2 {
-                let to = self.callers(((i + j * 4) as usize) % NODES);
-                let ask = Ask::order(call + i * 2 + j, k);
+                let to = self.caller_address(((i + j * 4) as usize) % NODES);
+                let ask = TestRequest::order(call + i * 2 + j, k);
                 orders.push(tokio::spawn(async move { ask.send(&client(), to).await }));
             }
-            let to = self.callers((i as usize + 2) % NODES);
-            let ask = Ask::minutes(call + i, i % 2 == 0);
+            let to = self.caller_address((i as usize + 2) % NODES);
+            let ask = TestRequest::minutes(call + i, i % 2 == 0);
             minutes.push(tokio::spawn(async move { ask.send(&client(), to).await }));
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -273,7 +275,7 @@
     async fn record(&self, pipeline: &str, calls: Vec<CallRecord>) -> Record {
         let mut runs = Vec::new();
         for (at, _) in &self.targets {
-            let journal: Vec<Journal> = read(at, "/journal").await;
+            let journal: Vec<RunRecord> = read(at, "/journal").await;
             runs.extend(journal.into_iter().map(|r| StepRun {
                 request: r.attempt.request,
                 step: r.step,
@@ -311,26 +313,26 @@
     }
     let mut fleet = Fleet::start();
     fleet.apply().await;
-    let (mut orders, mut minutes) = fleet.load(0, 20).await;
+    let (mut orders, mut minutes) = fleet.send_load(0, 20).await;
     assert_eq!(outcomes(&minutes, Outcome::Complete), 20, "before any fault");
 
     // Connections are cut: an engine's in mid-stream, a payment's once it was made.
     for (target, faults) in [("eng-1", json!({ "cut": 3 })), ("pay-1", json!({ "drop": true }))] {
-        fleet.fault(target, &faults).await;
+        fleet.set_faults(target, &faults).await;
     }
-    let part = fleet.load(500, 10).await;
+    let part = fleet.send_load(500, 10).await;
     let whole = outcomes(&part.1, Outcome::Complete);
     assert_eq!(whole, 10, "cut streams are resumed: {:#?}", part.1);
     assert!(outcomes(&part.0, Outcome::Unknown) > 10, "lost payments are in doubt");
     orders.extend(part.0);
     minutes.extend(part.1);
     for target in ["eng-1", "pay-1"] {
-        fleet.fault(target, &json!({})).await;
+        fleet.set_faults(target, &json!({})).await;
     }
 
     // An entry process is killed in mid-request and started again.
     let part = {
-        let load = fleet.load(1000, 20);
+        let load = fleet.send_load(1000, 20);
         tokio::pin!(load);
         tokio::select! {
             _ = &mut load => unreachable!("the load takes longer"),
@@ -343,14 +345,14 @@
     orders.extend(part.0);
     minutes.extend(part.1);
     fleet.entries[4].restart();
-    fleet.until_answering(fleet.callers(4), "/readyz").await;
+    fleet.wait_answering(fleet.caller_address(4), "/readyz").await;
 
     // Every control process of one failure domain is frozen, its leases lapse.
     for node in [0, 3, 6] {
         fleet.controls[node].signal(Signal::SIGSTOP);
     }
     tokio::time::sleep(Duration::from_millis(2500)).await;
-    let part = fleet.load(2000, 10).await;
+    let part = fleet.send_load(2000, 10).await;
     assert_eq!(outcomes(&part.1, Outcome::Complete), 10, "the data path needs no control");
     orders.extend(part.0);
     minutes.extend(part.1);
@@ -360,7 +362,7 @@
 
     // The store is frozen: repeatable work goes on, orders are truly not run.
     fleet.store.signal(Signal::SIGSTOP);
-    let part = fleet.load(3000, 6).await;
+    let part = fleet.send_load(3000, 6).await;
     assert_eq!(outcomes(&part.1, Outcome::Complete), 6, "repeatable work needs no store");
     assert_eq!(outcomes(&part.0, Outcome::Complete), 0, "no order without a claim");
     orders.extend(part.0);
@@ -382,11 +384,11 @@
         })
         .collect();
     let written = cli::cmd::write_all(&remote, changed).await.expect("written");
-    cli::cmd::wait(&remote, &written, Duration::from_secs(60)).await.expect("in force");
+    cli::cmd::wait_in_force(&remote, &written, Duration::from_secs(60)).await.expect("in force");
 
     // A planned stop with requests on their way.
     let part = {
-        let load = fleet.load(4000, 10);
+        let load = fleet.send_load(4000, 10);
         tokio::pin!(load);
         tokio::select! {
             _ = &mut load => unreachable!("the load takes longer"),
--- a/crates/standin/src/api.rs
+++ b/crates/standin/src/api.rs
@@ -15,10 +15,10 @@
 use util::http::{Body, Handler, json, read_json, text};
 
 use crate::faults::ApiFaults;
-use crate::objects::{Objects, Refusal, VALUE_MAX};
+use crate::objects::{MAX_VALUE_BYTES, Objects, PutError};
 
 /// Largest body taken; larger values than allowed are told by their size.
-const BODY_MAX: usize = VALUE_MAX * 2;
+const MAX_BODY_BYTES: usize = MAX_VALUE_BYTES * 2;
 
 /// Calls taken so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 struct State {
     objects: Objects,
-    frozen: Option<Objects>,
+    snapshot: Option<Objects>,
     faults: ApiFaults,
     calls: Calls,
     hosts: BTreeMap<Name, bool>,
@@ -47,8 +47,8 @@
     changed: Notify,
 }
 
-enum Answer {
-    Now(Response<Body>),
+enum WriteOutcome {
+    Responded(Response<Body>),
     Lost,
 }
 
@@ -61,7 +61,7 @@
     /// Switches faults.
     pub fn set_faults(&self, faults: ApiFaults) {
         let mut s = self.lock();
-        s.frozen = faults.stale.then(|| s.objects.clone());
+        s.snapshot = faults.stale.then(|| s.objects.clone());
         s.faults = faults;
     }
 
@@ -88,7 +88,7 @@
     fn read(&self, kind: &str, name: Option<&str>) -> Response<Body> {
         let mut s = self.lock();
         s.calls.reads += 1;
-        let objects = s.frozen.as_ref().unwrap_or(&s.objects);
+        let objects = s.snapshot.as_ref().unwrap_or(&s.objects);
         match name {
             Some(n) => json(StatusCode::OK, &objects.get(kind, n)),
             None => json(StatusCode::OK, &objects.list(kind)),
@@ -117,7 +117,7 @@
         }
     }
 
-    fn write(&self, kind: &str, name: &str, expect: u64, value: Option<Value>) -> Answer {
+    fn write(&self, kind: &str, name: &str, expect: u64, value: Option<Value>) -> WriteOutcome {
         let mut s = self.lock();
         s.calls.writes += 1;
         let result = s.objects.put(kind, name, expect, value);
@@ -126,13 +126,15 @@
         drop(s);
         self.changed.notify_waiters();
         if lost {
-            return Answer::Lost;
+            return WriteOutcome::Lost;
         }
-        Answer::Now(match result {
+        WriteOutcome::Responded(match result {
             Ok(version) => json(StatusCode::OK, &Written { version }),
-            Err(Refusal::Version(v)) => text(StatusCode::CONFLICT, format!("version is {v}")),
-            Err(Refusal::Size(n)) => {
-                text(StatusCode::PAYLOAD_TOO_LARGE, format!("{n} bytes, {VALUE_MAX} at most"))
+            Err(PutError::VersionMismatch(v)) => {
+                text(StatusCode::CONFLICT, format!("version is {v}"))
+            }
+            Err(PutError::TooLarge(n)) => {
+                text(StatusCode::PAYLOAD_TOO_LARGE, format!("{n} bytes, {MAX_VALUE_BYTES} at most"))
             }
         })
     }
@@ -141,7 +143,7 @@
         let method = request.method().clone();
         let expect = query(&request, "expect").and_then(|v| v.parse().ok());
         let value = match method {
-            Method::PUT => match read_json(request, BODY_MAX).await {
+            Method::PUT => match read_json(request, MAX_BODY_BYTES).await {
                 Ok(v) => Some(v),
                 Err(e) => return text(StatusCode::BAD_REQUEST, e),
             },
@@ -152,8 +154,8 @@
             return text(StatusCode::BAD_REQUEST, "a write needs ?expect=VERSION");
         };
         match self.write(kind, name, expect, value) {
-            Answer::Now(response) => response,
-            Answer::Lost => std::future::pending().await,
+            WriteOutcome::Responded(response) => response,
+            WriteOutcome::Lost => std::future::pending().await,
         }
     }
 
@@ -175,7 +177,7 @@
         let path = request.uri().path().to_string();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (request.method(), parts.as_slice()) {
-            (&Method::POST, ["faults"]) => match read_json(request, BODY_MAX).await {
+            (&Method::POST, ["faults"]) => match read_json(request, MAX_BODY_BYTES).await {
                 Ok(faults) => {
                     self.set_faults(faults);
                     return json(StatusCode::OK, &());
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -19,9 +19,9 @@
 use crate::text;
 
 /// Tokens in one block of the prefix cache.
-const BLOCK: usize = 16;
+const BLOCK_TOKENS: usize = 16;
 /// Streams kept for a resume.
-const KEPT: usize = 512;
+const MAX_FINISHED_STREAMS: usize = 512;
 
 /// Rates and sizes of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
@@ -51,7 +51,7 @@
     /// Mark on each word.
     pub tag: Option<String>,
     /// Factor on the step's time.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Where the frames go.
     pub frames: mpsc::Sender<Frame>,
 }
@@ -62,7 +62,7 @@
 
 /// Asks for the state.
 #[derive(Debug)]
-pub struct State;
+pub struct GetState;
 
 /// State of an engine.
 #[derive(Debug, Clone, Copy, Default, kameo::Reply)]
@@ -72,48 +72,48 @@
     /// Sequences waiting.
     pub queued: u32,
     /// Expected wait of a new call, milliseconds.
-    pub wait: u32,
+    pub wait_ms: u32,
     /// Prompt tokens asked for since the start.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Of those, found in the cache.
-    pub cached: u64,
+    pub cached_tokens: u64,
 }
 
 struct Step;
 
 #[derive(Debug)]
-struct Seq {
+struct Sequence {
     attempt: Attempt,
     words: VecDeque<String>,
-    prompt: usize,
-    next: u64,
+    prefill_left: usize,
+    next_seq: u64,
     digest: Digest,
-    busy: f64,
+    busy_us: f64,
     frames: mpsc::Sender<Frame>,
-    said: Vec<String>,
-    from: u64,
+    generated: Vec<String>,
+    first_seq: u64,
 }
 
 #[derive(Debug)]
-struct Kept {
-    said: Vec<String>,
-    from: u64,
+struct FinishedStream {
+    generated: Vec<String>,
+    first_seq: u64,
 }
 
 /// The engine.
 #[derive(Debug)]
 pub struct Engine {
     spec: EngineSpec,
-    queue: BTreeMap<(u8, u64, u64), Seq>,
-    running: Vec<Seq>,
+    queue: BTreeMap<(u8, u64, u64), Sequence>,
+    running: Vec<Sequence>,
     cache: PrefixCache,
-    kept: HashMap<Attempt, Kept>,
-    order: VecDeque<Attempt>,
-    seq: u64,
-    slow: f64,
+    finished: HashMap<Attempt, FinishedStream>,
+    finished_order: VecDeque<Attempt>,
+    submitted: u64,
+    slowdown: f64,
     stepping: bool,
-    prompt: u64,
-    cached: u64,
+    prompt_tokens: u64,
+    cached_tokens: u64,
 }
 
 impl Engine {
@@ -123,19 +123,20 @@
             spec,
             queue: BTreeMap::new(),
             running: Vec::new(),
-            cache: PrefixCache::new(spec.cache / BLOCK),
-            kept: HashMap::new(),
-            order: VecDeque::new(),
-            seq: 0,
-            slow: 1.0,
+            cache: PrefixCache::new(spec.cache / BLOCK_TOKENS),
+            finished: HashMap::new(),
+            finished_order: VecDeque::new(),
+            submitted: 0,
+            slowdown: 1.0,
             stepping: false,
-            prompt: 0,
-            cached: 0,
+            prompt_tokens: 0,
+            cached_tokens: 0,
         }
     }
 
     fn state(&self) -> EngineState {
-        let prompts: usize = self.running.iter().chain(self.queue.values()).map(|s| s.prompt).sum();
+        let prompts: usize =
+            self.running.iter().chain(self.queue.values()).map(|s| s.prefill_left).sum();
         let prefill = prompts as f64 / self.spec.prefill as f64;
         // A queued sequence waits for a running one to end, half way on average.
         let left: usize = self.running.iter().map(|s| s.words.len()).sum();
@@ -146,38 +147,38 @@
         EngineState {
             running: self.running.len() as u32,
             queued: self.queue.len() as u32,
-            wait: ((prefill + decode) * self.spec.step * self.slow) as u32,
-            prompt: self.prompt,
-            cached: self.cached,
+            wait_ms: ((prefill + decode) * self.spec.step * self.slowdown) as u32,
+            prompt_tokens: self.prompt_tokens,
+            cached_tokens: self.cached_tokens,
         }
     }
 
     fn submit(&mut self, s: Submit) -> bool {
-        self.slow = s.slow;
+        self.slowdown = s.slowdown;
         if let Some(old) = &s.call.resume {
             return self.resume(old.clone(), s);
         }
         let prompt: Vec<String> = text::words(&text::prompt(&s.call.input)).collect();
-        let hit = self.cache.touch(&prompt);
-        self.prompt += prompt.len() as u64;
-        self.cached += hit as u64;
+        let hit = self.cache.lookup_and_insert(&prompt);
+        self.prompt_tokens += prompt.len() as u64;
+        self.cached_tokens += hit as u64;
         let mark = s.tag.map(|t| format!("~{t}")).unwrap_or_default();
         let all = text::generate(&s.call.input);
         let words = all.into_iter().skip(s.call.from as usize).map(|w| w + &mark).collect();
-        self.seq += 1;
-        let place = (s.call.priority, s.call.budget, self.seq);
-        let seq = Seq {
+        self.submitted += 1;
+        let queue_key = (s.call.priority, s.call.budget, self.submitted);
+        let seq = Sequence {
             attempt: s.call.attempt,
             words,
-            prompt: prompt.len() - hit,
-            next: s.call.from,
+            prefill_left: prompt.len() - hit,
+            next_seq: s.call.from,
             digest: Digest::default(),
-            busy: 0.0,
+            busy_us: 0.0,
             frames: s.frames,
-            said: Vec::new(),
-            from: s.call.from,
+            generated: Vec::new(),
+            first_seq: s.call.from,
         };
-        self.queue.insert(place, seq);
+        self.queue.insert(queue_key, seq);
         true
     }
 
@@ -185,40 +186,40 @@
     fn resume(&mut self, old: Attempt, s: Submit) -> bool {
         let at = s.call.from;
         if let Some(seq) = self.running.iter_mut().find(|r| r.attempt == old) {
-            if at < seq.from {
+            if at < seq.first_seq {
                 return false;
             }
             seq.attempt = s.call.attempt;
             seq.frames = s.frames;
             seq.digest = Digest::default();
-            let again: Vec<String> =
-                seq.said.iter().skip((at - seq.from) as usize).cloned().collect();
-            for (i, w) in again.into_iter().enumerate() {
+            let replayed: Vec<String> =
+                seq.generated.iter().skip((at - seq.first_seq) as usize).cloned().collect();
+            for (i, w) in replayed.into_iter().enumerate() {
                 seq.digest.push(&w);
-                seq.give(at + i as u64, w);
+                seq.send_chunk(at + i as u64, w);
             }
             return true;
         }
-        let Some(kept) = self.kept.get(&old).filter(|k| at >= k.from) else {
+        let Some(kept) = self.finished.get(&old).filter(|k| at >= k.first_seq) else {
             return false;
         };
         let words: VecDeque<_> =
-            kept.said.iter().skip((at - kept.from) as usize).cloned().collect();
-        let mut seq = Seq {
+            kept.generated.iter().skip((at - kept.first_seq) as usize).cloned().collect();
+        let mut seq = Sequence {
             attempt: s.call.attempt,
             words: VecDeque::new(),
-            prompt: 0,
-            next: at,
+            prefill_left: 0,
+            next_seq: at,
             digest: Digest::default(),
-            busy: 0.0,
+            busy_us: 0.0,
             frames: s.frames,
-            said: Vec::new(),
-            from: at,
+            generated: Vec::new(),
+            first_seq: at,
         };
         for w in words {
-            seq.say(w);
+            seq.emit(w);
         }
-        seq.end(0);
+        seq.send_end(0);
         true
     }
 
@@ -229,46 +230,49 @@
             };
             self.running.push(seq);
         }
-        let share = self.spec.step * self.slow * 1e3 / self.running.len().max(1) as f64;
+        let share = self.spec.step * self.slowdown * 1e3 / self.running.len().max(1) as f64;
         let mut prefill = self.spec.prefill;
         for seq in &mut self.running {
-            seq.busy += share;
-            if seq.prompt > 0 {
-                let n = seq.prompt.min(prefill);
-                seq.prompt -= n;
+            seq.busy_us += share;
+            if seq.prefill_left > 0 {
+                let n = seq.prefill_left.min(prefill);
+                seq.prefill_left -= n;
                 prefill -= n;
             } else if let Some(word) = seq.words.pop_front() {
-                seq.say(word);
+                seq.emit(word);
             }
         }
-        let wait = self.state().wait;
+        let wait = self.state().wait_ms;
         let (done, running) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|s: &Seq| s.prompt == 0 && s.words.is_empty());
+            .partition(|s: &Sequence| s.prefill_left == 0 && s.words.is_empty());
         self.running = running;
         for seq in done {
-            seq.end(wait);
-            self.keep(seq);
+            seq.send_end(wait);
+            self.store_finished(seq);
         }
     }
 
-    fn keep(&mut self, seq: Seq) {
-        self.order.push_back(seq.attempt.clone());
-        self.kept.insert(seq.attempt, Kept { said: seq.said, from: seq.from });
-        if self.order.len() > KEPT
-            && let Some(old) = self.order.pop_front()
+    fn store_finished(&mut self, seq: Sequence) {
+        self.finished_order.push_back(seq.attempt.clone());
+        self.finished.insert(
+            seq.attempt,
+            FinishedStream { generated: seq.generated, first_seq: seq.first_seq },
+        );
+        if self.finished_order.len() > MAX_FINISHED_STREAMS
+            && let Some(old) = self.finished_order.pop_front()
         {
-            self.kept.remove(&old);
+            self.finished.remove(&old);
         }
     }
 
-    fn wake(&mut self, me: &ActorRef<Self>) {
+    fn schedule_step(&mut self, me: &ActorRef<Self>) {
         if self.stepping || (self.running.is_empty() && self.queue.is_empty()) {
             return;
         }
         self.stepping = true;
         let me = me.clone();
-        let wait = Duration::from_secs_f64(self.spec.step * self.slow / 1e3);
+        let wait = Duration::from_secs_f64(self.spec.step * self.slowdown / 1e3);
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
             let _ = me.tell(Step).await;
@@ -276,26 +280,26 @@
     }
 }
 
-impl Seq {
-    fn say(&mut self, word: String) {
+impl Sequence {
+    fn emit(&mut self, word: String) {
         self.digest.push(&word);
-        self.said.push(word.clone());
-        let seq = self.next;
-        self.next += 1;
-        self.give(seq, word);
+        self.generated.push(word.clone());
+        let seq = self.next_seq;
+        self.next_seq += 1;
+        self.send_chunk(seq, word);
     }
 
     /// A reader that is slow or gone loses frames; it resumes.
-    fn give(&self, seq: u64, text: String) {
+    fn send_chunk(&self, seq: u64, text: String) {
         let _ = self.frames.try_send(Frame::Chunk { attempt: self.attempt.clone(), seq, text });
     }
 
-    fn end(&self, wait: u32) {
+    fn send_end(&self, wait: u32) {
         let _ = self.frames.try_send(Frame::End {
             attempt: self.attempt.clone(),
-            count: self.next,
+            count: self.next_seq,
             digest: self.digest.value(),
-            busy: self.busy as u64,
+            busy: self.busy_us as u64,
             wait,
         });
     }
@@ -314,9 +318,9 @@
     type Reply = bool;
 
     async fn handle(&mut self, s: Submit, ctx: &mut Context<Self, bool>) -> bool {
-        let taken = self.submit(s);
-        self.wake(ctx.actor_ref());
-        taken
+        let accepted = self.submit(s);
+        self.schedule_step(ctx.actor_ref());
+        accepted
     }
 }
 
@@ -329,10 +333,10 @@
     }
 }
 
-impl Message<State> for Engine {
+impl Message<GetState> for Engine {
     type Reply = EngineState;
 
-    async fn handle(&mut self, _: State, _: &mut Context<Self, EngineState>) -> EngineState {
+    async fn handle(&mut self, _: GetState, _: &mut Context<Self, EngineState>) -> EngineState {
         self.state()
     }
 }
@@ -343,7 +347,7 @@
     async fn handle(&mut self, _: Step, ctx: &mut Context<Self, ()>) {
         self.stepping = false;
         self.step();
-        self.wake(ctx.actor_ref());
+        self.schedule_step(ctx.actor_ref());
     }
 }
 
@@ -353,30 +357,30 @@
     blocks: HashMap<u64, u64>,
     order: BTreeMap<u64, u64>,
     clock: u64,
-    most: usize,
+    capacity: usize,
 }
 
 impl PrefixCache {
-    fn new(most: usize) -> Self {
-        PrefixCache { blocks: HashMap::new(), order: BTreeMap::new(), clock: 0, most }
+    fn new(capacity: usize) -> Self {
+        PrefixCache { blocks: HashMap::new(), order: BTreeMap::new(), clock: 0, capacity }
     }
 
     /// Tokens of the prompt's head that were cached; caches the whole prompt.
-    fn touch(&mut self, prompt: &[String]) -> usize {
+    fn lookup_and_insert(&mut self, prompt: &[String]) -> usize {
         let (mut chain, mut hit, mut unbroken) = (0, 0, true);
-        for block in prompt.chunks_exact(BLOCK) {
+        for block in prompt.chunks_exact(BLOCK_TOKENS) {
             chain = block.iter().fold(chain, |c, w| hash::mix(c, hash::hash64(w.as_bytes())));
             self.clock += 1;
             match self.blocks.insert(chain, self.clock) {
                 Some(old) => {
                     self.order.remove(&old);
-                    hit += if unbroken { BLOCK } else { 0 };
+                    hit += if unbroken { BLOCK_TOKENS } else { 0 };
                 }
                 None => unbroken = false,
             }
             self.order.insert(self.clock, chain);
         }
-        while self.blocks.len() > self.most {
+        while self.blocks.len() > self.capacity {
             let Some((_, chain)) = self.order.pop_first() else {
                 break;
             };
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -37,17 +37,17 @@
 
 impl TargetFaults {
     /// Factor on every time.
-    pub fn factor(&self) -> f64 {
+    pub fn slowdown_factor(&self) -> f64 {
         if self.slow > 0.0 { self.slow } else { 1.0 }
     }
 
     /// Whether frames must be held back to be mangled as a whole.
-    pub fn mangles(&self) -> bool {
+    pub fn needs_whole_answer(&self) -> bool {
         self.reorder || self.double || self.stray || self.digest || self.short
     }
 
     /// Applies the faults to a whole answer.
-    pub fn mangle(&self, mut frames: Vec<Frame>) -> Vec<Frame> {
+    pub fn corrupt(&self, mut frames: Vec<Frame>) -> Vec<Frame> {
         if self.short && frames.len() > 1 {
             frames.remove(frames.len() - 2);
             if let Some(Frame::End { count, .. }) = frames.last_mut() {
@@ -68,14 +68,14 @@
             frames = frames.into_iter().flat_map(|f| [f.clone(), f]).collect();
         }
         if self.stray {
-            frames = frames.into_iter().flat_map(|f| [stranger(&f), f]).collect();
+            frames = frames.into_iter().flat_map(|f| [stray_frame(&f), f]).collect();
         }
         frames
     }
 }
 
 /// A frame with the same place in another request's answer.
-fn stranger(frame: &Frame) -> Frame {
+fn stray_frame(frame: &Frame) -> Frame {
     let attempt = Attempt { request: "somebody-else".into(), ..frame.attempt().clone() };
     let seq = match frame {
         Frame::Chunk { seq, .. } => *seq,
--- a/crates/standin/src/journal.rs
+++ b/crates/standin/src/journal.rs
@@ -6,7 +6,7 @@
 
 /// One run of a call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct RunRecord {
     /// Target.
     pub target: Name,
     /// Attempt.
@@ -27,12 +27,12 @@
 /// Runs in the order in which they began.
 #[derive(Debug, Default)]
 pub struct Journal {
-    runs: Vec<Ran>,
+    runs: Vec<RunRecord>,
 }
 
 impl Journal {
     /// Notes a run's begin; returns its index.
-    pub fn begin(&mut self, ran: Ran) -> usize {
+    pub fn begin(&mut self, ran: RunRecord) -> usize {
         if self.runs.len() < KEPT {
             self.runs.push(ran);
         }
@@ -47,7 +47,7 @@
     }
 
     /// All runs.
-    pub fn runs(&self) -> &[Ran] {
+    pub fn runs(&self) -> &[RunRecord] {
         &self.runs
     }
 }
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -7,15 +7,15 @@
 use serde_json::Value;
 
 /// Largest value, bytes; the platform's bound.
-pub const VALUE_MAX: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Why a write was not taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refusal {
+pub enum PutError {
     /// The version is this one.
-    Version(u64),
+    VersionMismatch(u64),
     /// The value has this many bytes.
-    Size(usize),
+    TooLarge(usize),
 }
 
 #[derive(Debug, Clone)]
@@ -48,14 +48,14 @@
         name: &str,
         expect: u64,
         value: Option<Value>,
-    ) -> Result<u64, Refusal> {
+    ) -> Result<u64, PutError> {
         let size = value.as_ref().map_or(0, |v| v.to_string().len());
-        if size > VALUE_MAX {
-            return Err(Refusal::Size(size));
+        if size > MAX_VALUE_BYTES {
+            return Err(PutError::TooLarge(size));
         }
         let version = self.get(kind, name).version;
         if version != expect {
-            return Err(Refusal::Version(version));
+            return Err(PutError::VersionMismatch(version));
         }
         self.revision += 1;
         let stored = Stored { name: name.into(), version: version + 1, value };
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -17,14 +17,14 @@
 use tokio::sync::{Semaphore, mpsc};
 use util::http::{Body, Handler, json, read_json, stream, text};
 
-use crate::engine::{CancelCall, Engine, EngineSpec, State, Submit};
+use crate::engine::{CancelCall, Engine, EngineSpec, GetState, Submit};
 use crate::faults::TargetFaults;
-use crate::journal::{Journal, Ran};
+use crate::journal::{Journal, RunRecord};
 
-/// Largest call taken.
-const CALL_MAX: usize = 8 << 20;
+/// Largest call accepted.
+const MAX_CALL_BYTES: usize = 8 << 20;
 /// Frames on their way to one reader.
-const DEPTH: usize = 4096;
+const FRAME_BUFFER: usize = 4096;
 
 /// What a target is.
 #[derive(Debug, Clone, Deserialize)]
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct TargetState {
     models: Vec<Name>,
     epoch: u64,
     leaving: bool,
@@ -79,26 +79,30 @@
     engine: Option<ActorRef<Engine>>,
     slots: Arc<Semaphore>,
     waiting: std::sync::atomic::AtomicU32,
-    asked: std::sync::atomic::AtomicUsize,
+    received: std::sync::atomic::AtomicUsize,
     faults: Mutex<TargetFaults>,
     journal: Mutex<Journal>,
-    held: Mutex<Held>,
+    state: Mutex<TargetState>,
 }
 
 impl TargetServer {
     /// A target that is ready.
     pub fn new(spec: TargetSpec) -> Arc<Self> {
         let engine = (spec.role == Role::Engine).then(|| Engine::spawn(spec.engine));
-        let held =
-            Held { models: spec.models.clone(), epoch: 0, leaving: false, orders: Vec::new() };
+        let state = TargetState {
+            models: spec.models.clone(),
+            epoch: 0,
+            leaving: false,
+            orders: Vec::new(),
+        };
         Arc::new(TargetServer {
             engine,
             slots: Arc::new(Semaphore::new(spec.width)),
             waiting: 0.into(),
-            asked: 0.into(),
+            received: 0.into(),
             faults: Mutex::new(spec.faults.clone()),
             journal: Mutex::new(Journal::default()),
-            held: Mutex::new(held),
+            state: Mutex::new(state),
             spec,
         })
     }
@@ -109,35 +113,35 @@
     }
 
     /// Says that the target is leaving, as its host would.
-    pub fn leave(&self) {
-        self.held.lock().expect("no panic while held").leaving = true;
+    pub fn set_leaving(&self) {
+        self.state.lock().expect("no panic while held").leaving = true;
     }
 
     /// Runs so far.
-    pub fn runs(&self) -> Vec<Ran> {
+    pub fn runs(&self) -> Vec<RunRecord> {
         self.journal.lock().expect("no panic while held").runs().to_vec()
     }
 
     /// Calls that arrived so far, refused and failed ones included.
     pub fn call_count(&self) -> usize {
-        self.asked.load(std::sync::atomic::Ordering::Relaxed)
+        self.received.load(std::sync::atomic::Ordering::Relaxed)
     }
 
     /// Orders obeyed so far.
     pub fn orders(&self) -> Vec<Order> {
-        self.held.lock().expect("no panic while held").orders.clone()
+        self.state.lock().expect("no panic while held").orders.clone()
     }
 
     /// Prompt tokens asked for and found cached; engines only.
-    pub async fn cache(&self) -> (u64, u64) {
+    pub async fn cache_tokens(&self) -> (u64, u64) {
         match &self.engine {
-            Some(e) => e.ask(State).await.map_or((0, 0), |s| (s.prompt, s.cached)),
+            Some(e) => e.ask(GetState).await.map_or((0, 0), |s| (s.prompt_tokens, s.cached_tokens)),
             None => (0, 0),
         }
     }
 
     /// Calls running and waiting.
-    pub async fn running(&self) -> u32 {
+    pub async fn open_calls(&self) -> u32 {
         let report = self.report().await;
         report.running + report.queued
     }
@@ -149,44 +153,46 @@
     /// The target's load report.
     pub async fn report(&self) -> TargetReport {
         let (running, queued, wait) = match &self.engine {
-            Some(e) => e.ask(State).await.map_or((0, 0, 0), |s| (s.running, s.queued, s.wait)),
+            Some(e) => {
+                e.ask(GetState).await.map_or((0, 0, 0), |s| (s.running, s.queued, s.wait_ms))
+            }
             None => {
                 let running = (self.spec.width - self.slots.available_permits()) as u32;
                 let queued = self.waiting.load(std::sync::atomic::Ordering::Relaxed);
                 let turns = f64::from(queued) / self.spec.width as f64;
-                let wait = (turns * self.spec.service * self.faults().factor()) as u32;
+                let wait = (turns * self.spec.service * self.faults().slowdown_factor()) as u32;
                 (running, queued, wait)
             }
         };
-        let held = self.held.lock().expect("no panic while held");
+        let state = self.state.lock().expect("no panic while held");
         TargetReport {
             target: self.spec.name.clone(),
             running,
             queued,
             wait,
-            leaving: held.leaving || self.faults().refuse,
-            models: held.models.clone(),
-            epoch: held.epoch,
+            leaving: state.leaving || self.faults().refuse,
+            models: state.models.clone(),
+            epoch: state.epoch,
             seq: util::clock::unix_ms() / 100,
         }
     }
 
     fn refusal(&self, call: &Call) -> Option<&'static str> {
-        let held = self.held.lock().expect("no panic while held");
+        let state = self.state.lock().expect("no panic while held");
         if call.resume.is_some() {
             return None;
         }
-        if held.leaving || self.faults().refuse {
+        if state.leaving || self.faults().refuse {
             return Some("leaving");
         }
         let version = call.version.as_ref()?;
         let wanted = format!("{}@{version}", call.model.as_deref().unwrap_or_default());
-        let holds = held.models.iter().any(|m| **m == *wanted);
+        let holds = state.models.iter().any(|m| **m == *wanted);
         (!holds).then_some("model version not held")
     }
 
     async fn run(self: Arc<Self>, call: Call) -> Response<Body> {
-        self.asked.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        self.received.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let faults = self.faults();
         if faults.fail {
             return text(StatusCode::INTERNAL_SERVER_ERROR, "failed");
@@ -197,7 +203,7 @@
         if faults.stall {
             std::future::pending::<()>().await;
         }
-        let index = self.journal.lock().expect("no panic while held").begin(Ran {
+        let index = self.journal.lock().expect("no panic while held").begin(RunRecord {
             target: self.spec.name.clone(),
             attempt: call.attempt.clone(),
             step: call.step.clone(),
@@ -205,12 +211,12 @@
             resumed: call.resume.is_some(),
             done: false,
         });
-        let (tx, rx) = mpsc::channel(DEPTH);
-        let taken = match &self.engine {
+        let (tx, rx) = mpsc::channel(FRAME_BUFFER);
+        let accepted = match &self.engine {
             Some(engine) => {
                 let tag = faults.tag.then(|| self.spec.name.to_string());
-                let slow = faults.factor();
-                let submit = Submit { call, tag, slow, frames: tx };
+                let slowdown = faults.slowdown_factor();
+                let submit = Submit { call, tag, slowdown, frames: tx };
                 engine.ask(submit).await.unwrap_or(false)
             }
             None if call.resume.is_some() => false,
@@ -219,12 +225,12 @@
                 true
             }
         };
-        if !taken {
+        if !accepted {
             return text(StatusCode::NOT_FOUND, "nothing to resume");
         }
         let (sender, response) = stream("application/x-ndjson", 64);
-        let me = self.clone();
-        tokio::spawn(async move { me.deliver(index, rx, faults, sender).await });
+        let server = self.clone();
+        tokio::spawn(async move { server.deliver(index, rx, faults, sender).await });
         response
     }
 
@@ -234,7 +240,7 @@
         self.waiting.fetch_add(1, Relaxed);
         let slot = self.slots.clone().acquire_owned().await;
         self.waiting.fetch_sub(1, Relaxed);
-        let ms = self.spec.service * faults.factor();
+        let ms = self.spec.service * faults.slowdown_factor();
         if ms > 0.0 {
             tokio::time::sleep(Duration::from_secs_f64(ms / 1e3)).await;
         }
@@ -248,7 +254,7 @@
         let mut digest = Digest::default();
         digest.push(&answer);
         let mut count = 0;
-        for piece in pieces(&answer) {
+        for piece in split_answer(&answer) {
             let frame =
                 Frame::Chunk { attempt: call.attempt.clone(), seq: count, text: piece.into() };
             count += 1;
@@ -268,7 +274,7 @@
         faults: TargetFaults,
         mut sender: util::http::Sender,
     ) {
-        let mut held = Vec::new();
+        let mut buffered = Vec::new();
         let mut sent = 0;
         while let Some(frame) = rx.recv().await {
             let end = matches!(frame, Frame::End { .. });
@@ -278,12 +284,12 @@
             if faults.drop {
                 return;
             }
-            held.push(frame);
-            if faults.mangles() && !end {
+            buffered.push(frame);
+            if faults.needs_whole_answer() && !end {
                 continue;
             }
-            let ready = std::mem::take(&mut held);
-            let ready = if faults.mangles() { faults.mangle(ready) } else { ready };
+            let ready = std::mem::take(&mut buffered);
+            let ready = if faults.needs_whole_answer() { faults.corrupt(ready) } else { ready };
             for f in ready {
                 if faults.cut.is_some_and(|n| sent >= n) {
                     return;
@@ -307,25 +313,25 @@
         }
     }
 
-    fn obey(&self, order: Order) -> Reply {
-        let mut held = self.held.lock().expect("no panic while held");
-        if self.spec.fenced && order.epoch < held.epoch {
-            return Reply::Fenced { epoch: held.epoch };
+    fn apply_order(&self, order: Order) -> Reply {
+        let mut state = self.state.lock().expect("no panic while held");
+        if self.spec.fenced && order.epoch < state.epoch {
+            return Reply::Fenced { epoch: state.epoch };
         }
-        held.epoch = held.epoch.max(order.epoch);
+        state.epoch = state.epoch.max(order.epoch);
         match &order.task {
-            Task::Load(v) if !held.models.contains(v) => held.models.push(v.clone()),
+            Task::Load(v) if !state.models.contains(v) => state.models.push(v.clone()),
             Task::Load(_) => {}
-            Task::Unload(v) => held.models.retain(|m| m != v),
-            Task::Drain => held.leaving = true,
+            Task::Unload(v) => state.models.retain(|m| m != v),
+            Task::Drain => state.leaving = true,
         }
-        held.orders.push(order);
+        state.orders.push(order);
         Reply::Done
     }
 }
 
 /// Cuts a text into about three pieces at character boundaries.
-fn pieces(text: &str) -> Vec<&str> {
+fn split_answer(text: &str) -> Vec<&str> {
     let size = text.len().div_ceil(3).max(1);
     let mut out = Vec::new();
     let mut rest = text;
@@ -346,25 +352,27 @@
         let path = request.uri().path().to_string();
         let bad = |e: String| text(StatusCode::BAD_REQUEST, e);
         match (request.method(), path.as_str()) {
-            (&Method::POST, "/run") => match read_json(request, CALL_MAX).await {
+            (&Method::POST, "/run") => match read_json(request, MAX_CALL_BYTES).await {
                 Ok(call) => self.run(call).await,
                 Err(e) => bad(e),
             },
-            (&Method::POST, "/cancel") => match read_json::<Cancel>(request, CALL_MAX).await {
-                Ok(c) => {
-                    if let Some(e) = &self.engine {
-                        let _ = e.tell(CancelCall(c.attempt)).await;
+            (&Method::POST, "/cancel") => {
+                match read_json::<Cancel>(request, MAX_CALL_BYTES).await {
+                    Ok(c) => {
+                        if let Some(e) = &self.engine {
+                            let _ = e.tell(CancelCall(c.attempt)).await;
+                        }
+                        json(StatusCode::OK, &())
                     }
-                    json(StatusCode::OK, &())
+                    Err(e) => bad(e),
                 }
-                Err(e) => bad(e),
-            },
+            }
             (&Method::GET, "/load") => json(StatusCode::OK, &self.report().await),
-            (&Method::POST, "/order") => match read_json(request, CALL_MAX).await {
-                Ok(order) => json(StatusCode::OK, &self.obey(order)),
+            (&Method::POST, "/order") => match read_json(request, MAX_CALL_BYTES).await {
+                Ok(order) => json(StatusCode::OK, &self.apply_order(order)),
                 Err(e) => bad(e),
             },
-            (&Method::POST, "/faults") => match read_json(request, CALL_MAX).await {
+            (&Method::POST, "/faults") => match read_json(request, MAX_CALL_BYTES).await {
                 Ok(faults) => {
                     self.set_faults(faults);
                     json(StatusCode::OK, &())
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -8,11 +8,11 @@
 use serde_json::{Value, json};
 
 /// Dimensions of a vector.
-const DIMS: usize = 16;
+const VECTOR_DIMS: usize = 16;
 /// Passages that retrieval keeps.
-const RETRIEVED: usize = 12;
+const MAX_PASSAGES: usize = 12;
 /// Sentences that generation writes.
-const WRITTEN: usize = 5;
+const MAX_SENTENCES: usize = 5;
 
 /// Words of a text, in any script.
 pub fn words(text: &str) -> impl Iterator<Item = String> + '_ {
@@ -26,16 +26,16 @@
     parts.map(str::trim).filter(|s| !s.is_empty()).collect()
 }
 
-fn vector(text: &str) -> [i32; DIMS] {
-    let mut v = [0; DIMS];
+fn vector(text: &str) -> [i32; VECTOR_DIMS] {
+    let mut v = [0; VECTOR_DIMS];
     for w in words(text) {
         let h = hash::hash64(w.as_bytes());
-        v[(h as usize) % DIMS] += if h >> 63 == 0 { 1 } else { -1 };
+        v[(h as usize) % VECTOR_DIMS] += if h >> 63 == 0 { 1 } else { -1 };
     }
     v
 }
 
-fn dot(a: &[i32; DIMS], b: &[i32; DIMS]) -> i32 {
+fn dot(a: &[i32; VECTOR_DIMS], b: &[i32; VECTOR_DIMS]) -> i32 {
     a.iter().zip(b).map(|(x, y)| x * y).sum()
 }
 
@@ -71,7 +71,7 @@
         .map(|s| (dot(&vector(&s), &query), s.len(), s))
         .collect();
     scored.sort_by(|a, b| b.cmp(a));
-    let passages: Vec<_> = scored.into_iter().take(RETRIEVED).map(|(_, _, s)| s).collect();
+    let passages: Vec<_> = scored.into_iter().take(MAX_PASSAGES).map(|(_, _, s)| s).collect();
     json!({ "passages": passages }).to_string()
 }
 
@@ -94,9 +94,9 @@
         chosen = sentences(request_text(input)).into_iter().map(String::from).collect();
     }
     let whole = request_text(input);
-    chosen.truncate(WRITTEN);
+    chosen.truncate(MAX_SENTENCES);
     chosen.sort_by_key(|s| whole.find(s.as_str()).unwrap_or(usize::MAX));
-    let most = input["request"]["tokens"].as_u64().map_or(usize::MAX, |n| n as usize);
+    let length = input["request"]["tokens"].as_u64().map_or(usize::MAX, |n| n as usize);
     let mut text: Vec<String> = Vec::new();
     for s in chosen {
         let lead = if text.is_empty() { "- " } else { "\n- " };
@@ -105,10 +105,10 @@
         }
     }
     // A request may ask for a length, as load tools do.
-    if most != usize::MAX {
+    if length != usize::MAX {
         let n = text.len().max(1);
         let filler = |i: usize| text.get(i % n).cloned().unwrap_or_else(|| " -".into());
-        return (0..most).map(filler).collect();
+        return (0..length).map(filler).collect();
     }
     text
 }
