--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 
-/// Declares pipelines, workspaces, pools and models, and watches what becomes of them.
+/// Manages pipelines, workspaces, pools and models, and reports their status.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum Args {
@@ -15,7 +15,7 @@
         #[bpaf(short('f'), long("files"), argument("PATH"))]
         files: PathBuf,
     },
-    /// Write declarations, each on condition that nobody changed it meanwhile
+    /// Apply declarations; fails if an object was changed concurrently
     #[bpaf(command)]
     Apply {
         /// Folder or file of YAML declarations
@@ -24,9 +24,9 @@
         /// Address of the Object API
         #[bpaf(argument("ADDRESS"), env("PUMICEVALE_STORE"))]
         store: String,
-        /// Return when the status says that it is in force everywhere
+        /// Wait until the status reports the changes in force on every node
         wait: bool,
-        /// Seconds to wait at most
+        /// Maximum seconds to wait
         #[bpaf(argument("SECONDS"), fallback(30))]
         timeout: u64,
     },
@@ -49,7 +49,7 @@
         /// Kind: Pipeline, Workspace, Pool, Model or Drain
         #[bpaf(positional("KIND"))]
         kind: String,
-        /// Name; all of the kind if left out
+        /// Name; every object of the kind if omitted
         #[bpaf(positional("NAME"))]
         name: Option<String>,
     },
@@ -59,26 +59,26 @@
         /// Address of the Object API
         #[bpaf(argument("ADDRESS"), env("PUMICEVALE_STORE"))]
         store: String,
-        /// Seconds to watch; without end if left out
+        /// Seconds to watch; unlimited if omitted
         #[bpaf(argument("SECONDS"))]
         seconds: Option<u64>,
     },
-    /// Empty a host, or take that back
+    /// Drain a host, or undo its drain
     #[bpaf(command)]
     Drain {
         /// Address of the Object API
         #[bpaf(argument("ADDRESS"), env("PUMICEVALE_STORE"))]
         store: String,
-        /// Take the drain back
+        /// Undo the drain
         undo: bool,
-        /// Why, for people
+        /// Reason, for operators
         #[bpaf(argument("TEXT"), fallback(String::new()))]
         reason: String,
-        /// Host
+        /// Host name
         #[bpaf(positional("HOST"))]
         host: String,
     },
-    /// Show the way of one request through the logs of the nodes
+    /// Trace one request through the logs of the nodes
     #[bpaf(command)]
     Explain {
         /// Request id
@@ -88,30 +88,30 @@
         #[bpaf(positional("FILE"), some("name at least one log file"))]
         files: Vec<PathBuf>,
     },
-    /// Reports from live nodes
+    /// Report on live nodes
     #[bpaf(command)]
     Report(#[bpaf(external(report))] Report),
 }
 
-/// Reports.
+/// Reports computed from the metrics of live nodes.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Report {
-    /// Burn of the deadline objective and cost by stage
+    /// Burn rate of the deadline objective, and cost by stage
     #[bpaf(command)]
     Burn {
-        /// Entry node's caller address; may stand more than once
+        /// Caller address of an entry node; repeatable
         #[bpaf(long("entry"), argument("ADDRESS"), some("name at least one --entry"))]
         entries: Vec<String>,
-        /// Share of requests that must be complete in time
+        /// Share of requests that must complete in time
         #[bpaf(argument("SHARE"), fallback(0.95))]
         objective: f64,
-        /// Seconds of the short window
+        /// Short window in seconds
         #[bpaf(argument("SECONDS"), fallback(5))]
         short: u64,
-        /// Seconds of the long window
+        /// Long window in seconds
         #[bpaf(argument("SECONDS"), fallback(30))]
         long: u64,
-        /// YAML in place of a table
+        /// Print YAML instead of a table
         yaml: bool,
     },
 }
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `pumicevale apply`: writes declarations, each on condition.
+//! `pumicevale apply`: writes each declaration conditionally on its version.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -10,26 +10,26 @@
 use crate::declare::{self, Declaration};
 use crate::remote::{Remote, WriteResult};
 
-/// Wait between two looks at the status.
+/// Delay between two reads of the status.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks after which a refusal counts as final.
+/// Status reads with a rejection after which the rejection is final.
 const MAX_REJECTED_POLLS: u32 = 15;
 
-/// Writes declarations.
+/// Arguments of `apply`.
 pub struct Apply {
-    /// Folder or file.
+    /// File or directory of declarations.
     pub files: PathBuf,
     /// Address of the Object API.
     pub store: String,
-    /// Whether to wait until all is in force.
+    /// Whether to wait until everything is in force.
     pub wait: bool,
-    /// Seconds to wait at most.
+    /// Maximum seconds to wait.
     pub timeout: u64,
 }
 
 impl Apply {
-    /// Reads the files, writes what differs and, if asked, waits.
+    /// Loads the files, writes the objects that differ and optionally waits.
     pub async fn run(self) -> anyhow::Result<()> {
         let all = declare::load(&self.files)?;
         let remote = Remote::new(&self.store)?;
@@ -44,16 +44,16 @@
     }
 }
 
-/// One object as written.
+/// An object that was written.
 #[derive(Debug, Clone)]
 pub struct Written {
-    /// `Kind/name`.
+    /// Key, `Kind/name`.
     pub key: String,
-    /// Version.
+    /// Version after the write.
     pub version: u64,
 }
 
-/// Writes what differs, in the order in which objects need each other.
+/// Writes the objects that differ, referenced kinds first.
 pub async fn write_all(remote: &Remote, mut all: Vec<Declaration>) -> anyhow::Result<Vec<Written>> {
     let rank = |d: &Declaration| KINDS.iter().position(|k| *k == d.spec.kind());
     all.sort_by_key(rank);
@@ -75,8 +75,8 @@
     Ok(written)
 }
 
-/// Waits until every written version was accepted and is in force on every node
-/// that the failure domains report; returns the manifest's number.
+/// Waits until every written version is accepted and in force on all nodes that the failure
+/// domains report; returns the manifest number.
 pub async fn wait_in_force(
     remote: &Remote,
     written: &[Written],
@@ -114,7 +114,7 @@
             if s.accepted || s.version > w.version {
                 return Ok(s.number);
             }
-            // What it needs may be on its way in the same apply.
+            // An object that it references may still be in flight from the same apply.
             refused += 1;
             anyhow::ensure!(
                 refused < MAX_REJECTED_POLLS,
--- a/crates/cli/src/cmd/burn.rs
+++ b/crates/cli/src/cmd/burn.rs
@@ -1,6 +1,6 @@
-//! `pumicevale report burn`: how fast the deadline objective's error budget
-//! burns, by pipeline and workspace, over a short and a long window; and the
-//! cost by stage. Burn 1 uses the budget up exactly over the objective's period.
+//! `pumicevale report burn`: burn rate of the deadline objective's error budget by pipeline and
+//! workspace, over a short and a long window, and cost by stage. A burn rate of 1 consumes exactly
+//! the whole budget over the objective's period.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 use crate::metrics::{self, Sample};
 
-/// Reports burn and cost.
+/// Arguments of `report burn`.
 pub struct Burn {
-    /// Entry nodes.
+    /// Caller addresses of entry nodes.
     pub entries: Vec<String>,
-    /// Share that must be complete in time.
+    /// Share of requests that must complete in time.
     pub objective: f64,
     /// Short window, seconds.
     pub short: u64,
@@ -67,7 +67,8 @@
 type Costs = BTreeMap<(String, String), (f64, f64)>;
 
 impl Burn {
-    /// Samples at the start, before the short window and at the end, and prints.
+    /// Samples the counters at the start, before the short window and at the end, and prints the
+    /// report.
     pub async fn run(self) -> anyhow::Result<()> {
         anyhow::ensure!(
             self.objective > 0.0 && self.objective < 1.0,
@@ -85,7 +86,11 @@
         let last = self.sample(&client).await?;
         let document = self.document(&first, &middle, &last);
         if self.yaml {
-            print!("{}", serde_saphyr::to_string(&document).context("could not print")?);
+            print!(
+                "{}",
+                serde_saphyr::to_string(&document)
+                    .context("could not encode the report as YAML")?
+            );
         } else {
             print_table(&document);
         }
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -4,16 +4,16 @@
 
 use crate::{Remote, declare};
 
-/// Compares declarations with the Object API.
+/// Arguments of `diff`.
 pub struct Diff {
-    /// Folder or file.
+    /// File or directory of declarations.
     pub files: PathBuf,
     /// Address of the Object API.
     pub store: String,
 }
 
 impl Diff {
-    /// Prints one line an object that differs.
+    /// Prints the objects that differ from the Object API, and their count.
     pub async fn run(self) -> anyhow::Result<()> {
         let all = declare::load(&self.files)?;
         let remote = Remote::new(&self.store)?;
--- a/crates/cli/src/cmd/drain.rs
+++ b/crates/cli/src/cmd/drain.rs
@@ -1,23 +1,23 @@
-//! `pumicevale drain`: empties a host, or takes that back.
+//! `pumicevale drain`: drains a host, or undoes its drain.
 
 use model::object::{Drain, Spec};
 
 use crate::Remote;
 
-/// Declares or deletes a Drain.
+/// Arguments of `drain`.
 pub struct DrainHost {
     /// Address of the Object API.
     pub store: String,
-    /// Whether to take it back.
+    /// Whether to undo the drain.
     pub undo: bool,
-    /// Why.
+    /// Reason, for operators.
     pub reason: String,
-    /// Host.
+    /// Host to drain.
     pub host: String,
 }
 
 impl DrainHost {
-    /// Writes or deletes the Drain named after the host.
+    /// Writes or deletes the `Drain` object that is named after the host.
     pub async fn run(self) -> anyhow::Result<()> {
         model::name::check(&self.host)?;
         let remote = Remote::new(&self.store)?;
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -1,10 +1,10 @@
-//! `pumicevale explain`: the way of one request through the nodes' logs.
+//! `pumicevale explain`: traces one request through the nodes' logs.
 
 use std::path::PathBuf;
 
 use crate::trace::{Line, Trace};
 
-/// Explains a request.
+/// Arguments of `explain`.
 pub struct Explain {
     /// Request id.
     pub id: String,
@@ -13,7 +13,7 @@
 }
 
 impl Explain {
-    /// Prints the request's lines in order of time, and what ended it.
+    /// Prints the request's lines in time order, and how it ended.
     pub fn run(self) -> anyhow::Result<()> {
         let trace = Trace::read(&self.id, &self.files)?;
         if trace.malformed > 0 {
--- a/crates/cli/src/cmd/get.rs
+++ b/crates/cli/src/cmd/get.rs
@@ -6,13 +6,13 @@
 
 use crate::Remote;
 
-/// Shows objects.
+/// Arguments of `get`.
 pub struct Get {
     /// Address of the Object API.
     pub store: String,
-    /// Kind.
+    /// Kind, in any case.
     pub kind: String,
-    /// Name, or all.
+    /// Name; every object of the kind if `None`.
     pub name: Option<String>,
 }
 
@@ -27,7 +27,7 @@
         let names: Vec<String> = match self.name {
             Some(n) => vec![n],
             None => {
-                let listing = remote.store().list(kind).await.context("could not list")?;
+                let listing = remote.store().list(kind).await.context("could not list objects")?;
                 listing.objects.iter().map(|o| o.name.to_string()).collect()
             }
         };
@@ -52,6 +52,11 @@
         "author": e.author,
         "status": status,
     });
-    println!("---\n{}", serde_saphyr::to_string(&document).context("could not print")?.trim_end());
+    println!(
+        "---\n{}",
+        serde_saphyr::to_string(&document)
+            .context("could not encode the object as YAML")?
+            .trim_end()
+    );
     Ok(())
 }
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file a subcommand.
+//! Subcommands, one module each.
 
 mod apply;
 mod burn;
@@ -16,7 +16,7 @@
 pub use apply::{Apply, Written, wait_in_force, write_all};
 pub use burn::Burn;
 
-/// Runs a subcommand.
+/// Runs the subcommand on a runtime of its own.
 pub fn run(args: Args) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/cli/src/cmd/validate.rs
+++ b/crates/cli/src/cmd/validate.rs
@@ -4,14 +4,14 @@
 
 use crate::declare;
 
-/// Checks declarations.
+/// Arguments of `validate`.
 pub struct Validate {
-    /// Folder or file.
+    /// File or directory of declarations.
     pub files: PathBuf,
 }
 
 impl Validate {
-    /// Prints the count of valid objects.
+    /// Checks the declarations and prints the number of objects.
     pub fn run(self) -> anyhow::Result<()> {
         let all = declare::load(&self.files)?;
         println!("{}: {} objects are valid", self.files.display(), all.len());
--- a/crates/cli/src/cmd/watch.rs
+++ b/crates/cli/src/cmd/watch.rs
@@ -8,19 +8,19 @@
 
 use crate::Remote;
 
-/// How long one watch waits.
+/// Timeout of one watch call.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Prints statuses.
+/// Arguments of `watch`.
 pub struct Watch {
     /// Address of the Object API.
     pub store: String,
-    /// Seconds to watch, or without end.
+    /// Seconds to watch; unlimited if `None`.
     pub seconds: Option<u64>,
 }
 
 impl Watch {
-    /// Prints one line a change.
+    /// Prints a line for each changed status.
     pub async fn run(self) -> anyhow::Result<()> {
         let remote = Remote::new(&self.store)?;
         let deadline = self.seconds.map(|s| Instant::now() + Duration::from_secs(s));
--- a/crates/cli/src/declare.rs
+++ b/crates/cli/src/declare.rs
@@ -1,5 +1,5 @@
-//! Declarations in YAML files: one or more documents a file, each with `kind`,
-//! `name` and `spec`. An error names file, line and column.
+//! Loads declarations from YAML files with one or more documents, each with `kind`, `name` and
+//! `spec`. Errors name the file, line and column.
 
 use std::path::{Path, PathBuf};
 
@@ -9,21 +9,21 @@
 use serde::{Deserialize, de::DeserializeOwned};
 use util::settings::syntax_error;
 
-/// One declared object and where it stands.
+/// One declared object and its location.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Declaration {
-    /// File.
+    /// File that declares it.
     pub path: PathBuf,
-    /// Line of the document's start, from 1.
+    /// First line of the document, counted from 1.
     pub line: u64,
-    /// Name.
+    /// Object name, unique within its kind.
     pub name: Name,
-    /// Spec.
+    /// Declared spec; its variant is the kind.
     pub spec: Spec,
 }
 
 impl Declaration {
-    /// `Kind/name`.
+    /// Key of the object, `Kind/name`.
     pub fn key(&self) -> String {
         format!("{}/{}", self.spec.kind(), self.name)
     }
@@ -43,7 +43,7 @@
     spec: S,
 }
 
-/// Reads a file, or every `.yaml` file under a folder, and checks it all together.
+/// Loads a file, or every YAML file below a directory, and checks all objects as one set.
 pub fn load(path: &Path) -> anyhow::Result<Vec<Declaration>> {
     let mut files = Vec::new();
     find_files(path, &mut files).with_context(|| format!("could not read {}", path.display()))?;
@@ -75,7 +75,7 @@
     Ok(())
 }
 
-/// Parses the documents of one file.
+/// Parses the documents of one file without checking references between objects.
 pub fn parse(path: &Path, text: &str) -> anyhow::Result<Vec<Declaration>> {
     let mut out = Vec::new();
     for (lines_before, part) in split_documents(text) {
@@ -118,7 +118,7 @@
     Ok((document.name, to_spec(document.spec)))
 }
 
-/// Documents of a text with the count of lines before each.
+/// Splits a text into documents, each with the number of lines before it.
 fn split_documents(text: &str) -> Vec<(u64, String)> {
     let mut out = vec![(0, String::new())];
     for (i, line) in text.lines().enumerate() {
@@ -132,7 +132,7 @@
     out
 }
 
-/// Checks declarations as a whole set.
+/// Checks declarations as one set: duplicates, values and references between objects.
 pub fn check(all: &[Declaration]) -> anyhow::Result<()> {
     let mut set = ObjectSet::default();
     let mut seen = std::collections::BTreeMap::new();
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operators' command line: declarations in files, the Object API beyond.
+//! The operators' command line: checks declarations in files, writes them to the Object API and
+//! reports on requests and nodes.
 
 pub mod args;
 pub mod cmd;
--- a/crates/cli/src/metrics.rs
+++ b/crates/cli/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Reads the counters of entry nodes.
+//! Reads counters from the metrics of entry nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,21 +6,21 @@
 use anyhow::Context;
 use util::http::Client;
 
-/// One sample's labels.
+/// Label values of a sample by label name.
 pub type Labels = BTreeMap<String, String>;
 
 /// One counter sample.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sample {
-    /// Metric.
+    /// Metric name.
     pub metric: String,
-    /// Labels.
+    /// Labels by name.
     pub labels: Labels,
-    /// Value.
+    /// Counter value.
     pub value: f64,
 }
 
-/// Reads the samples of one node.
+/// Reads all samples of the node at `address`.
 pub async fn read(client: &Client, address: &str) -> anyhow::Result<Vec<Sample>> {
     let text = client
         .text(address, "/metrics", Duration::from_secs(3))
@@ -41,7 +41,7 @@
     Some(Sample { metric: metric.into(), labels, value: value.parse().ok()? })
 }
 
-/// Labels of our own metrics hold names only, so there is nothing to unescape.
+/// Label values of pumicevale's metrics are plain names and need no unescaping.
 fn parse_labels(text: &str) -> Labels {
     let pairs = text.split(',').filter_map(|p| p.split_once('='));
     pairs.map(|(k, v)| (k.into(), v.trim_matches('"').into())).collect()
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! Declared objects in the Object API, written on condition.
+//! Declared objects in the Object API, written conditionally on their version.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 use store::{ErrorKind, HttpStore, Store};
 use util::http::Client;
 
-/// Tries to read back a write whose answer was lost.
+/// Reads after a write whose response was lost, to find out whether it was applied.
 const MAX_READ_BACKS: u32 = 10;
-/// Wait between them.
+/// Delay before each of these reads.
 const READ_BACK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What became of one write.
+/// Result of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteResult {
-    /// Nothing to change.
+    /// The stored spec already matches.
     Unchanged,
-    /// Written at this version.
+    /// Written with this new version.
     Written(u64),
 }
 
-/// The Object API as operators use it.
+/// Client of the Object API for operators.
 pub struct Remote {
     store: HttpStore,
     author: String,
 }
 
 impl Remote {
-    /// The API at an address, on behalf of whoever runs this.
+    /// Client of the API at `address`; writes name the user in `$USER` as their author.
     pub fn new(address: &str) -> anyhow::Result<Self> {
         address.parse::<std::net::SocketAddr>().with_context(|| {
             format!("--store {address:?} is not an IP address and port such as 10.0.0.1:7000")
@@ -39,19 +39,19 @@
         Ok(Remote { store: HttpStore::new(client, address.into()), author })
     }
 
-    /// The store itself.
+    /// The underlying store client.
     pub fn store(&self) -> &HttpStore {
         &self.store
     }
 
-    /// The version and envelope of a declared object.
+    /// Version and envelope of a declared object; no envelope if it does not exist.
     pub async fn read(&self, kind: &str, name: &str) -> anyhow::Result<(u64, Option<Envelope>)> {
         let stored = self.store.get(kind, name).await.context("could not read an object")?;
         let envelope = stored.value.map(serde_json::from_value).transpose();
         Ok((stored.version, envelope.with_context(|| format!("{kind}/{name} cannot be read"))?))
     }
 
-    /// Writes a spec, or deletes with `None`, if the version is still `expect`.
+    /// Writes a spec, or deletes the object with `None`, if its version is still `expect`.
     pub async fn write(
         &self,
         kind: &str,
@@ -84,12 +84,12 @@
         let (version, envelope) = self.read(kind, name).await?;
         let what = match envelope {
             Some(e) => format!("{} changed it to {}", e.author, e.spec),
-            None => "somebody deleted it".into(),
+            None => "it was deleted".into(),
         };
         anyhow::bail!("{kind}/{name}: was version {expect}, is now {version}: {what}")
     }
 
-    /// Reads back a write whose answer was lost.
+    /// Reads the object back after a write whose response was lost; the nonce identifies the write.
     async fn resolve_lost_write(
         &self,
         kind: &str,
@@ -109,10 +109,11 @@
                 _ => {}
             }
         }
-        Err(lost).with_context(|| format!("{kind}/{name}: it is not known whether it was written"))
+        Err(lost)
+            .with_context(|| format!("{kind}/{name}: the write may or may not have been applied"))
     }
 
-    /// Status object of a declared object.
+    /// Status of the declared object `key`, if one was published.
     pub async fn status(&self, key: &str) -> anyhow::Result<Option<model::status::Status>> {
         let name = key.replace('/', ".");
         let stored =
@@ -120,7 +121,7 @@
         Ok(stored.value.and_then(|v| serde_json::from_value(v).ok()))
     }
 
-    /// How far the manifest has spread, by failure domain.
+    /// How many nodes apply the manifest, by failure domain.
     pub async fn fleet_statuses(&self) -> anyhow::Result<Vec<(String, model::status::Fleet)>> {
         let listing = self.store.list(kind::STATUS).await.context("could not list statuses")?;
         let mut out = Vec::new();
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,4 +1,4 @@
-//! Reads the log lines of several nodes and joins those of one request.
+//! Reads the logs of several nodes and merges the lines of one request.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -8,42 +8,42 @@
 use anyhow::Context;
 use serde_json::{Map, Value};
 
-/// Bytes of a file between two reports of progress.
+/// Bytes read between two progress messages.
 const PROGRESS_INTERVAL_BYTES: u64 = 64 << 20;
-/// Fields that every line has, shown apart from the others.
+/// Fields common to all lines, left out of a line's details.
 const COMMON_FIELDS: [&str; 4] = ["at_ms", "node", "event", "id"];
 
-/// Event that tells of a failure domain whose targets get nothing new, or may again.
+/// Start or end of an evacuation of a failure domain, whose targets receive no new work.
 const EVACUATION: &str = "evacuation";
-/// Beginning of the events that tell of a service's move to another version.
+/// Prefix of the events of a service's rollout.
 const ROLLOUT_PREFIX: &str = "rollout";
 
 /// One log line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
-    /// Wall-clock time as the line has it; lines of nodes are ordered by it.
+    /// Wall-clock time as written; lines are ordered by it across nodes.
     pub time: String,
-    /// Node that wrote it.
+    /// Node that wrote the line.
     pub node: String,
     /// Milliseconds since that node's start.
     pub at_ms: u64,
-    /// What happened.
+    /// Event name.
     pub event: String,
-    /// All fields.
+    /// All fields, common ones included.
     pub fields: Map<String, Value>,
 }
 
-/// Lines of one request, and what concerns its targets meanwhile.
+/// Lines of one request, and events about its targets while it was open.
 #[derive(Debug, Default)]
 pub struct Trace {
-    /// Lines in order of time.
+    /// Lines in time order.
     pub lines: Vec<Line>,
-    /// Lines that could not be read.
+    /// Number of lines that look like events but cannot be parsed.
     pub malformed: u64,
 }
 
 impl Line {
-    /// Reads a line; `None` if it is no event, an error if it looks like one and is not.
+    /// Parses a line; `None` if it is not an event, an error if its JSON is malformed.
     pub fn parse(text: &str) -> Option<Result<Line, serde_json::Error>> {
         let start = text.find('{')?;
         let fields = match serde_json::from_str::<Map<String, Value>>(&text[start..]) {
@@ -66,7 +66,7 @@
         self.fields.get(name).and_then(Value::as_u64).unwrap_or_default()
     }
 
-    /// The fields that are this event's own, as `name=value`.
+    /// Fields specific to the event, as `name=value`.
     pub fn details(&self) -> String {
         let own = self.fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
         let text = own.map(|(name, value)| match value {
@@ -79,8 +79,8 @@
 }
 
 impl Trace {
-    /// Joins the lines of request `id` in `files`, and those that tell of the targets
-    /// it was sent to while it was open.
+    /// Collects the lines of request `id` from `files`, with the events about the targets it was
+    /// sent to, evacuations and rollouts while it was open.
     pub fn read(id: &str, files: &[impl AsRef<Path>]) -> anyhow::Result<Trace> {
         let mut trace = Trace::default();
         let mut related = Vec::new();
@@ -138,8 +138,8 @@
         }
     }
 
-    /// The region of the last target that was chosen, and the regions that were allowed if the
-    /// rules named any; nothing if no region is known.
+    /// Region of the last chosen target, with the allowed regions if the rules restrict them;
+    /// empty if the region is unknown.
     fn region_summary(&self) -> String {
         let Some(chosen) = self.lines.iter().rev().find(|l| l.event == "chosen") else {
             return String::new();
@@ -155,7 +155,7 @@
         }
     }
 
-    /// What ended the request, in a sentence, from its last line.
+    /// One sentence on how the request ended, from its final line.
     pub fn cause(&self) -> String {
         let Some(end) = self.lines.iter().rev().find(|l| l.event == "request") else {
             return "no final answer in these files: the node ended, or its log is missing".into();
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Which version the request was last sent to and why, if its target tells one.
+    /// Version that the request was last sent to and the reason; empty if the target reports none.
     fn version_summary(&self) -> String {
         let chosen = self.lines.iter().rev().find(|l| l.event == "chosen");
         let Some(chosen) = chosen.filter(|l| !l.text_field("version").is_empty()) else {
@@ -217,7 +217,7 @@
     }
 }
 
-/// Reports on a terminal how much of a large file has been read.
+/// Prints the progress through a large file if stderr is a terminal.
 struct Progress<'a> {
     file: &'a Path,
     size: u64,
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line against the Object API's stand-in, and its exit codes.
+//! The command line against a stand-in of the Object API, and its exit codes.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_bad_file_exits_2_and_names_the_place() {
+fn invalid_file_exits_with_2_and_its_location() {
     let file = write_file("bad", "kind: Workspace\nname: w\nspec:\n  deadlin: 5\n");
     let out = run(&["validate", "-f", file.to_str().expect("a path")]);
     assert_eq!(out.status.code(), Some(2), "{}", output_text(&out));
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn apply_diff_get_and_drain_work_and_a_lost_answer_is_read_back() {
+async fn commands_succeed_and_a_lost_write_is_read_back() {
     let (_stopper, stop) = util::stop::channel();
     let (at, api, _) = standin::run::start_api("127.0.0.1:0", stop).await.expect("started");
     let store = at.to_string();
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_write_after_somebody_elses_says_who_changed_what() {
+async fn write_conflict_names_author_and_change() {
     let (_stopper, stop) = util::stop::channel();
     let (at, _, _) = standin::run::start_api("127.0.0.1:0", stop).await.expect("started");
     let remote = cli::Remote::new(&at.to_string()).expect("an address");
--- a/crates/cli/tests/declare.rs
+++ b/crates/cli/tests/declare.rs
@@ -1,5 +1,4 @@
-//! Declarations: every fault names its place and what would be right; both
-//! users' examples are valid.
+//! Errors in declarations name their location and the remedy; the example declarations are valid.
 
 use std::path::Path;
 
@@ -11,7 +10,7 @@
 }
 
 #[test]
-fn a_fault_names_file_line_and_column_or_object_and_field() {
+fn errors_name_file_line_and_column_or_object_and_field() {
     let cases = [
         ("unknown key", "kind: Workspace\nname: w\nspec:\n  deadlin: 5\n", "x.yaml:4:3: "),
         ("wrong type", "kind: Workspace\nname: w\nspec:\n  deadline: soon\n", "x.yaml:4:13: "),
@@ -58,14 +57,14 @@
             "x.yaml:5: Drain/a is already declared at x.yaml:1",
         ),
     ];
-    for (name, text, says) in cases {
+    for (name, text, expected) in cases {
         let got = load_error(text);
-        assert!(got.contains(says), "{name}: {got}");
+        assert!(got.contains(expected), "{name}: {got}");
     }
 }
 
 #[test]
-fn an_engine_stage_needs_a_model_of_its_pool() {
+fn engine_stage_requires_a_model_of_its_pool() {
     let pool = "kind: Pool\nname: e\nspec: {role: engine, cost: 1, targets: [{name: t, address: \"1.2.3.4:5\", domain: d, host: h}]}\n---\n";
     let stage = |s: &str| format!("{pool}kind: Pipeline\nname: p\nspec: {{stages: [{s}]}}\n");
     assert!(load_error(&stage("{name: s, pool: e}")).contains("a stage on engines needs a model"));
@@ -76,7 +75,7 @@
 }
 
 #[test]
-fn the_examples_of_both_users_are_valid() {
+fn example_declarations_are_valid() {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     for (folder, objects) in [("parabaas", 18), ("imigongo", 18), ("processes/declarations", 9)] {
         let all = load(&examples.join(folder)).expect("valid");
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, by the logs alone.
+//! `explain` finds how a request ended from the nodes' logs alone.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -26,7 +26,7 @@
 ];
 
 #[test]
-fn the_lines_of_several_nodes_are_joined_in_order_and_end_in_a_cause() {
+fn lines_of_several_nodes_are_merged_in_time_order_with_a_cause() {
     let other = [
         r#"2026-12-02T10:00:00.900 INFO  {"at_ms":5,"node":"b","event":"stage","id":"r1","stage":1,"service":"rank","pieces":1,"made":true,"took_ms":100}"#,
         r#"2026-12-02T10:00:00.901 INFO  {"at_ms":6,"node":"b","event":"#,
@@ -41,15 +41,15 @@
         ["stage", "stage", "chosen", "ejected", "evacuation", "attempt", "request"],
         "{text}"
     );
-    assert!(text.contains("targets_age_ms=1200"), "the age of what was known: {text}");
+    assert!(text.contains("targets_age_ms=1200"), "age of the target view: {text}");
     assert!(text.contains("given up before it ran: no target"), "{text}");
     assert!(text.contains("slowest stage was 0 at encode with 700 ms"), "{text}");
-    assert!(!text.contains("r2"), "only this request: {text}");
+    assert!(!text.contains("r2"), "lines of another request: {text}");
     assert!(String::from_utf8_lossy(&out.stderr).contains("1 lines could not be read"));
 }
 
 #[test]
-fn each_outcome_is_told_in_words() {
+fn each_outcome_is_described() {
     let cases = [
         ("streamed", "answered with 200"),
         ("refused", "refused with 200 before it ran: W"),
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_region_of_the_last_target_is_told_and_what_was_allowed() {
+fn region_of_the_last_target_and_allowed_regions_are_printed() {
     let cases = [
         (
             r#","region":"south","allowed":["south","west"]"#,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_version_that_served_a_request_is_told_and_why() {
+fn version_that_served_a_request_is_printed_with_its_reason() {
     let cases = [
         (r#""side":"trial","share":0.02,"#, "at version v2, on trial with 2.0 % of the requests"),
         (
@@ -110,12 +110,15 @@
         let out = explain("r", &[write_log(&format!("version-{n}"), &[&chosen, phase, end])]);
         let text = String::from_utf8_lossy(&out.stdout);
         assert!(text.contains(words), "{side}: {text}");
-        assert!(text.contains("rollout_phase"), "what changed meanwhile: {text}");
+        assert!(
+            text.contains("rollout_phase"),
+            "rollout events while the request was open: {text}"
+        );
     }
 }
 
 #[test]
-fn an_id_that_is_nowhere_and_a_file_that_is_missing_are_errors() {
+fn unknown_id_and_missing_file_are_errors() {
     let out = explain("r9", &[write_log("none", NODE_LOG)]);
     assert!(!out.status.success());
     assert!(String::from_utf8_lossy(&out.stderr).contains("no line of request \"r9\""));
