--- a/crates/standin/src/api.rs
+++ b/crates/standin/src/api.rs
@@ -1,4 +1,4 @@
-//! The Object API and the host list over HTTP.
+//! Stand-in of the Object API and the host list over HTTP.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -17,17 +17,17 @@
 use crate::faults::ApiFaults;
 use crate::objects::{MAX_VALUE_BYTES, Objects, PutError};
 
-/// Largest body taken; larger values than allowed are told by their size.
+/// Largest request body; above the value limit, so that larger values are rejected by size.
 const MAX_BODY_BYTES: usize = MAX_VALUE_BYTES * 2;
 
-/// Calls taken so far.
+/// Numbers of calls received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads and lists.
+    /// Reads and lists, also under a fault.
     pub reads: u64,
-    /// Writes and deletions.
+    /// Writes and deletions, rejected ones included.
     pub writes: u64,
-    /// Watches.
+    /// Watch calls.
     pub watches: u64,
 }
 
@@ -40,7 +40,7 @@
     hosts: BTreeMap<Name, bool>,
 }
 
-/// The Object API.
+/// Object API and host list with an HTTP handler.
 #[derive(Debug, Default)]
 pub struct Api {
     state: Mutex<State>,
@@ -53,30 +53,30 @@
 }
 
 impl Api {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> Arc<Self> {
         Arc::new(Api::default())
     }
 
-    /// Switches faults.
+    /// Replaces the active faults; `stale` takes a snapshot for later reads.
     pub fn set_faults(&self, faults: ApiFaults) {
         let mut s = self.lock();
         s.snapshot = faults.stale.then(|| s.objects.clone());
         s.faults = faults;
     }
 
-    /// Calls taken so far.
+    /// Numbers of calls received so far.
     pub fn calls(&self) -> Calls {
         self.lock().calls
     }
 
-    /// Values of every object of a kind, for audits.
+    /// Values of all objects of a kind that are not deleted, for audits.
     pub fn dump(&self, kind: &str) -> Vec<Value> {
         let listing = self.lock().objects.list(kind);
         listing.objects.into_iter().filter_map(|o| o.value).collect()
     }
 
-    /// Names a host and whether it is leaving.
+    /// Adds or updates a host in the host list.
     pub fn set_host(&self, host: &str, leaving: bool) {
         self.lock().hosts.insert(host.into(), leaving);
     }
--- a/crates/standin/src/args.rs
+++ b/crates/standin/src/args.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub struct Args {
-    /// Settings file, YAML
+    /// YAML settings file
     #[bpaf(argument("FILE"))]
     pub settings: PathBuf,
-    /// Only check the settings
+    /// Check the settings and exit
     pub check: bool,
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,9 +1,7 @@
-//! A model engine: continuous batching with limited KV memory, a prefix cache,
-//! prefill and decode rates, priorities, resume and cancel.
-//!
-//! One step of the batch takes `step` milliseconds: it prefills up to a number
-//! of prompt tokens and decodes one token of every other running sequence. A
-//! token is a word.
+//! Simulated model engine: continuous batching with limited KV memory, a prefix cache, prefill
+//! and decode rates, priorities, resume and cancel. A step of the batch takes `step` milliseconds,
+//! prefills up to `prefill` prompt tokens and decodes one token of each sequence whose prompt is
+//! done. A token is a word.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -18,22 +16,22 @@
 
 use crate::text;
 
-/// Tokens in one block of the prefix cache.
+/// Tokens per block of the prefix cache.
 const BLOCK_TOKENS: usize = 16;
-/// Streams kept for a resume.
+/// Finished streams kept for a resume.
 const MAX_FINISHED_STREAMS: usize = 512;
 
-/// Rates and sizes of an engine.
+/// Rates and capacities of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineSpec {
-    /// Milliseconds of one step of the batch.
+    /// Duration of one batch step in milliseconds.
     pub step: f64,
-    /// Prompt tokens prefilled in one step.
+    /// Prompt tokens prefilled per step.
     pub prefill: usize,
-    /// Sequences that run at once.
+    /// Sequences that run concurrently.
     pub batch: usize,
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache: usize,
 }
 
@@ -43,39 +41,39 @@
     }
 }
 
-/// A call for the engine.
+/// Message that submits a call; replies `false` if it cannot be resumed.
 #[derive(Debug)]
 pub struct Submit {
-    /// The call.
+    /// Call to run or resume.
     pub call: Call,
-    /// Mark on each word.
+    /// Tag to append to each word.
     pub tag: Option<String>,
-    /// Factor on the step's time.
+    /// Factor on the duration of a step.
     pub slowdown: f64,
-    /// Where the frames go.
+    /// Receives the frames of the answer.
     pub frames: mpsc::Sender<Frame>,
 }
 
-/// Stops a call.
+/// Message that cancels the call of an attempt.
 #[derive(Debug)]
 pub struct CancelCall(pub Attempt);
 
-/// Asks for the state.
+/// Message that asks for the engine's state.
 #[derive(Debug)]
 pub struct GetState;
 
-/// State of an engine.
+/// Load and cache counters of an engine.
 #[derive(Debug, Clone, Copy, Default, kameo::Reply)]
 pub struct EngineState {
-    /// Sequences running.
+    /// Running sequences.
     pub running: u32,
-    /// Sequences waiting.
+    /// Queued sequences.
     pub queued: u32,
-    /// Expected wait of a new call, milliseconds.
+    /// Expected queue wait of a new call in milliseconds.
     pub wait_ms: u32,
-    /// Prompt tokens asked for since the start.
+    /// Prompt tokens submitted since the start.
     pub prompt_tokens: u64,
-    /// Of those, found in the cache.
+    /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
 }
 
@@ -100,7 +98,7 @@
     first_seq: u64,
 }
 
-/// The engine.
+/// Actor that runs the batch.
 #[derive(Debug)]
 pub struct Engine {
     spec: EngineSpec,
@@ -117,7 +115,7 @@
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(spec: EngineSpec) -> Self {
         Engine {
             spec,
@@ -138,7 +136,7 @@
         let prompts: usize =
             self.running.iter().chain(self.queue.values()).map(|s| s.prefill_left).sum();
         let prefill = prompts as f64 / self.spec.prefill as f64;
-        // A queued sequence waits for a running one to end, half way on average.
+        // A queued sequence waits for a running one to end, which is half done on average.
         let left: usize = self.running.iter().map(|s| s.words.len()).sum();
         let mean = left as f64 / self.running.len().max(1) as f64;
         let turns = self.queue.len() as f64 / self.spec.batch as f64;
@@ -182,7 +180,7 @@
         true
     }
 
-    /// Goes on with an earlier attempt's stream; runs nothing again.
+    /// Continues the stream of an earlier attempt without running it again.
     fn resume(&mut self, old: Attempt, s: Submit) -> bool {
         let at = s.call.from;
         if let Some(seq) = self.running.iter_mut().find(|r| r.attempt == old) {
@@ -289,7 +287,7 @@
         self.send_chunk(seq, word);
     }
 
-    /// A reader that is slow or gone loses frames; it resumes.
+    /// Drops the frame if the reader is slow or disconnected; the reader can resume.
     fn send_chunk(&self, seq: u64, text: String) {
         let _ = self.frames.try_send(Frame::Chunk { attempt: self.attempt.clone(), seq, text });
     }
@@ -351,7 +349,7 @@
     }
 }
 
-/// Blocks of prompts by the hash of everything up to them; least recently used go first.
+/// LRU cache of prompt blocks, keyed by the hash of the prompt up to the end of the block.
 #[derive(Debug)]
 struct PrefixCache {
     blocks: HashMap<u64, u64>,
@@ -365,7 +363,7 @@
         PrefixCache { blocks: HashMap::new(), order: BTreeMap::new(), clock: 0, capacity }
     }
 
-    /// Tokens of the prompt's head that were cached; caches the whole prompt.
+    /// Returns the number of cached tokens at the start of the prompt, then caches all its blocks.
     fn lookup_and_insert(&mut self, prompt: &[String]) -> usize {
         let (mut chain, mut hit, mut unbroken) = (0, 0, true);
         for block in prompt.chunks_exact(BLOCK_TOKENS) {
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,52 +1,52 @@
-//! Faults on demand.
+//! Faults that a stand-in can be told to show.
 
 use model::attempt::{Attempt, Frame};
 use serde::{Deserialize, Serialize};
 
-/// Faults of a target; all off by default.
+/// Faults of a target, all off by default.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TargetFaults {
-    /// Work takes this many times as long; 0 means 1.
+    /// Factor on the duration of work; 0 means 1.
     pub slow: f64,
-    /// Answers no run at all, and keeps the connection open.
+    /// Never answers a call, and keeps its connection open.
     pub stall: bool,
-    /// Answers 500 before running.
+    /// Answers 500 without running the call.
     pub fail: bool,
-    /// Refuses as if leaving.
+    /// Refuses calls as if the target were leaving.
     pub refuse: bool,
-    /// Runs, then drops the connection before the first frame.
+    /// Runs the call, then drops the connection before the first frame.
     pub drop: bool,
-    /// Cuts the stream after this many frames.
+    /// Cuts the stream after this number of frames.
     pub cut: Option<usize>,
-    /// Swaps each pair of neighbouring frames.
+    /// Swaps each pair of adjacent frames.
     pub reorder: bool,
     /// Sends each frame twice.
     pub double: bool,
-    /// Sends a frame of another request before each of its own.
+    /// Sends a frame of another request before each frame.
     pub stray: bool,
-    /// Ends with a wrong digest.
+    /// Sends a wrong digest in the end frame.
     pub digest: bool,
-    /// Ends one chunk early.
+    /// Leaves out the last chunk, and counts one chunk less in the end frame.
     pub short: bool,
-    /// Marks each word with the target's name, to show a spliced answer.
+    /// Appends the target's name to each word, to reveal an answer spliced from several targets.
     pub tag: bool,
-    /// Load reports are this many milliseconds old.
+    /// Age of load reports in milliseconds.
     pub lag: u64,
 }
 
 impl TargetFaults {
-    /// Factor on every time.
+    /// Factor on every duration.
     pub fn slowdown_factor(&self) -> f64 {
         if self.slow > 0.0 { self.slow } else { 1.0 }
     }
 
-    /// Whether frames must be held back to be mangled as a whole.
+    /// Whether a fault can only be applied to a whole answer, so that frames are buffered.
     pub fn needs_whole_answer(&self) -> bool {
         self.reorder || self.double || self.stray || self.digest || self.short
     }
 
-    /// Applies the faults to a whole answer.
+    /// Applies the faults to the frames of a whole answer.
     pub fn corrupt(&self, mut frames: Vec<Frame>) -> Vec<Frame> {
         if self.short && frames.len() > 1 {
             frames.remove(frames.len() - 2);
@@ -74,7 +74,7 @@
     }
 }
 
-/// A frame with the same place in another request's answer.
+/// Frame of another request with the sequence number of `frame`.
 fn stray_frame(frame: &Frame) -> Frame {
     let attempt = Attempt { request: "somebody-else".into(), ..frame.attempt().clone() };
     let seq = match frame {
@@ -84,18 +84,18 @@
     Frame::Chunk { attempt, seq, text: "not yours".into() }
 }
 
-/// Faults of the Object API; all off by default.
+/// Faults of the Object API, all off by default.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ApiFaults {
-    /// Every call is refused with 503 and not carried out.
+    /// Rejects every call with 503 without executing it.
     pub down: bool,
-    /// Milliseconds that each call takes.
+    /// Delay of each call in milliseconds.
     pub slow: u64,
-    /// This many writes are carried out and their answers lost.
+    /// Number of next writes that are executed but never answered.
     pub lose: u32,
-    /// Reads and lists show the state of the moment when this was switched on.
+    /// Reads and lists return a snapshot taken when the fault was switched on.
     pub stale: bool,
-    /// Watches end at once and empty.
+    /// Watches return empty at once.
     pub drop: bool,
 }
--- a/crates/standin/src/journal.rs
+++ b/crates/standin/src/journal.rs
@@ -1,37 +1,37 @@
-//! What a target did, for the auditor.
+//! Journal of the calls that a target ran, for the auditor.
 
 use model::Name;
 use model::attempt::Attempt;
 use serde::{Deserialize, Serialize};
 
-/// One run of a call.
+/// One run of a call on a target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Target.
+    /// Target that ran it.
     pub target: Name,
-    /// Attempt.
+    /// Attempt that was sent to the target.
     pub attempt: Attempt,
-    /// Step.
+    /// Step of the pipeline.
     pub step: Name,
-    /// Workspace.
+    /// Workspace of the request.
     pub workspace: Name,
-    /// Whether it only read the rest of an earlier stream.
+    /// Whether it only continued an earlier stream.
     pub resumed: bool,
-    /// Whether the work was done to its end.
+    /// Whether the work completed.
     pub done: bool,
 }
 
-/// Most runs kept.
+/// Maximum number of recorded runs; later ones are not recorded.
 const KEPT: usize = 200_000;
 
-/// Runs in the order in which they began.
+/// Runs in start order.
 #[derive(Debug, Default)]
 pub struct Journal {
     runs: Vec<RunRecord>,
 }
 
 impl Journal {
-    /// Notes a run's begin; returns its index.
+    /// Records the start of a run and returns its index.
     pub fn begin(&mut self, ran: RunRecord) -> usize {
         if self.runs.len() < KEPT {
             self.runs.push(ran);
@@ -39,14 +39,14 @@
         self.runs.len() - 1
     }
 
-    /// Notes a run's end.
+    /// Records the completion of the run at `index`.
     pub fn end(&mut self, index: usize) {
         if let Some(r) = self.runs.get_mut(index) {
             r.done = true;
         }
     }
 
-    /// All runs.
+    /// All recorded runs in start order.
     pub fn runs(&self) -> &[RunRecord] {
         &self.runs
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for what pumicevale meets: the Object API, the host list,
-//! the weight store, engines, stage pools and plain services. Each is seeded,
-//! does real if simple work on real text, and shows a fault when told to over
-//! HTTP or in its settings. For tests, the quick start and measurements only.
+//! Stand-ins for the systems around pumicevale: the Object API, the host list, the weight store,
+//! engines, stage pools and plain services. They are seeded, do simple but real work on text, and
+//! inject faults on request over HTTP or from their settings. For tests, the quick start and
+//! measurements only.
 
 pub mod api;
 pub mod args;
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -1,4 +1,4 @@
-//! The Object API's rules in memory: the core of the stand-in, and of tests.
+//! In-memory implementation of the Object API's semantics, for the stand-in and for tests.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 use model::store::{Listing, Stored};
 use serde_json::Value;
 
-/// Largest value, bytes; the platform's bound.
+/// Largest value in bytes, as limited by the platform.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Why a write was not taken.
+/// Why a write was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PutError {
-    /// The version is this one.
+    /// The expected version is not the current one, which is given.
     VersionMismatch(u64),
-    /// The value has this many bytes.
+    /// The value is over the limit with this number of bytes.
     TooLarge(usize),
 }
 
@@ -24,7 +24,7 @@
     revision: u64,
 }
 
-/// All objects.
+/// All objects, with one revision counter for all kinds.
 #[derive(Debug, Clone, Default)]
 pub struct Objects {
     kinds: BTreeMap<Name, BTreeMap<Name, Entry>>,
@@ -32,7 +32,7 @@
 }
 
 impl Objects {
-    /// Reads one object.
+    /// Reads one object; version 0 and no value if it was never written.
     pub fn get(&self, kind: &str, name: &str) -> Stored {
         let found = self.kinds.get(kind).and_then(|k| k.get(name));
         found.map_or_else(
@@ -41,7 +41,8 @@
         )
     }
 
-    /// Writes or deletes if the version is `expect`.
+    /// Writes the object, or deletes it with `None`, if its version is `expect`; returns the new
+    /// version.
     pub fn put(
         &mut self,
         kind: &str,
@@ -64,14 +65,14 @@
         Ok(version + 1)
     }
 
-    /// Every object of a kind that is not deleted.
+    /// Lists the objects of a kind that are not deleted.
     pub fn list(&self, kind: &str) -> Listing {
         let all = self.kinds.get(kind).into_iter().flat_map(|k| k.values());
         let live = all.filter(|e| e.stored.value.is_some()).map(|e| e.stored.clone());
         Listing { revision: self.revision, objects: live.collect() }
     }
 
-    /// Objects of a kind changed after `revision`, deletions included.
+    /// Objects of a kind that changed after `revision`, deletions included.
     pub fn since(&self, kind: &str, revision: u64) -> Listing {
         let all = self.kinds.get(kind).into_iter().flat_map(|k| k.values());
         let new = all.filter(|e| e.revision > revision).map(|e| e.stored.clone());
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts stand-ins, in a program of their own or inside another.
+//! Starts stand-ins, as a program or inside another process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::settings::Settings;
 use crate::target::{TargetServer, TargetSpec};
 
-/// Runs the program until a signal.
+/// Runs the program until a termination signal.
 pub fn main(args: Args) -> anyhow::Result<()> {
     util::cli::serve(&args.settings, args.check, 0, |s: &Settings| &s.logs, serve)
 }
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-/// Starts the Object API.
+/// Starts the Object API; returns its bound address, its state and its task.
 pub async fn start_api(
     address: &str,
     stop: Stop,
@@ -51,7 +51,7 @@
     Ok((at, api, task))
 }
 
-/// Starts a target.
+/// Starts a target; returns its bound address, its state and its task.
 pub async fn start_target(
     spec: TargetSpec,
     stop: Stop,
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -9,10 +9,10 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where the Object API and the host list listen, if they run here.
+    /// Listen address of the Object API and the host list, if they run in this process.
     #[serde(default)]
     pub api: Option<String>,
-    /// Targets that run here.
+    /// Targets that run in this process.
     #[serde(default)]
     pub targets: Vec<TargetSpec>,
     /// Logging.
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -1,4 +1,4 @@
-//! One target over HTTP: runs calls, cancels, reports load, obeys orders.
+//! One target over HTTP: runs and cancels calls, reports its load and applies orders.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -21,37 +21,37 @@
 use crate::faults::TargetFaults;
 use crate::journal::{Journal, RunRecord};
 
-/// Largest call accepted.
+/// Largest request body.
 const MAX_CALL_BYTES: usize = 8 << 20;
-/// Frames on their way to one reader.
+/// Frames buffered for one reader.
 const FRAME_BUFFER: usize = 4096;
 
-/// What a target is.
+/// Settings of one target.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSpec {
-    /// Name.
+    /// Target name.
     pub name: Name,
-    /// Where it listens; port 0 picks one.
+    /// Listen address; port 0 selects a free port.
     pub address: String,
-    /// What it does.
+    /// Kind of work.
     pub role: Role,
-    /// Calls that run at once, engines aside.
+    /// Concurrent calls; not for engines.
     #[serde(default = "width")]
     pub width: usize,
-    /// Milliseconds of one call, engines aside.
+    /// Duration of one call in milliseconds; not for engines.
     #[serde(default = "service")]
     pub service: f64,
-    /// Engine's rates.
+    /// Rates and capacities of an engine.
     #[serde(default)]
     pub engine: EngineSpec,
-    /// Model versions held at the start.
+    /// Model versions loaded at the start.
     #[serde(default)]
     pub models: Vec<Name>,
-    /// Whether orders with a lower epoch are refused.
+    /// Whether orders with an epoch below the highest one seen are refused.
     #[serde(default)]
     pub fenced: bool,
-    /// Faults at the start.
+    /// Faults that are active at the start.
     #[serde(default)]
     pub faults: TargetFaults,
 }
@@ -72,7 +72,7 @@
     orders: Vec<Order>,
 }
 
-/// A target.
+/// A running target with its HTTP handler.
 #[derive(Debug)]
 pub struct TargetServer {
     spec: TargetSpec,
@@ -86,7 +86,7 @@
 }
 
 impl TargetServer {
-    /// A target that is ready.
+    /// Creates a target that is ready to serve.
     pub fn new(spec: TargetSpec) -> Arc<Self> {
         let engine = (spec.role == Role::Engine).then(|| Engine::spawn(spec.engine));
         let state = TargetState {
@@ -107,32 +107,32 @@
         })
     }
 
-    /// Switches faults.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: TargetFaults) {
         *self.faults.lock().expect("no panic while held") = faults;
     }
 
-    /// Says that the target is leaving, as its host would.
+    /// Marks the target as leaving, as its host would.
     pub fn set_leaving(&self) {
         self.state.lock().expect("no panic while held").leaving = true;
     }
 
-    /// Runs so far.
+    /// Journal of the runs so far.
     pub fn runs(&self) -> Vec<RunRecord> {
         self.journal.lock().expect("no panic while held").runs().to_vec()
     }
 
-    /// Calls that arrived so far, refused and failed ones included.
+    /// Number of calls received so far, refused and failed ones included.
     pub fn call_count(&self) -> usize {
         self.received.load(std::sync::atomic::Ordering::Relaxed)
     }
 
-    /// Orders obeyed so far.
+    /// Orders applied so far.
     pub fn orders(&self) -> Vec<Order> {
         self.state.lock().expect("no panic while held").orders.clone()
     }
 
-    /// Prompt tokens asked for and found cached; engines only.
+    /// Prompt tokens submitted and found in the cache; 0 unless the target is an engine.
     pub async fn cache_tokens(&self) -> (u64, u64) {
         match &self.engine {
             Some(e) => e.ask(GetState).await.map_or((0, 0), |s| (s.prompt_tokens, s.cached_tokens)),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Calls running and waiting.
+    /// Number of running and queued calls.
     pub async fn open_calls(&self) -> u32 {
         let report = self.report().await;
         report.running + report.queued
@@ -150,7 +150,7 @@
         self.faults.lock().expect("no panic while held").clone()
     }
 
-    /// The target's load report.
+    /// Current load report.
     pub async fn report(&self) -> TargetReport {
         let (running, queued, wait) = match &self.engine {
             Some(e) => {
@@ -234,7 +234,7 @@
         response
     }
 
-    /// A call of a pool or plain service: waits for a slot, works, answers in a few chunks.
+    /// Runs a call of a stage pool or plain service in a free slot and answers in a few chunks.
     async fn serve(self: Arc<Self>, call: Call, faults: TargetFaults, tx: mpsc::Sender<Frame>) {
         use std::sync::atomic::Ordering::Relaxed;
         self.waiting.fetch_add(1, Relaxed);
@@ -266,7 +266,7 @@
         let _ = tx.send(Frame::End { attempt, count, digest: digest.value(), busy, wait }).await;
     }
 
-    /// Passes frames on as lines, with the faults that are switched on.
+    /// Sends frames as lines, with the active faults applied.
     async fn deliver(
         self: Arc<Self>,
         index: usize,
@@ -298,7 +298,7 @@
                 let mut line = serde_json::to_vec(&f).expect("frames encode");
                 line.push(b'\n');
                 if sender.send_data(Bytes::from(line)).await.is_err() {
-                    // Nobody reads; the work goes on, and a resume can have it.
+                    // The reader disconnected; the work continues, so that a resume can fetch it.
                     while let Some(f) = rx.recv().await {
                         if matches!(f, Frame::End { .. }) {
                             self.journal.lock().expect("no panic while held").end(index);
@@ -330,7 +330,7 @@
     }
 }
 
-/// Cuts a text into about three pieces at character boundaries.
+/// Splits a text into about three pieces at character boundaries.
 fn split_answer(text: &str) -> Vec<&str> {
     let size = text.len().div_ceil(3).max(1);
     let mut out = Vec::new();
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -1,26 +1,26 @@
-//! The stand-ins' work on text: small, real and the same on every target, in
-//! any script. Encoding splits sentences and hashes their words to vectors;
-//! retrieval and reranking score them; generation writes the best ones out.
+//! Deterministic text processing of the stand-ins, for any script and with the same result on
+//! every target. Encoding splits sentences and hashes their words into vectors, retrieval and
+//! reranking score sentences, generation outputs the best ones.
 
 use std::collections::BTreeSet;
 
 use model::hash;
 use serde_json::{Value, json};
 
-/// Dimensions of a vector.
+/// Dimensions of a sentence vector.
 const VECTOR_DIMS: usize = 16;
-/// Passages that retrieval keeps.
+/// Passages that retrieval returns.
 const MAX_PASSAGES: usize = 12;
-/// Sentences that generation writes.
+/// Sentences in a generated answer.
 const MAX_SENTENCES: usize = 5;
 
-/// Words of a text, in any script.
+/// Words of a text in any script, in lower case.
 pub fn words(text: &str) -> impl Iterator<Item = String> + '_ {
     let split = |c: char| c.is_whitespace() || c.is_ascii_punctuation() || c == '।';
     text.split(split).filter(|w| !w.is_empty()).map(str::to_lowercase)
 }
 
-/// Sentences of a text; ends at a full stop, a danda or a line's end.
+/// Sentences of a text; a full stop, danda, `!`, `?` or line break ends one.
 pub fn sentences(text: &str) -> Vec<&str> {
     let parts = text.split(['.', '।', '!', '?', '\n']);
     parts.map(str::trim).filter(|s| !s.is_empty()).collect()
@@ -56,14 +56,14 @@
     found.unwrap_or_default().iter().filter_map(|s| s.as_str().map(String::from)).collect()
 }
 
-/// Sentences with their vectors.
+/// Splits the request text into sentences and computes their vectors.
 pub fn encode(input: &Value) -> String {
     let sentences = sentences(request_text(input));
     let vectors: Vec<_> = sentences.iter().map(|s| vector(s)).collect();
     json!({ "sentences": sentences, "vectors": vectors }).to_string()
 }
 
-/// The sentences nearest to the instruction, and the longest.
+/// Ranks sentences by similarity to the instruction, then by length, and returns the first ones.
 pub fn retrieve(input: &Value) -> String {
     let query = vector(instruction(input));
     let mut scored: Vec<_> = list(input, "sentences")
@@ -75,7 +75,7 @@
     json!({ "passages": passages }).to_string()
 }
 
-/// The passages by the words that they share with the instruction, then by length.
+/// Ranks passages by the number of words shared with the instruction, then by length.
 pub fn rerank(input: &Value) -> String {
     let wanted: BTreeSet<_> = words(instruction(input)).collect();
     let mut scored: Vec<_> = list(input, "passages")
@@ -87,7 +87,7 @@
     json!({ "ranked": ranked }).to_string()
 }
 
-/// Words of a generated answer, each with the space before it.
+/// Words of a generated answer, each with its leading whitespace.
 pub fn generate(input: &Value) -> Vec<String> {
     let mut chosen = list(input, "ranked");
     if chosen.is_empty() {
@@ -104,7 +104,7 @@
             text.push(if i == 0 { format!("{lead}{w}") } else { format!(" {w}") });
         }
     }
-    // A request may ask for a length, as load tools do.
+    // A request may ask for an exact length, as load generators do.
     if length != usize::MAX {
         let n = text.len().max(1);
         let filler = |i: usize| text.get(i % n).cloned().unwrap_or_else(|| " -".into());
@@ -113,13 +113,13 @@
     text
 }
 
-/// What a plain service answers: its input's digest, so that a mix-up shows.
+/// Answer of a plain service: a digest of its input, which reveals swapped answers.
 pub fn plain(step: &str, input: &Value) -> String {
     let digest = hash::hash64(input.to_string().as_bytes());
     json!({ "step": step, "receipt": format!("{digest:016x}") }).to_string()
 }
 
-/// The prompt whose prefix engines cache: the request's own, or its text.
+/// Prompt whose prefix engines cache: the request's `prompt`, else its instruction and text.
 pub fn prompt(input: &Value) -> String {
     let own = input["request"]["prompt"].as_str();
     own.map_or_else(|| format!("{}\n{}", instruction(input), request_text(input)), String::from)
--- a/crates/standin/tests/settings.rs
+++ b/crates/standin/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: refused with file, line, column and the remedy, exit code 2.
+//! Invalid settings files exit with code 2 and name file, line, column and remedy.
 
 #[path = "../../util/tests/support/settings.rs"]
 mod support;
@@ -6,7 +6,7 @@
 use support::{Case, check_settings_files};
 
 #[test]
-fn the_examples_pass_and_bad_files_are_refused_with_their_place() {
+fn example_passes_and_invalid_files_are_rejected_with_their_location() {
     let program = env!("CARGO_BIN_EXE_pumicevale-standin");
     let cases = [
         Case { name: "unknown", from: "api:", to: "apis:", expected: "unknown.yaml:2:1" },
