--- a/crates/standin/src/journal.rs
+++ b/crates/standin/src/journal.rs
@@ -22,7 +22,7 @@
 }
 
 /// Maximum number of recorded runs; later ones are not recorded.
-const KEPT: usize = 200_000;
+const MAX_RUNS: usize = 200_000;
 
 /// Runs in start order.
 #[derive(Debug, Default)]
@@ -32,9 +32,9 @@
 
 impl Journal {
     /// Records the start of a run and returns its index.
-    pub fn begin(&mut self, ran: RunRecord) -> usize {
-        if self.runs.len() < KEPT {
-            self.runs.push(ran);
+    pub fn begin(&mut self, run: RunRecord) -> usize {
+        if self.runs.len() < MAX_RUNS {
+            self.runs.push(run);
         }
         self.runs.len() - 1
     }
