--- a/crates/dev/src/args.rs
+++ b/crates/dev/src/args.rs
@@ -2,12 +2,12 @@
 
 use bpaf::Bpaf;
 
-/// All of pumicevale in one process on loopback, with stand-ins, for a first look.
+/// Quick start: all of pumicevale in one process on loopback, with stand-ins.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub struct Args {
-    /// Send one request, print its answer and stop
+    /// Send one request, print its answer and exit
     pub once: bool,
-    /// Show the logs
+    /// Print the logs
     pub logs: bool,
 }
--- a/crates/dev/src/ask.rs
+++ b/crates/dev/src/ask.rs
@@ -1,4 +1,4 @@
-//! One real request to an entry node, its answer printed as it streams in.
+//! Sends one request to an entry node and prints the answer as it streams in.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -14,11 +14,12 @@
 
 use crate::examples::REQUEST;
 
-/// Workspace of the request, and its deadline as declared.
+/// Workspace of the request.
 const WORKSPACE: &str = "ward-councillors";
+/// Deadline that the example declares for the workspace, in milliseconds.
 const DEADLINE_MS: f64 = 4000.0;
 
-/// A `curl` line that sends the same request.
+/// A `curl` command that sends the same request.
 pub fn curl(entry: &SocketAddr) -> String {
     let compact: serde_json::Value = serde_json::from_str(REQUEST).expect("the example is JSON");
     let body = compact.to_string().replace('\'', "'\\''");
@@ -28,7 +29,8 @@
     )
 }
 
-/// Sends the request and prints the answer, and time and cost of each step.
+/// Sends the request, prints the answer, and the time and cost of each step; an error unless the
+/// request completes.
 pub async fn send(entry: &SocketAddr) -> anyhow::Result<()> {
     let peer = entry.to_string();
     let request = Request::post(format!("http://{peer}/v1/pipelines/minutes"))
@@ -38,7 +40,11 @@
         .context("could not build the request")?;
     let client = Client::new(Duration::from_secs(1));
     let response = client.send(&peer, request).await?;
-    anyhow::ensure!(response.status().is_success(), "the request got {}", response.status());
+    anyhow::ensure!(
+        response.status().is_success(),
+        "the request was answered with {}",
+        response.status()
+    );
     println!("\nsummary of the committee's minutes:\n");
     let mut lines = Lines::new(&peer, response);
     let mut event = String::new();
@@ -58,7 +64,7 @@
             return report(serde_json::from_str(data)?);
         }
     }
-    anyhow::bail!("the answer ended without its last event")
+    anyhow::bail!("the answer ended without its final event")
 }
 
 fn report(end: RequestReport) -> anyhow::Result<()> {
@@ -73,6 +79,10 @@
     let cost: f64 = end.steps.iter().map(|s| s.cost).sum();
     println!("{:<10} {:<14} {:>9} {millis:>9.1} {cost:>12.7}", "all", "", "");
     println!("deadline {DEADLINE_MS} ms: {}", if end.timely { "met" } else { "missed" });
-    anyhow::ensure!(end.outcome == Outcome::Complete, "the request ended {}", end.outcome.as_str());
+    anyhow::ensure!(
+        end.outcome == Outcome::Complete,
+        "the request ended as {}",
+        end.outcome.as_str()
+    );
     Ok(())
 }
--- a/crates/dev/src/examples.rs
+++ b/crates/dev/src/examples.rs
@@ -1,10 +1,10 @@
-//! The example declarations, built in so that the program runs from anywhere.
+//! Example declarations, compiled in so that the program runs from any directory.
 
 use std::path::Path;
 
 use cli::declare::{self, Declaration};
 
-/// The request that the quick start sends.
+/// Body of the request that the quick start sends.
 pub const REQUEST: &str = include_str!("../../../examples/parabaas/requests/minutes.json");
 
 const FILES: [(&str, &str); 4] = [
@@ -14,7 +14,7 @@
     ("workspaces.yaml", include_str!("../../../examples/parabaas/workspaces.yaml")),
 ];
 
-/// Everything that Parabaas declares.
+/// All declarations of the Parabaas example.
 pub fn parabaas() -> anyhow::Result<Vec<Declaration>> {
     let mut all = Vec::new();
     for (name, text) in FILES {
--- a/crates/dev/src/lib.rs
+++ b/crates/dev/src/lib.rs
@@ -1,6 +1,5 @@
-//! The quick start: stand-ins, two nodes in two failure domains, the example
-//! declarations of Parabaas, and one real request, all in one process on free
-//! loopback ports.
+//! The quick start: stand-ins, two nodes in two failure domains, the Parabaas example declarations
+//! and one request, all in one process on free loopback ports.
 
 pub mod args;
 mod ask;
@@ -14,7 +13,7 @@
 /// Failure domains that get a node.
 const DOMAINS: [&str; 2] = ["hall-a", "hall-b"];
 
-/// Runs the program.
+/// Starts the stack, sends the example request, and runs until a signal unless `once` is set.
 pub fn run(args: args::Args) -> anyhow::Result<()> {
     if args.logs {
         util::logs::start(&util::settings::Logs::default())?;
@@ -34,7 +33,7 @@
             stack.stop().await;
             return Ok(());
         }
-        println!("\nIt stays up until Ctrl-C. Ask again with:\n\n{}\n", ask::curl(&entry));
+        println!("\nRunning until Ctrl-C. Send the request again with:\n\n{}\n", ask::curl(&entry));
         util::stop::signal().await.context("could not wait for signals")?;
         stack.stop().await;
         Ok(())
--- a/crates/dev/src/stack.rs
+++ b/crates/dev/src/stack.rs
@@ -1,5 +1,5 @@
-//! Stand-ins and nodes in one process, started and stopped together: for the
-//! quick start and for tests.
+//! Stand-ins and nodes in one process, started and stopped together, for the quick start and for
+//! tests.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,33 +19,34 @@
 use util::http::Client;
 use util::stop::{self, Stop, Stopper};
 
-/// Any free port.
+/// Loopback with a free port.
 const LOOPBACK_ANY_PORT: &str = "127.0.0.1:0";
-/// Looks for readiness, and the wait between them.
+/// Readiness polls of one node before startup fails.
 const MAX_READY_POLLS: u32 = 600;
+/// Delay between two readiness polls.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait until the configuration is in force.
+/// Timeout for the configuration to be in force on every node.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What to start.
+/// What a stack consists of.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Declarations; the targets' addresses are put in.
+    /// Declarations; target addresses are replaced by those of the stand-ins.
     pub declarations: Vec<Declaration>,
-    /// A node in each of these failure domains.
+    /// Failure domains, with one node each.
     pub domains: Vec<Name>,
-    /// Rates of engines.
+    /// Rates and capacities of engines.
     pub engine: EngineSpec,
-    /// Model versions that engines hold.
+    /// Model versions that engines have loaded.
     pub models: Vec<Name>,
-    /// Milliseconds of one call of the other targets.
+    /// Duration in milliseconds of one call on targets that are not engines.
     pub service_ms: f64,
-    /// Milliseconds that the balancer needs to see that a node is not ready.
+    /// Time in milliseconds until a load balancer notices that a node is not ready.
     pub balancer_lag_ms: u64,
 }
 
 impl Options {
-    /// Nodes in these failure domains, under these declarations.
+    /// One node in each of `domains`, and engines with no model loaded.
     pub fn new(declarations: Vec<Declaration>, domains: &[&str]) -> Self {
         Options {
             declarations,
@@ -57,28 +58,28 @@
         }
     }
 
-    /// Sets the model versions that engines hold.
+    /// Sets the model versions that engines have loaded.
     pub fn with_models(mut self, models: &[&str]) -> Self {
         self.models = models.iter().map(|m| Name::from(*m)).collect();
         self
     }
 
-    /// Sets the engines' milliseconds for one step.
+    /// Sets the duration of an engine step in milliseconds.
     pub fn with_step(mut self, step: f64) -> Self {
         self.engine.step = step;
         self
     }
 }
 
-/// Everything in one process.
+/// A running stack in this process.
 pub struct Stack {
-    /// Address of the Object API.
+    /// Listen address of the Object API.
     pub store: SocketAddr,
-    /// The Object API.
+    /// Stand-in of the Object API.
     pub api: Arc<Api>,
-    /// Targets by name.
+    /// Stand-in targets by name.
     pub targets: BTreeMap<Name, Arc<TargetServer>>,
-    /// Declarations with the stand-ins' addresses.
+    /// Declarations with the addresses of the stand-ins.
     pub declarations: Vec<Declaration>,
     entries: Vec<entry::Running>,
     controls: Vec<control::Running>,
@@ -87,7 +88,7 @@
 }
 
 impl Stack {
-    /// Starts all parts on free loopback ports.
+    /// Starts all components on free loopback ports.
     pub async fn start(options: Options) -> anyhow::Result<Stack> {
         let (stopper, stop) = stop::channel();
         let (store, api, task) = standin::run::start_api(LOOPBACK_ANY_PORT, stop.clone()).await?;
@@ -114,7 +115,7 @@
         Ok(stack)
     }
 
-    /// Starts a pool's targets and puts their addresses into its declaration.
+    /// Starts a pool's targets and writes their addresses into its declaration.
     async fn start_targets(
         &mut self,
         options: &Options,
@@ -174,8 +175,8 @@
         Ok(())
     }
 
-    /// Applies the declarations and waits until every node has them in force;
-    /// returns the manifest's number.
+    /// Applies the declarations and waits until they are in force on every node and every entry
+    /// node is ready; returns the manifest number.
     pub async fn apply(&self) -> anyhow::Result<u64> {
         let remote = Remote::new(&self.store.to_string())?;
         let written = cli::cmd::write_all(&remote, self.declarations.clone()).await?;
@@ -201,24 +202,24 @@
         Ok(())
     }
 
-    /// Where callers come in, a node each.
+    /// Caller address of each entry node.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|e| e.callers).collect()
     }
 
-    /// Stops the first entry node as planned, every answer out.
+    /// Gracefully stops the first entry node, which completes its open requests.
     pub async fn stop_entry(&mut self) {
         if !self.entries.is_empty() {
             self.entries.remove(0).stop().await;
         }
     }
 
-    /// Takes the first entry node, to stop it while others go on.
+    /// Removes the first entry node and returns it, to be stopped while the others run.
     pub fn take_entry(&mut self) -> Option<entry::Running> {
         (!self.entries.is_empty()).then(|| self.entries.remove(0))
     }
 
-    /// Stops all parts, callers' side first.
+    /// Stops all components, entry nodes first.
     pub async fn stop(self) {
         for e in self.entries {
             e.stop().await;
--- a/crates/dev/tests/bad_input.rs
+++ b/crates/dev/tests/bad_input.rs
@@ -1,5 +1,4 @@
-//! Bad input gets a 4xx that says what is wrong, reaches no target and disturbs
-//! no other request.
+//! Invalid input gets a 4xx that names the problem, reaches no target and affects no other request.
 
 mod common;
 
@@ -84,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn each_gets_a_4xx_that_says_what_is_wrong_and_reaches_no_target() {
+async fn invalid_requests_get_a_descriptive_4xx_and_reach_no_target() {
     let stack = stack().await;
     let to = stack.callers()[0].to_string();
     let good = {
@@ -107,7 +106,7 @@
         assert!(text.contains(c.expected), "{}: {text}", c.name);
     }
     let after: usize = stack.targets.values().map(|t| t.runs().len()).sum();
-    assert_eq!(ran, after, "bad input reached a target");
+    assert_eq!(ran, after, "invalid input reached a target");
     assert_eq!(good.outcomes, vec![Outcome::Complete]);
     let next = TestRequest::order(2, new_key()).send(&client(), stack.callers()[0]).await;
     assert_eq!(next.outcomes, vec![Outcome::Complete]);
@@ -124,7 +123,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hostile_heads_and_slow_senders_are_cut_off_and_disturb_nobody() {
+async fn malformed_heads_and_slow_senders_are_disconnected_without_affecting_others() {
     let stack = stack().await;
     let to = stack.callers()[0];
     let many: String = (0..100).map(|i| format!("h{i}: 1\r\n")).collect();
--- a/crates/dev/tests/common/mod.rs
+++ b/crates/dev/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small caller and declarations for tests; keeps the auditor's record.
+//! Test client and declarations, and the record of a run for the auditor.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use serde_json::{Value, json};
 use util::http::{Client, Lines};
 
-/// Two targets a pool; `minutes` is all repeatable, `order` pays once.
+/// Two targets per pool; every step of `minutes` is repeatable, `pay` of `order` is not.
 pub const DECLARATIONS: &str = r#"
 kind: Pool
 name: encoders
@@ -87,19 +87,19 @@
   limits: [{ pipeline: minutes, rate: 0.001 }]
 "#;
 
-/// The declarations of these tests.
+/// Parsed and checked declarations.
 pub fn declarations() -> Vec<Declaration> {
     let all = declare::parse(Path::new("test.yaml"), DECLARATIONS).expect("valid");
     declare::check(&all).expect("valid");
     all
 }
 
-/// Two nodes in two failure domains, with the configuration in force.
+/// A stack of two nodes in two failure domains, with the configuration in force.
 pub async fn stack() -> Stack {
     stack_with(2.0).await
 }
 
-/// The same with engines of `step` milliseconds a token.
+/// The same stack with engines that take `step` milliseconds per step.
 pub async fn stack_with(step: f64) -> Stack {
     let options = Options::new(declarations(), &["a", "b"]).with_models(&["m@v1"]).with_step(step);
     let stack = Stack::start(options).await.expect("started");
@@ -107,12 +107,12 @@
     stack
 }
 
-/// A fresh key.
+/// A new idempotency key.
 pub fn new_key() -> Key {
     Key::new(util::clock::unix_ms(), rand::random())
 }
 
-/// One request to send.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct TestRequest {
     pub pipeline: &'static str,
@@ -124,12 +124,12 @@
 }
 
 impl TestRequest {
-    /// A streamed or whole request for a summary.
+    /// A summary request, answered as a stream or as a whole.
     pub fn minutes(call: u64, streamed: bool) -> Self {
         TestRequest { pipeline: "minutes", workspace: "w", key: None, streamed, call, words: 12 }
     }
 
-    /// An order, paid once.
+    /// An order, whose payment must run at most once.
     pub fn order(call: u64, key: Key) -> Self {
         TestRequest {
             pipeline: "order",
@@ -146,7 +146,7 @@
         json!({ "instruction": "sum up", "text": words.join(" ") })
     }
 
-    /// The text that a complete answer has.
+    /// Text of a complete answer.
     pub fn expected_text(&self) -> String {
         let input = json!({ "request": self.input(), "results": {} });
         match self.pipeline {
@@ -171,7 +171,7 @@
         b.body(Full::new(Bytes::from(self.input().to_string()))).expect("a request")
     }
 
-    /// Sends it and keeps what came back.
+    /// Sends the request and records the answer.
     pub async fn send(&self, client: &Client, to: SocketAddr) -> CallRecord {
         let mut seen = CallRecord {
             call: self.call,
@@ -242,12 +242,12 @@
             continue;
         };
         if event == "chunk" {
-            let piece: ChunkEvent = serde_json::from_str(data).expect("a piece");
-            assert_eq!(piece.seq, next, "pieces have no gaps");
+            let piece: ChunkEvent = serde_json::from_str(data).expect("a chunk");
+            assert_eq!(piece.seq, next, "chunks have no gaps");
             next += 1;
             seen.text.push_str(&piece.text);
         } else {
-            record_report(seen, serde_json::from_str(data).expect("a final word"));
+            record_report(seen, serde_json::from_str(data).expect("a final report"));
         }
     }
 }
@@ -257,7 +257,7 @@
     seen.outcomes.push(last.outcome);
 }
 
-/// Rules of the two pipelines.
+/// Audit rules of a pipeline.
 pub fn rules(pipeline: &str) -> PipelineRules {
     let steps: &[&str] = match pipeline {
         "minutes" => &["encode", "retrieve", "generate"],
@@ -269,7 +269,7 @@
     }
 }
 
-/// The auditor's record of one pipeline's requests on an in-process stack.
+/// Record for the auditor of one pipeline's requests on an in-process stack.
 pub fn record(stack: &Stack, pipeline: &str, calls: Vec<CallRecord>) -> Record {
     let step_runs = stack.targets.values().flat_map(|t| t.runs());
     let runs = step_runs
@@ -289,12 +289,12 @@
     Record { calls, runs, claims, rules: rules(pipeline) }
 }
 
-/// A client for callers.
+/// HTTP client of a caller.
 pub fn client() -> Client {
     Client::new(Duration::from_secs(2))
 }
 
-/// Waits until `done`, looking now and then; fails after a long while.
+/// Polls `done` every 25 ms; panics after 30 seconds.
 pub async fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     for _ in 0..1200 {
         if done() {
@@ -302,5 +302,5 @@
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("{what} did not come about");
+    panic!("timed out waiting: {what}");
 }
--- a/crates/dev/tests/faults.rs
+++ b/crates/dev/tests/faults.rs
@@ -1,5 +1,5 @@
-//! The whole path under failing targets, store and nodes, on loopback in one
-//! process; the auditor looks over everything that was seen.
+//! The whole request path in one process on loopback, under faults of targets, store and nodes.
+//! The auditor checks the records of all requests.
 
 mod common;
 
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn any_fault_of_one_target_leaves_every_answer_whole() {
+async fn answers_are_complete_under_any_fault_of_one_target() {
     let f = TargetFaults::default;
     let cases = [
         ("none", f()),
@@ -53,7 +53,7 @@
         ("all of order", TargetFaults { reorder: true, double: true, stray: true, ..f() }),
     ];
     for (name, faults) in cases {
-        // A stack for each, since every fault draws on the same budget of retries.
+        // A new stack per fault, since all faults would share one retry budget.
         let stack = stack().await;
         let mut call = 0;
         for target in ["enc-1", "ret-1", "eng-1"] {
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_false_end_never_counts_as_whole() {
+async fn answer_with_a_wrong_end_frame_is_never_complete() {
     let stack = stack().await;
     for faults in [
         TargetFaults { short: true, ..TargetFaults::default() },
@@ -92,10 +92,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stream_continued_elsewhere_goes_on_behind_the_text_given() {
+async fn stream_continued_on_another_target_follows_the_delivered_text() {
     let stack = stack().await;
     for t in ["eng-1", "eng-2"] {
-        // Each engine marks its words; the cut one forgets the stream as well.
+        // Each engine tags its words; eng-1 also cuts every stream after five frames.
         let cut = (t == "eng-1").then_some(5);
         stack.targets[t].set_faults(TargetFaults { tag: true, cut, ..TargetFaults::default() });
     }
@@ -105,7 +105,7 @@
         let marks: Vec<&str> = s.text.split('~').skip(1).map(|w| &w[..5]).collect();
         let mut runs = marks.clone();
         runs.dedup();
-        assert!(runs.len() <= 2, "spliced from several generations: {}", s.text);
+        assert!(runs.len() <= 2, "spliced from more than two runs: {}", s.text);
         let plain: String = s.text.replace("~eng-1", "").replace("~eng-2", "");
         assert_eq!(plain, s.expected_text);
     }
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_payment_whose_answer_is_lost_is_unknown_and_never_made_again() {
+async fn payment_with_a_lost_answer_is_unknown_and_never_repeated() {
     let stack = stack().await;
     for t in ["pay-1", "pay-2"] {
         stack.targets[t].set_faults(TargetFaults { drop: true, ..TargetFaults::default() });
@@ -121,7 +121,7 @@
     let keys: Vec<_> = (0..4).map(|_| new_key()).collect();
     let ask = |(i, k): (usize, &model::key::Key)| TestRequest::order(i as u64, *k);
     let mut seen = send_many(&stack, keys.iter().enumerate().map(ask).collect()).await;
-    // The caller asks again with the same key, at the other node too.
+    // The caller retries with the same key, also on the other node.
     for round in 1..4 {
         let rotated: Vec<TestRequest> = keys
             .iter()
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_key_at_two_nodes_at_once_pays_at_most_once() {
+async fn concurrent_requests_with_one_key_on_two_nodes_pay_at_most_once() {
     let stack = stack().await;
     let keys: Vec<_> = (0..20).map(|_| new_key()).collect();
     let asks: Vec<TestRequest> =
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_failing_store_never_leads_to_a_second_run_or_an_untrue_not_run() {
+async fn store_faults_cause_no_second_run_and_no_false_not_run() {
     let stack = stack().await;
     let f = ApiFaults::default;
     let cases = [
@@ -182,7 +182,7 @@
             assert_eq!(complete.count(), 4, "{part:?}");
         }
         seen.extend(part);
-        // Repeatable work goes on whatever the store does.
+        // Repeatable work continues under any store fault.
         let patient = send_many(&stack, vec![TestRequest::minutes(call + 100, false)]).await;
         assert_eq!(outcome(&patient[0]), Some(Outcome::Complete), "{name}");
     }
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_under_load_cuts_off_no_request() {
+async fn graceful_stop_under_load_completes_every_request() {
     let mut stack = stack_with(20.0).await;
     let callers = stack.callers();
     let tasks: Vec<_> = (0..12)
@@ -202,7 +202,7 @@
             tokio::spawn(async move { ask.send(&client, to).await })
         })
         .collect();
-    wait_until("the streams begin", || {
+    wait_until("the streams start", || {
         stack.targets.values().map(|t| t.runs().len()).sum::<usize>() >= 30
     })
     .await;
@@ -215,13 +215,14 @@
     }
     assert_eq!(record(&stack, "minutes", seen).audit(), vec![]);
     let after_stop = TestRequest::minutes(99, false).send(&client(), callers[0]).await;
-    assert!(after_stop.disconnected, "the stopped node takes nothing any more");
+    assert!(after_stop.disconnected, "the stopped node accepts no request");
     stack.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_leaving_host_soon_gets_no_new_work_and_none_ever_after() {
-    // The bound in steps is proved over the machines; here it comes about and stays.
+async fn leaving_host_stops_receiving_work_for_good() {
+    // The tests of the state machines prove the bound in steps; this one only checks that new work
+    // stops eventually and stays stopped.
     const QUIET: usize = 3;
     let stack = stack().await;
     let runs = || stack.targets["eng-1"].runs().len();
@@ -234,19 +235,19 @@
         let asks = (0..10).map(|i| TestRequest::minutes(round * 10 + i, false)).collect();
         let seen = send_many(&stack, asks).await;
         assert!(seen.iter().all(|s| outcome(s) == Some(Outcome::Complete)));
-        assert!(quiet == 0 || runs() == before, "new work after it had ceased");
+        assert!(quiet == 0 || runs() == before, "new work after it had stopped");
         quiet += usize::from(runs() == before);
         if quiet > QUIET {
             break;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(quiet > QUIET, "still getting work");
+    assert!(quiet > QUIET, "the host still receives work");
     stack.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_target_that_says_it_is_leaving_is_left_at_once() {
+async fn target_that_reports_leaving_gets_no_call() {
     let stack = stack().await;
     stack.targets["enc-1"].set_leaving();
     let seen = send_many(&stack, minutes(10)).await;
@@ -256,7 +257,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn with_every_target_gone_the_answer_is_not_run_and_says_when_to_come_back() {
+async fn requests_are_not_run_while_every_target_refuses() {
     let stack = stack().await;
     for t in ["enc-1", "enc-2"] {
         stack.targets[t].set_faults(TargetFaults { refuse: true, ..TargetFaults::default() });
@@ -268,14 +269,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_goes_away_stops_its_work() {
+async fn caller_disconnect_cancels_its_work() {
     let stack = stack_with(20.0).await;
     let to = stack.callers()[0];
     let task = tokio::spawn(async move {
         TestRequest { words: 5000, ..TestRequest::minutes(1, true) }.send(&client(), to).await
     });
     let engines = ["eng-1", "eng-2"];
-    wait_until("the stream begins", || {
+    wait_until("the stream starts", || {
         engines.iter().any(|e| !stack.targets[*e].runs().is_empty())
     })
     .await;
@@ -291,24 +292,24 @@
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("the engine still works for nobody");
+    panic!("the engine still runs the call of a disconnected caller");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_workspace_over_its_rate_is_not_run() {
+async fn workspace_over_its_rate_limit_is_not_run() {
     let stack = stack().await;
     let asks = (0..6)
         .map(|i| TestRequest { workspace: "limited", ..TestRequest::minutes(i, false) })
         .collect();
     let seen = send_many(&stack, asks).await;
     let refused = seen.iter().filter(|s| outcome(s) == Some(Outcome::NotRun)).count();
-    assert!(refused >= 4, "at most one token a node: {seen:?}");
+    assert!(refused >= 4, "at most one token per node: {seen:?}");
     assert_eq!(record(&stack, "minutes", seen).audit(), vec![]);
     stack.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn configuration_in_force_stays_while_the_store_is_down() {
+async fn configuration_stays_in_force_while_the_store_is_down() {
     let stack = stack().await;
     stack.api.set_faults(ApiFaults { down: true, ..ApiFaults::default() });
     tokio::time::sleep(Duration::from_millis(500)).await;
--- a/crates/dev/tests/once.rs
+++ b/crates/dev/tests/once.rs
@@ -1,4 +1,4 @@
-//! The quick start as a new user runs it.
+//! The quick start, run as a program.
 
 use std::process::Command;
 
--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -1,7 +1,7 @@
-//! The same once more over separate processes: killed, stopped and continued,
-//! with the store away for a while. Assertions are on what must hold, never on
-//! speed. Each role is this test program run again under a loopback address of
-//! its own, so no port is shared with anybody.
+//! The guarantees of the in-process fault tests over separate processes that are killed, frozen and
+//! continued, with the store unavailable for a while. Assertions are on invariants, never on speed.
+//! Each role is this test binary run again on a loopback address of its own, so that no port is
+//! shared with another process.
 
 mod common;
 
@@ -22,12 +22,12 @@
 use serde_json::json;
 use standin::journal::RunRecord;
 
-/// Names the role and the settings file in a child process.
+/// Environment variables of a child process for its role and its settings file.
 const ROLE: &str = "PUMICEVALE_TEST_ROLE";
 const FILE: &str = "PUMICEVALE_TEST_FILE";
 
-/// A child process runs one role here and never returns; in the test run itself
-/// this has nothing to do.
+/// Entry point of a child process, which runs its role and never returns. Does nothing in the test
+/// run itself.
 #[test]
 fn role() {
     let (Ok(role), Ok(file)) = (std::env::var(ROLE), std::env::var(FILE)) else {
@@ -63,19 +63,20 @@
 
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
-        kill(pid, signal).expect("our own child");
+        kill(pid, signal).expect("a child process");
         if signal == Signal::SIGSTOP {
             self.await_stopped();
         }
     }
 
-    /// A stop is asynchronous: a thread on another core goes on until it is interrupted.
+    /// Waits until every thread is stopped. SIGSTOP is asynchronous: a thread on another core runs on
+    /// until it is interrupted.
     fn await_stopped(&self) {
         let tasks = format!("/proc/{}/task", self.child.id());
         let is_stopped =
             |stat: String| stat.rsplit(") ").next().is_some_and(|s| s.starts_with('T'));
         loop {
-            let threads = std::fs::read_dir(&tasks).expect("our own child");
+            let threads = std::fs::read_dir(&tasks).expect("a child process");
             let mut stats = threads.filter_map(|t| {
                 std::fs::read_to_string(t.expect("a readable folder").path().join("stat")).ok()
             });
@@ -86,7 +87,7 @@
         }
     }
 
-    /// SIGKILL, and a new start under the same settings.
+    /// Kills the process with SIGKILL and starts it again with the same settings.
     fn restart(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -101,7 +102,7 @@
     }
 }
 
-/// Nine nodes in three failure domains, one process a part.
+/// Nine nodes in three failure domains, with one process per component.
 struct Fleet {
     folder: PathBuf,
     base: u8,
@@ -115,7 +116,8 @@
 const NODES: usize = 9;
 
 impl Fleet {
-    /// The loopback address of one part; the second byte is this process's own.
+    /// Loopback address of one component; the second byte is derived from the id of this process, so
+    /// that concurrent test runs use different addresses.
     fn ip(&self, part: usize) -> String {
         format!("127.{}.7.{}", self.base, part + 1)
     }
@@ -186,7 +188,7 @@
         self.entries.push(Process::start("entry", entry));
     }
 
-    /// Starts the declared targets, applies the declarations and waits.
+    /// Starts the declared targets, applies the declarations and waits until they are in force.
     async fn apply(&mut self) {
         let mut declarations = common::declarations();
         let mut part = 30;
@@ -231,7 +233,7 @@
         panic!("{at}{path} does not answer");
     }
 
-    /// Switches a target's faults.
+    /// Replaces the faults of a target.
     async fn set_faults(&self, target: &str, faults: &serde_json::Value) {
         let file = format!("{target}.yaml");
         let (at, _) = self
@@ -242,10 +244,10 @@
         let (client, wait) = (client(), Duration::from_secs(10));
         let at = at.to_string();
         let call = client.json::<_, ()>(&at, Method::POST, "/faults", Some(faults), wait);
-        call.await.expect("switched");
+        call.await.expect("faults are set");
     }
 
-    /// Sends pairs of orders with one key to two nodes each, and summaries.
+    /// Sends `n` pairs of orders that share a key to two nodes each, and `n` summary requests.
     async fn send_load(&self, call: u64, n: u64) -> (Vec<CallRecord>, Vec<CallRecord>) {
         let mut orders = Vec::new();
         let mut minutes = Vec::new();
@@ -271,7 +273,7 @@
         seen
     }
 
-    /// What the targets that are up ran, and the claims in the store.
+    /// Record for the auditor: the runs of all targets and the claims in the store.
     async fn record(&self, pipeline: &str, calls: Vec<CallRecord>) -> Record {
         let mut runs = Vec::new();
         for (at, _) in &self.targets {
@@ -307,7 +309,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn kills_stops_and_an_outage_of_the_store_break_no_promise() {
+async fn guarantees_hold_under_process_kills_freezes_and_a_store_outage() {
     if std::env::var(ROLE).is_ok() {
         return;
     }
@@ -316,21 +318,21 @@
     let (mut orders, mut minutes) = fleet.send_load(0, 20).await;
     assert_eq!(outcomes(&minutes, Outcome::Complete), 20, "before any fault");
 
-    // Connections are cut: an engine's in mid-stream, a payment's once it was made.
+    // Connections are cut: an engine's in mid-stream, a payment's after it ran.
     for (target, faults) in [("eng-1", json!({ "cut": 3 })), ("pay-1", json!({ "drop": true }))] {
         fleet.set_faults(target, &faults).await;
     }
     let part = fleet.send_load(500, 10).await;
     let whole = outcomes(&part.1, Outcome::Complete);
     assert_eq!(whole, 10, "cut streams are resumed: {:#?}", part.1);
-    assert!(outcomes(&part.0, Outcome::Unknown) > 10, "lost payments are in doubt");
+    assert!(outcomes(&part.0, Outcome::Unknown) > 10, "lost payments are unknown");
     orders.extend(part.0);
     minutes.extend(part.1);
     for target in ["eng-1", "pay-1"] {
         fleet.set_faults(target, &json!({})).await;
     }
 
-    // An entry process is killed in mid-request and started again.
+    // An entry process is killed during requests and started again.
     let part = {
         let load = fleet.send_load(1000, 20);
         tokio::pin!(load);
@@ -339,7 +341,7 @@
             () = tokio::time::sleep(Duration::from_millis(30)) => {}
         }
         let pid = Pid::from_raw(fleet.entries[4].child.id() as i32);
-        kill(pid, Signal::SIGKILL).expect("our own child");
+        kill(pid, Signal::SIGKILL).expect("a child process");
         load.await
     };
     orders.extend(part.0);
@@ -347,29 +349,37 @@
     fleet.entries[4].restart();
     fleet.wait_answering(fleet.caller_address(4), "/readyz").await;
 
-    // Every control process of one failure domain is frozen, its leases lapse.
+    // Every control process of one failure domain is frozen and its leases expire.
     for node in [0, 3, 6] {
         fleet.controls[node].signal(Signal::SIGSTOP);
     }
     tokio::time::sleep(Duration::from_millis(2500)).await;
     let part = fleet.send_load(2000, 10).await;
-    assert_eq!(outcomes(&part.1, Outcome::Complete), 10, "the data path needs no control");
+    assert_eq!(
+        outcomes(&part.1, Outcome::Complete),
+        10,
+        "the data path does not depend on control"
+    );
     orders.extend(part.0);
     minutes.extend(part.1);
     for node in [0, 3, 6] {
         fleet.controls[node].signal(Signal::SIGCONT);
     }
 
-    // The store is frozen: repeatable work goes on, orders are truly not run.
+    // The store is frozen: repeatable work continues, orders are reported as not run and are not run.
     fleet.store.signal(Signal::SIGSTOP);
     let part = fleet.send_load(3000, 6).await;
-    assert_eq!(outcomes(&part.1, Outcome::Complete), 6, "repeatable work needs no store");
-    assert_eq!(outcomes(&part.0, Outcome::Complete), 0, "no order without a claim");
+    assert_eq!(
+        outcomes(&part.1, Outcome::Complete),
+        6,
+        "repeatable work does not depend on the store"
+    );
+    assert_eq!(outcomes(&part.0, Outcome::Complete), 0, "no order completes without a claim");
     orders.extend(part.0);
     minutes.extend(part.1);
     fleet.store.signal(Signal::SIGCONT);
 
-    // Every control process is killed: a node that starts anew finds its way back.
+    // Every control process is killed: restarted nodes rejoin and apply a change.
     for c in &mut fleet.controls {
         c.restart();
     }
@@ -386,7 +396,7 @@
     let written = cli::cmd::write_all(&remote, changed).await.expect("written");
     cli::cmd::wait_in_force(&remote, &written, Duration::from_secs(60)).await.expect("in force");
 
-    // A planned stop with requests on their way.
+    // A graceful stop with open requests.
     let part = {
         let load = fleet.send_load(4000, 10);
         tokio::pin!(load);
@@ -395,16 +405,16 @@
             () = tokio::time::sleep(Duration::from_millis(20)) => {}
         }
         let pid = Pid::from_raw(fleet.entries[2].child.id() as i32);
-        kill(pid, Signal::SIGTERM).expect("our own child");
+        kill(pid, Signal::SIGTERM).expect("a child process");
         load.await
     };
     let cut = part.1.iter().filter(|s| s.disconnected && !s.text.is_empty()).count();
-    assert_eq!(cut, 0, "a planned stop cuts off no stream");
+    assert_eq!(cut, 0, "a graceful stop cuts off no stream");
     orders.extend(part.0);
     minutes.extend(part.1);
 
     let once = outcomes(&orders, Outcome::Complete);
-    assert!(once >= 30, "most orders outside the faults go through: {once}");
+    assert!(once >= 30, "most orders complete outside the faults: {once}");
     assert_eq!(fleet.record("order", orders).await.audit(), vec![]);
     assert_eq!(fleet.record("minutes", minutes).await.audit(), vec![]);
 }
