--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Waits until every thread is stopped. SIGSTOP is asynchronous: a thread on another core runs on
-    /// until it is interrupted.
+    /// Waits until every thread is stopped. SIGSTOP is asynchronous: a thread on another core keeps
+    /// running until it is interrupted.
     fn await_stopped(&self) {
         let tasks = format!("/proc/{}/task", self.child.id());
         let is_stopped =
@@ -116,8 +116,8 @@
 const NODES: usize = 9;
 
 impl Fleet {
-    /// Loopback address of one component; the second byte is derived from the id of this process, so
-    /// that concurrent test runs use different addresses.
+    /// Loopback address of one component; the second byte is derived from the id of this process,
+    /// so that concurrent test runs use different addresses.
     fn ip(&self, part: usize) -> String {
         format!("127.{}.7.{}", self.base, part + 1)
     }
@@ -366,7 +366,7 @@
         fleet.controls[node].signal(Signal::SIGCONT);
     }
 
-    // The store is frozen: repeatable work continues, orders are reported as not run and are not run.
+    // The store is frozen: repeatable work continues, and orders reported as not run did not run.
     fleet.store.signal(Signal::SIGSTOP);
     let part = fleet.send_load(3000, 6).await;
     assert_eq!(
