--- a/crates/dev/tests/bad_input.rs
+++ b/crates/dev/tests/bad_input.rs
@@ -22,7 +22,7 @@
     expected: &'static str,
 }
 
-fn case(name: &'static str, status: u16, says: &'static str) -> Case {
+fn case(name: &'static str, status: u16, expected: &'static str) -> Case {
     Case {
         name,
         method: Method::POST,
@@ -30,7 +30,7 @@
         headers: vec![("pumicevale-workspace", "w".into())],
         body: b"{\"text\":\"x\"}".to_vec(),
         status,
-        expected: says,
+        expected,
     }
 }
 
--- a/crates/dev/tests/faults.rs
+++ b/crates/dev/tests/faults.rs
@@ -15,15 +15,15 @@
     seen.outcomes.first().copied()
 }
 
-async fn send_many(stack: &Stack, asks: Vec<TestRequest>) -> Vec<CallRecord> {
+async fn send_many(stack: &Stack, requests: Vec<TestRequest>) -> Vec<CallRecord> {
     let callers = stack.callers();
     let client = client();
-    let tasks: Vec<_> = asks
+    let tasks: Vec<_> = requests
         .into_iter()
         .enumerate()
-        .map(|(i, ask)| {
+        .map(|(i, request)| {
             let (to, client) = (callers[i % callers.len()], client.clone());
-            tokio::spawn(async move { ask.send(&client, to).await })
+            tokio::spawn(async move { request.send(&client, to).await })
         })
         .collect();
     let mut seen = Vec::new();
@@ -58,10 +58,10 @@
         let mut call = 0;
         for target in ["enc-1", "ret-1", "eng-1"] {
             stack.targets[target].set_faults(faults.clone());
-            let asks: Vec<TestRequest> =
+            let requests: Vec<TestRequest> =
                 (0..6).map(|i| TestRequest::minutes(call + i, i % 2 == 0)).collect();
             call += 6;
-            let seen = send_many(&stack, asks).await;
+            let seen = send_many(&stack, requests).await;
             for s in &seen {
                 assert_eq!(outcome(s), Some(Outcome::Complete), "{name} at {target}: {s:?}");
             }
@@ -119,8 +119,8 @@
         stack.targets[t].set_faults(TargetFaults { drop: true, ..TargetFaults::default() });
     }
     let keys: Vec<_> = (0..4).map(|_| new_key()).collect();
-    let ask = |(i, k): (usize, &model::key::Key)| TestRequest::order(i as u64, *k);
-    let mut seen = send_many(&stack, keys.iter().enumerate().map(ask).collect()).await;
+    let request = |(i, k): (usize, &model::key::Key)| TestRequest::order(i as u64, *k);
+    let mut seen = send_many(&stack, keys.iter().enumerate().map(request).collect()).await;
     // The caller retries with the same key, also on the other node.
     for round in 1..4 {
         let rotated: Vec<TestRequest> = keys
@@ -145,9 +145,9 @@
 async fn concurrent_requests_with_one_key_on_two_nodes_pay_at_most_once() {
     let stack = stack().await;
     let keys: Vec<_> = (0..20).map(|_| new_key()).collect();
-    let asks: Vec<TestRequest> =
+    let requests: Vec<TestRequest> =
         (0..40).map(|i| TestRequest::order(i as u64, keys[i / 2])).collect();
-    let seen = send_many(&stack, asks).await;
+    let seen = send_many(&stack, requests).await;
     let complete = seen.iter().filter(|s| outcome(s) == Some(Outcome::Complete)).count();
     assert_eq!(complete, 20, "{seen:?}");
     assert_eq!(record(&stack, "order", seen).audit(), vec![]);
@@ -170,10 +170,10 @@
     for (name, faults) in cases {
         stack.api.set_faults(faults);
         let keys: Vec<_> = (0..4).map(|_| new_key()).collect();
-        let asks: Vec<TestRequest> =
+        let requests: Vec<TestRequest> =
             (0..8).map(|i| TestRequest::order(call + i, keys[i as usize / 2])).collect();
         call += 8;
-        let part = send_many(&stack, asks).await;
+        let part = send_many(&stack, requests).await;
         if name == "down" {
             assert!(part.iter().all(|s| outcome(s) == Some(Outcome::NotRun)), "{part:?}");
         }
@@ -197,9 +197,9 @@
     let callers = stack.callers();
     let tasks: Vec<_> = (0..12)
         .map(|i| {
-            let ask = TestRequest { words: 40, ..TestRequest::minutes(i, true) };
+            let request = TestRequest { words: 40, ..TestRequest::minutes(i, true) };
             let (to, client) = (callers[0], client());
-            tokio::spawn(async move { ask.send(&client, to).await })
+            tokio::spawn(async move { request.send(&client, to).await })
         })
         .collect();
     wait_until("the streams start", || {
@@ -232,8 +232,8 @@
     let mut quiet = 0;
     for round in 1..200 {
         let before = runs();
-        let asks = (0..10).map(|i| TestRequest::minutes(round * 10 + i, false)).collect();
-        let seen = send_many(&stack, asks).await;
+        let requests = (0..10).map(|i| TestRequest::minutes(round * 10 + i, false)).collect();
+        let seen = send_many(&stack, requests).await;
         assert!(seen.iter().all(|s| outcome(s) == Some(Outcome::Complete)));
         assert!(quiet == 0 || runs() == before, "new work after it had stopped");
         quiet += usize::from(runs() == before);
@@ -298,10 +298,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn workspace_over_its_rate_limit_is_not_run() {
     let stack = stack().await;
-    let asks = (0..6)
+    let requests = (0..6)
         .map(|i| TestRequest { workspace: "limited", ..TestRequest::minutes(i, false) })
         .collect();
-    let seen = send_many(&stack, asks).await;
+    let seen = send_many(&stack, requests).await;
     let refused = seen.iter().filter(|s| outcome(s) == Some(Outcome::NotRun)).count();
     assert!(refused >= 4, "at most one token per node: {seen:?}");
     assert_eq!(record(&stack, "minutes", seen).audit(), vec![]);
--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -118,8 +118,8 @@
 impl Fleet {
     /// Loopback address of one component; the second byte is derived from the id of this process,
     /// so that concurrent test runs use different addresses.
-    fn ip(&self, part: usize) -> String {
-        format!("127.{}.7.{}", self.base, part + 1)
+    fn ip(&self, component: usize) -> String {
+        format!("127.{}.7.{}", self.base, component + 1)
     }
 
     fn write(&self, name: &str, text: String) -> PathBuf {
@@ -191,14 +191,14 @@
     /// Starts the declared targets, applies the declarations and waits until they are in force.
     async fn apply(&mut self) {
         let mut declarations = common::declarations();
-        let mut part = 30;
+        let mut component = 30;
         for d in &mut declarations {
             let Spec::Pool(pool) = &mut d.spec else {
                 continue;
             };
             for t in &mut pool.targets {
-                let address = format!("{}:7000", self.ip(part));
-                part += 1;
+                let address = format!("{}:7000", self.ip(component));
+                component += 1;
                 let role = format!("{:?}", pool.role).to_lowercase();
                 let text = format!(
                     "targets:\n  - {{ name: {}, address: \"{address}\", role: {role}, \
@@ -255,12 +255,12 @@
             let k = new_key();
             for j in 0..2 {
                 let to = self.caller_address(((i + j * 4) as usize) % NODES);
-                let ask = TestRequest::order(call + i * 2 + j, k);
-                orders.push(tokio::spawn(async move { ask.send(&client(), to).await }));
+                let request = TestRequest::order(call + i * 2 + j, k);
+                orders.push(tokio::spawn(async move { request.send(&client(), to).await }));
             }
             let to = self.caller_address((i as usize + 2) % NODES);
-            let ask = TestRequest::minutes(call + i, i % 2 == 0);
-            minutes.push(tokio::spawn(async move { ask.send(&client(), to).await }));
+            let request = TestRequest::minutes(call + i, i % 2 == 0);
+            minutes.push(tokio::spawn(async move { request.send(&client(), to).await }));
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let mut seen = (Vec::new(), Vec::new());
@@ -322,18 +322,18 @@
     for (target, faults) in [("eng-1", json!({ "cut": 3 })), ("pay-1", json!({ "drop": true }))] {
         fleet.set_faults(target, &faults).await;
     }
-    let part = fleet.send_load(500, 10).await;
-    let whole = outcomes(&part.1, Outcome::Complete);
-    assert_eq!(whole, 10, "cut streams are resumed: {:#?}", part.1);
-    assert!(outcomes(&part.0, Outcome::Unknown) > 10, "lost payments are unknown");
-    orders.extend(part.0);
-    minutes.extend(part.1);
+    let batch = fleet.send_load(500, 10).await;
+    let complete = outcomes(&batch.1, Outcome::Complete);
+    assert_eq!(complete, 10, "cut streams are resumed: {:#?}", batch.1);
+    assert!(outcomes(&batch.0, Outcome::Unknown) > 10, "lost payments are unknown");
+    orders.extend(batch.0);
+    minutes.extend(batch.1);
     for target in ["eng-1", "pay-1"] {
         fleet.set_faults(target, &json!({})).await;
     }
 
     // An entry process is killed during requests and started again.
-    let part = {
+    let batch = {
         let load = fleet.send_load(1000, 20);
         tokio::pin!(load);
         tokio::select! {
@@ -344,8 +344,8 @@
         kill(pid, Signal::SIGKILL).expect("a child process");
         load.await
     };
-    orders.extend(part.0);
-    minutes.extend(part.1);
+    orders.extend(batch.0);
+    minutes.extend(batch.1);
     fleet.entries[4].restart();
     fleet.wait_answering(fleet.caller_address(4), "/readyz").await;
 
@@ -354,29 +354,29 @@
         fleet.controls[node].signal(Signal::SIGSTOP);
     }
     tokio::time::sleep(Duration::from_millis(2500)).await;
-    let part = fleet.send_load(2000, 10).await;
+    let batch = fleet.send_load(2000, 10).await;
     assert_eq!(
-        outcomes(&part.1, Outcome::Complete),
+        outcomes(&batch.1, Outcome::Complete),
         10,
         "the data path does not depend on control"
     );
-    orders.extend(part.0);
-    minutes.extend(part.1);
+    orders.extend(batch.0);
+    minutes.extend(batch.1);
     for node in [0, 3, 6] {
         fleet.controls[node].signal(Signal::SIGCONT);
     }
 
     // The store is frozen: repeatable work continues, and orders reported as not run did not run.
     fleet.store.signal(Signal::SIGSTOP);
-    let part = fleet.send_load(3000, 6).await;
+    let batch = fleet.send_load(3000, 6).await;
     assert_eq!(
-        outcomes(&part.1, Outcome::Complete),
+        outcomes(&batch.1, Outcome::Complete),
         6,
         "repeatable work does not depend on the store"
     );
-    assert_eq!(outcomes(&part.0, Outcome::Complete), 0, "no order completes without a claim");
-    orders.extend(part.0);
-    minutes.extend(part.1);
+    assert_eq!(outcomes(&batch.0, Outcome::Complete), 0, "no order completes without a claim");
+    orders.extend(batch.0);
+    minutes.extend(batch.1);
     fleet.store.signal(Signal::SIGCONT);
 
     // Every control process is killed: restarted nodes rejoin and apply a change.
@@ -397,7 +397,7 @@
     cli::cmd::wait_in_force(&remote, &written, Duration::from_secs(60)).await.expect("in force");
 
     // A graceful stop with open requests.
-    let part = {
+    let batch = {
         let load = fleet.send_load(4000, 10);
         tokio::pin!(load);
         tokio::select! {
@@ -408,13 +408,13 @@
         kill(pid, Signal::SIGTERM).expect("a child process");
         load.await
     };
-    let cut = part.1.iter().filter(|s| s.disconnected && !s.text.is_empty()).count();
+    let cut = batch.1.iter().filter(|s| s.disconnected && !s.text.is_empty()).count();
     assert_eq!(cut, 0, "a graceful stop cuts off no stream");
-    orders.extend(part.0);
-    minutes.extend(part.1);
+    orders.extend(batch.0);
+    minutes.extend(batch.1);
 
-    let once = outcomes(&orders, Outcome::Complete);
-    assert!(once >= 30, "most orders complete outside the faults: {once}");
+    let complete = outcomes(&orders, Outcome::Complete);
+    assert!(complete >= 30, "most orders complete outside the faults: {complete}");
     assert_eq!(fleet.record("order", orders).await.audit(), vec![]);
     assert_eq!(fleet.record("minutes", minutes).await.audit(), vec![]);
 }
