--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `pumicevale apply`: writes declarations, each on condition.
+//! `pumicevale apply`: writes each declaration conditionally on its version.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,51 +8,52 @@
 use tokio::time::Instant;
 
 use crate::declare::{self, Declaration};
-use crate::remote::{Put, Remote};
+use crate::remote::{Remote, WriteResult};
 
-/// Wait between two looks at the status.
-const LOOK: Duration = Duration::from_millis(100);
+/// Delay between two reads of the status.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks after which a refusal counts as final.
-const REFUSED_LOOKS: u32 = 15;
+/// Status reads with a rejection after which the rejection is final.
+const MAX_REJECTED_POLLS: u32 = 15;
 
-/// Writes declarations.
+/// Arguments of `apply`.
 pub struct Apply {
-    /// Folder or file.
+    /// File or directory of declarations.
     pub files: PathBuf,
     /// Address of the Object API.
     pub store: String,
-    /// Whether to wait until all is in force.
+    /// Whether to wait until everything is in force.
     pub wait: bool,
-    /// Seconds to wait at most.
+    /// Maximum seconds to wait.
     pub timeout: u64,
 }
 
 impl Apply {
-    /// Reads the files, writes what differs and, if asked, waits.
+    /// Loads the files, writes the objects that differ and optionally waits.
     pub async fn run(self) -> anyhow::Result<()> {
         let all = declare::load(&self.files)?;
         let remote = Remote::new(&self.store)?;
         let written = write_all(&remote, all).await?;
         println!("{} objects written", written.len());
         if self.wait {
-            let number = wait(&remote, &written, Duration::from_secs(self.timeout)).await?;
+            let number =
+                wait_in_force(&remote, &written, Duration::from_secs(self.timeout)).await?;
             println!("manifest {number} is in force everywhere");
         }
         Ok(())
     }
 }
 
-/// One object as written.
+/// An object that was written.
 #[derive(Debug, Clone)]
 pub struct Written {
-    /// `Kind/name`.
+    /// Key, `Kind/name`.
     pub key: String,
-    /// Version.
+    /// Version after the write.
     pub version: u64,
 }
 
-/// Writes what differs, in the order in which objects need each other.
+/// Writes the objects that differ, referenced kinds first.
 pub async fn write_all(remote: &Remote, mut all: Vec<Declaration>) -> anyhow::Result<Vec<Written>> {
     let rank = |d: &Declaration| KINDS.iter().position(|k| *k == d.spec.kind());
     all.sort_by_key(rank);
@@ -66,7 +67,7 @@
         let put = remote.write(kind, &d.name, expect, Some(&d.spec)).await;
         let put =
             put.with_context(|| format!("stopped after {} objects were written", written.len()))?;
-        if let Put::Done(version) = put {
+        if let WriteResult::Written(version) = put {
             println!("{key} version {version}");
             written.push(Written { key, version });
         }
@@ -74,16 +75,20 @@
     Ok(written)
 }
 
-/// Waits until every written version was accepted and is in force on every node
-/// that the failure domains report; returns the manifest's number.
-pub async fn wait(remote: &Remote, written: &[Written], most: Duration) -> anyhow::Result<u64> {
-    let until = Instant::now() + most;
+/// Waits until every written version is accepted and in force on all nodes that the failure
+/// domains report; returns the manifest number.
+pub async fn wait_in_force(
+    remote: &Remote,
+    written: &[Written],
+    timeout: Duration,
+) -> anyhow::Result<u64> {
+    let deadline = Instant::now() + timeout;
     let mut number = 0;
     for w in written {
-        number = number.max(accepted(remote, w, until).await?);
+        number = number.max(wait_accepted(remote, w, deadline).await?);
     }
     loop {
-        let fleets = remote.fleets().await.unwrap_or_default();
+        let fleets = remote.fleet_statuses().await.unwrap_or_default();
         let behind: Vec<String> = fleets
             .iter()
             .filter(|(_, f)| f.lowest < number || f.applied < f.nodes)
@@ -93,15 +98,15 @@
             return Ok(number);
         }
         anyhow::ensure!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "manifest {number} is not in force everywhere: {}",
             if fleets.is_empty() { "no failure domain reports".into() } else { behind.join("; ") }
         );
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn accepted(remote: &Remote, w: &Written, until: Instant) -> anyhow::Result<u64> {
+async fn wait_accepted(remote: &Remote, w: &Written, deadline: Instant) -> anyhow::Result<u64> {
     let mut refused = 0;
     loop {
         let status = remote.status(&w.key).await.ok().flatten();
@@ -109,10 +114,10 @@
             if s.accepted || s.version > w.version {
                 return Ok(s.number);
             }
-            // What it needs may be on its way in the same apply.
+            // An object that it references may still be in flight from the same apply.
             refused += 1;
             anyhow::ensure!(
-                refused < REFUSED_LOOKS,
+                refused < MAX_REJECTED_POLLS,
                 "{} version {} was not accepted: {}",
                 w.key,
                 w.version,
@@ -120,11 +125,11 @@
             );
         }
         anyhow::ensure!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "{} version {} has no status yet",
             w.key,
             w.version
         );
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/src/declare.rs
+++ b/crates/cli/src/declare.rs
@@ -1,5 +1,5 @@
-//! Declarations in YAML files: one or more documents a file, each with `kind`,
-//! `name` and `spec`. An error names file, line and column.
+//! Loads declarations from YAML files with one or more documents, each with `kind`, `name` and
+//! `spec`. Errors name the file, line and column.
 
 use std::path::{Path, PathBuf};
 
@@ -9,28 +9,28 @@
 use serde::{Deserialize, de::DeserializeOwned};
 use util::settings::syntax_error;
 
-/// One declared object and where it stands.
+/// One declared object and its location.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Declaration {
-    /// File.
+    /// File that declares it.
     pub path: PathBuf,
-    /// Line of the document's start, from 1.
+    /// First line of the document, counted from 1.
     pub line: u64,
-    /// Name.
+    /// Object name, unique within its kind.
     pub name: Name,
-    /// Spec.
+    /// Declared spec; its variant is the kind.
     pub spec: Spec,
 }
 
 impl Declaration {
-    /// `Kind/name`.
+    /// Key of the object, `Kind/name`.
     pub fn key(&self) -> String {
         format!("{}/{}", self.spec.kind(), self.name)
     }
 }
 
 #[derive(Deserialize)]
-struct Head {
+struct DocumentHeader {
     kind: String,
 }
 
@@ -43,10 +43,10 @@
     spec: S,
 }
 
-/// Reads a file, or every `.yaml` file under a folder, and checks it all together.
+/// Loads a file, or every YAML file below a directory, and checks all objects as one set.
 pub fn load(path: &Path) -> anyhow::Result<Vec<Declaration>> {
     let mut files = Vec::new();
-    find(path, &mut files).with_context(|| format!("could not read {}", path.display()))?;
+    find_files(path, &mut files).with_context(|| format!("could not read {}", path.display()))?;
     anyhow::ensure!(!files.is_empty(), "{}: no .yaml file found", path.display());
     files.sort();
     let mut all = Vec::new();
@@ -59,7 +59,7 @@
     Ok(all)
 }
 
-fn find(path: &Path, files: &mut Vec<PathBuf>) -> std::io::Result<()> {
+fn find_files(path: &Path, files: &mut Vec<PathBuf>) -> std::io::Result<()> {
     if !path.is_dir() {
         files.push(path.into());
         return Ok(());
@@ -67,7 +67,7 @@
     for entry in std::fs::read_dir(path)? {
         let path = entry?.path();
         if path.is_dir() {
-            find(&path, files)?;
+            find_files(&path, files)?;
         } else if path.extension().is_some_and(|e| e == "yaml" || e == "yml") {
             files.push(path);
         }
@@ -75,47 +75,51 @@
     Ok(())
 }
 
-/// Parses the documents of one file.
+/// Parses the documents of one file without checking references between objects.
 pub fn parse(path: &Path, text: &str) -> anyhow::Result<Vec<Declaration>> {
     let mut out = Vec::new();
-    for (skipped, part) in documents(text) {
+    for (lines_before, part) in split_documents(text) {
         let empty = part.lines().all(|l| l.trim().is_empty() || l.trim_start().starts_with('#'));
         if empty {
             continue;
         }
-        let head: Head =
-            serde_saphyr::from_str(&part).map_err(|e| syntax_error(path, skipped, &e))?;
+        let head: DocumentHeader =
+            serde_saphyr::from_str(&part).map_err(|e| syntax_error(path, lines_before, &e))?;
         let (name, spec) = match head.kind.as_str() {
-            "Pipeline" => read(path, skipped, &part, Spec::Pipeline as fn(Pipeline) -> Spec)?,
-            "Workspace" => read(path, skipped, &part, Spec::Workspace as fn(Workspace) -> Spec)?,
-            "Pool" => read(path, skipped, &part, Spec::Pool as fn(Pool) -> Spec)?,
-            "Model" => read(path, skipped, &part, Spec::Model as fn(Model) -> Spec)?,
-            "Drain" => read(path, skipped, &part, Spec::Drain as fn(Drain) -> Spec)?,
+            "Pipeline" => {
+                parse_document(path, lines_before, &part, Spec::Pipeline as fn(Pipeline) -> Spec)?
+            }
+            "Workspace" => {
+                parse_document(path, lines_before, &part, Spec::Workspace as fn(Workspace) -> Spec)?
+            }
+            "Pool" => parse_document(path, lines_before, &part, Spec::Pool as fn(Pool) -> Spec)?,
+            "Model" => parse_document(path, lines_before, &part, Spec::Model as fn(Model) -> Spec)?,
+            "Drain" => parse_document(path, lines_before, &part, Spec::Drain as fn(Drain) -> Spec)?,
             other => anyhow::bail!(
                 "{}:{}: kind {other:?} is not one of {}",
                 path.display(),
-                skipped + 1,
+                lines_before + 1,
                 KINDS.join(", ")
             ),
         };
-        out.push(Declaration { path: path.into(), line: skipped + 1, name, spec });
+        out.push(Declaration { path: path.into(), line: lines_before + 1, name, spec });
     }
     Ok(out)
 }
 
-fn read<S: DeserializeOwned>(
+fn parse_document<S: DeserializeOwned>(
     path: &Path,
-    skipped: u64,
+    lines_before: u64,
     part: &str,
-    make: fn(S) -> Spec,
+    to_spec: fn(S) -> Spec,
 ) -> anyhow::Result<(Name, Spec)> {
     let document: Document<S> =
-        serde_saphyr::from_str(part).map_err(|e| syntax_error(path, skipped, &e))?;
-    Ok((document.name, make(document.spec)))
+        serde_saphyr::from_str(part).map_err(|e| syntax_error(path, lines_before, &e))?;
+    Ok((document.name, to_spec(document.spec)))
 }
 
-/// Documents of a text with the count of lines before each.
-fn documents(text: &str) -> Vec<(u64, String)> {
+/// Splits a text into documents, each with the number of lines before it.
+fn split_documents(text: &str) -> Vec<(u64, String)> {
     let mut out = vec![(0, String::new())];
     for (i, line) in text.lines().enumerate() {
         if line.trim_end() == "---" {
@@ -128,7 +132,7 @@
     out
 }
 
-/// Checks declarations as a whole set.
+/// Checks declarations as one set: duplicates, values and references between objects.
 pub fn check(all: &[Declaration]) -> anyhow::Result<()> {
     let mut set = ObjectSet::default();
     let mut seen = std::collections::BTreeMap::new();
@@ -149,10 +153,10 @@
     if faults.is_empty() {
         return Ok(());
     }
-    let place = |f: &object::Fault| {
+    let with_location = |f: &object::Fault| {
         let at = seen.get(&*f.object).map(|d| format!("{}:{}: ", d.path.display(), d.line));
         format!("{}{f}", at.unwrap_or_default())
     };
-    let lines: Vec<String> = faults.iter().map(place).collect();
+    let lines: Vec<String> = faults.iter().map(with_location).collect();
     anyhow::bail!("{}", lines.join("\n"))
 }
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! Declared objects in the Object API, written on condition.
+//! Declared objects in the Object API, written conditionally on their version.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 use store::{ErrorKind, HttpStore, Store};
 use util::http::Client;
 
-/// Tries to read back a write whose answer was lost.
-const READ_BACK: u32 = 10;
-/// Wait between them.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Reads after a write whose response was lost, to find out whether it was applied.
+const MAX_READ_BACKS: u32 = 10;
+/// Delay before each of these reads.
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What became of one write.
+/// Result of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Put {
-    /// Nothing to change.
-    Same,
-    /// Written at this version.
-    Done(u64),
+pub enum WriteResult {
+    /// The stored spec already matches.
+    Unchanged,
+    /// Written with this new version.
+    Written(u64),
 }
 
-/// The Object API as operators use it.
+/// Client of the Object API for operators.
 pub struct Remote {
     store: HttpStore,
     author: String,
 }
 
 impl Remote {
-    /// The API at an address, on behalf of whoever runs this.
+    /// Client of the API at `address`; writes name the user in `$USER` as their author.
     pub fn new(address: &str) -> anyhow::Result<Self> {
         address.parse::<std::net::SocketAddr>().with_context(|| {
             format!("--store {address:?} is not an IP address and port such as 10.0.0.1:7000")
@@ -39,71 +39,81 @@
         Ok(Remote { store: HttpStore::new(client, address.into()), author })
     }
 
-    /// The store itself.
+    /// The underlying store client.
     pub fn store(&self) -> &HttpStore {
         &self.store
     }
 
-    /// The version and envelope of a declared object.
+    /// Version and envelope of a declared object; no envelope if it does not exist.
     pub async fn read(&self, kind: &str, name: &str) -> anyhow::Result<(u64, Option<Envelope>)> {
         let stored = self.store.get(kind, name).await.context("could not read an object")?;
         let envelope = stored.value.map(serde_json::from_value).transpose();
         Ok((stored.version, envelope.with_context(|| format!("{kind}/{name} cannot be read"))?))
     }
 
-    /// Writes a spec, or deletes with `None`, if the version is still `expect`.
+    /// Writes a spec, or deletes the object with `None`, if its version is still `expect`.
     pub async fn write(
         &self,
         kind: &str,
         name: &str,
         expect: u64,
         spec: Option<&Spec>,
-    ) -> anyhow::Result<Put> {
+    ) -> anyhow::Result<WriteResult> {
         let nonce = rand::random::<u64>();
         let envelope =
             spec.map(|s| Envelope { spec: s.to_value(), author: self.author.clone(), nonce });
         let value = envelope.as_ref().map(|e| serde_json::to_value(e).expect("envelopes encode"));
         match self.store.put(kind, name, expect, value).await {
-            Ok(version) => Ok(Put::Done(version)),
-            Err(e) if e.kind == ErrorKind::Conflict => self.conflict(kind, name, expect).await,
-            Err(e) if e.may_be_applied() => self.settle(kind, name, expect, nonce, e).await,
+            Ok(version) => Ok(WriteResult::Written(version)),
+            Err(e) if e.kind == ErrorKind::Conflict => {
+                self.conflict_error(kind, name, expect).await
+            }
+            Err(e) if e.may_be_applied() => {
+                self.resolve_lost_write(kind, name, expect, nonce, e).await
+            }
             Err(e) => Err(e).with_context(|| format!("could not write {kind}/{name}")),
         }
     }
 
-    async fn conflict(&self, kind: &str, name: &str, expect: u64) -> anyhow::Result<Put> {
+    async fn conflict_error(
+        &self,
+        kind: &str,
+        name: &str,
+        expect: u64,
+    ) -> anyhow::Result<WriteResult> {
         let (version, envelope) = self.read(kind, name).await?;
         let what = match envelope {
             Some(e) => format!("{} changed it to {}", e.author, e.spec),
-            None => "somebody deleted it".into(),
+            None => "it was deleted".into(),
         };
         anyhow::bail!("{kind}/{name}: was version {expect}, is now {version}: {what}")
     }
 
-    /// Reads back a write whose answer was lost.
-    async fn settle(
+    /// Reads the object back after a write whose response was lost; the nonce identifies the write.
+    async fn resolve_lost_write(
         &self,
         kind: &str,
         name: &str,
         expect: u64,
         nonce: u64,
         lost: store::StoreError,
-    ) -> anyhow::Result<Put> {
-        for _ in 0..READ_BACK {
-            tokio::time::sleep(PAUSE).await;
+    ) -> anyhow::Result<WriteResult> {
+        for _ in 0..MAX_READ_BACKS {
+            tokio::time::sleep(READ_BACK_INTERVAL).await;
             let Ok((version, envelope)) = self.read(kind, name).await else {
                 continue;
             };
             match envelope {
-                Some(e) if e.nonce == nonce => return Ok(Put::Done(version)),
-                _ if version != expect => return self.conflict(kind, name, expect).await,
+                Some(e) if e.nonce == nonce => return Ok(WriteResult::Written(version)),
+                _ if version != expect => return self.conflict_error(kind, name, expect).await,
                 _ => {}
             }
         }
-        Err(lost).with_context(|| format!("{kind}/{name}: it is not known whether it was written"))
+        Err(lost)
+            .with_context(|| format!("{kind}/{name}: the write may or may not have been applied"))
     }
 
-    /// Status object of a declared object.
+    /// Status of the declared object `key`, if one was published.
     pub async fn status(&self, key: &str) -> anyhow::Result<Option<model::status::Status>> {
         let name = key.replace('/', ".");
         let stored =
@@ -111,8 +121,8 @@
         Ok(stored.value.and_then(|v| serde_json::from_value(v).ok()))
     }
 
-    /// How far the manifest has spread, by failure domain.
-    pub async fn fleets(&self) -> anyhow::Result<Vec<(String, model::status::Fleet)>> {
+    /// How many nodes apply the manifest, by failure domain.
+    pub async fn fleet_statuses(&self) -> anyhow::Result<Vec<(String, model::status::Fleet)>> {
         let listing = self.store.list(kind::STATUS).await.context("could not list statuses")?;
         let mut out = Vec::new();
         for o in listing.objects {
--- a/crates/dev/tests/common/mod.rs
+++ b/crates/dev/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small caller and declarations for tests; keeps the auditor's record.
+//! Test client and declarations, and the record of a run for the auditor.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -18,8 +18,8 @@
 use serde_json::{Value, json};
 use util::http::{Client, Lines};
 
-/// Two targets a pool; `minutes` is all repeatable, `order` pays once.
-pub const DECLARED: &str = r#"
+/// Two targets per pool; every step of `minutes` is repeatable, `pay` of `order` is not.
+pub const DECLARATIONS: &str = r#"
 kind: Pool
 name: encoders
 spec:
@@ -87,19 +87,19 @@
   limits: [{ pipeline: minutes, rate: 0.001 }]
 "#;
 
-/// The declarations of these tests.
+/// Parsed and checked declarations.
 pub fn declarations() -> Vec<Declaration> {
-    let all = declare::parse(Path::new("test.yaml"), DECLARED).expect("valid");
+    let all = declare::parse(Path::new("test.yaml"), DECLARATIONS).expect("valid");
     declare::check(&all).expect("valid");
     all
 }
 
-/// Two nodes in two failure domains, with the configuration in force.
+/// A stack of two nodes in two failure domains, with the configuration in force.
 pub async fn stack() -> Stack {
     stack_with(2.0).await
 }
 
-/// The same with engines of `step` milliseconds a token.
+/// The same stack with engines that take `step` milliseconds per step.
 pub async fn stack_with(step: f64) -> Stack {
     let options = Options::new(declarations(), &["a", "b"]).with_models(&["m@v1"]).with_step(step);
     let stack = Stack::start(options).await.expect("started");
@@ -107,14 +107,14 @@
     stack
 }
 
-/// A fresh key.
-pub fn key() -> Key {
+/// A new idempotency key.
+pub fn new_key() -> Key {
     Key::new(util::clock::unix_ms(), rand::random())
 }
 
-/// One request to send.
+/// A request to send.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct TestRequest {
     pub pipeline: &'static str,
     pub workspace: &'static str,
     pub key: Option<Key>,
@@ -123,15 +123,22 @@
     pub words: usize,
 }
 
-impl Ask {
-    /// A streamed or whole request for a summary.
+impl TestRequest {
+    /// A summary request, answered as a stream or as a whole.
     pub fn minutes(call: u64, streamed: bool) -> Self {
-        Ask { pipeline: "minutes", workspace: "w", key: None, streamed, call, words: 12 }
+        TestRequest { pipeline: "minutes", workspace: "w", key: None, streamed, call, words: 12 }
     }
 
-    /// An order, paid once.
+    /// An order, whose payment must run at most once.
     pub fn order(call: u64, key: Key) -> Self {
-        Ask { pipeline: "order", workspace: "w", key: Some(key), streamed: false, call, words: 6 }
+        TestRequest {
+            pipeline: "order",
+            workspace: "w",
+            key: Some(key),
+            streamed: false,
+            call,
+            words: 6,
+        }
     }
 
     fn input(&self) -> Value {
@@ -139,8 +146,8 @@
         json!({ "instruction": "sum up", "text": words.join(" ") })
     }
 
-    /// The text that a complete answer has.
-    pub fn want(&self) -> String {
+    /// Text of a complete answer.
+    pub fn expected_text(&self) -> String {
         let input = json!({ "request": self.input(), "results": {} });
         match self.pipeline {
             "minutes" => standin::text::generate(&input).concat(),
@@ -164,7 +171,7 @@
         b.body(Full::new(Bytes::from(self.input().to_string()))).expect("a request")
     }
 
-    /// Sends it and keeps what came back.
+    /// Sends the request and records the answer.
     pub async fn send(&self, client: &Client, to: SocketAddr) -> CallRecord {
         let mut seen = CallRecord {
             call: self.call,
@@ -173,7 +180,7 @@
             outcomes: Vec::new(),
             disconnected: false,
             text: String::new(),
-            expected_text: self.want(),
+            expected_text: self.expected_text(),
         };
         let peer = to.to_string();
         match client.send(&peer, self.request(to)).await {
@@ -202,9 +209,9 @@
     let bytes = body.to_bytes();
     if let Ok(answer) = serde_json::from_slice::<Answer>(&bytes) {
         seen.text = answer.text;
-        end(seen, answer.end);
+        record_report(seen, answer.end);
     } else if let Ok(last) = serde_json::from_slice::<RequestReport>(&bytes) {
-        end(seen, last);
+        record_report(seen, last);
     } else {
         let problem: Value = serde_json::from_slice(&bytes).expect("JSON");
         assert_eq!(problem["outcome"], "not-run", "{problem}");
@@ -235,22 +242,22 @@
             continue;
         };
         if event == "chunk" {
-            let piece: ChunkEvent = serde_json::from_str(data).expect("a piece");
-            assert_eq!(piece.seq, next, "pieces have no gaps");
+            let piece: ChunkEvent = serde_json::from_str(data).expect("a chunk");
+            assert_eq!(piece.seq, next, "chunks have no gaps");
             next += 1;
             seen.text.push_str(&piece.text);
         } else {
-            end(seen, serde_json::from_str(data).expect("a final word"));
+            record_report(seen, serde_json::from_str(data).expect("a final report"));
         }
     }
 }
 
-fn end(seen: &mut CallRecord, last: RequestReport) {
+fn record_report(seen: &mut CallRecord, last: RequestReport) {
     seen.request = Some(last.request);
     seen.outcomes.push(last.outcome);
 }
 
-/// Rules of the two pipelines.
+/// Audit rules of a pipeline.
 pub fn rules(pipeline: &str) -> PipelineRules {
     let steps: &[&str] = match pipeline {
         "minutes" => &["encode", "retrieve", "generate"],
@@ -262,7 +269,7 @@
     }
 }
 
-/// The auditor's record of one pipeline's requests on an in-process stack.
+/// Record for the auditor of one pipeline's requests on an in-process stack.
 pub fn record(stack: &Stack, pipeline: &str, calls: Vec<CallRecord>) -> Record {
     let step_runs = stack.targets.values().flat_map(|t| t.runs());
     let runs = step_runs
@@ -282,18 +289,18 @@
     Record { calls, runs, claims, rules: rules(pipeline) }
 }
 
-/// A client for callers.
+/// HTTP client of a caller.
 pub fn client() -> Client {
     Client::new(Duration::from_secs(2))
 }
 
-/// Waits until `done`, looking now and then; fails after a long while.
-pub async fn until(what: &str, mut done: impl FnMut() -> bool) {
+/// Polls `done` every 25 ms; panics after 30 seconds.
+pub async fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     for _ in 0..1200 {
         if done() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("{what} did not come about");
+    panic!("timed out waiting: {what}");
 }
