--- a/crates/decide/src/deadline/mod.rs
+++ b/crates/decide/src/deadline/mod.rs
@@ -58,7 +58,7 @@
     }
 
     /// When to send a hedged request for a short step: its 95th percentile.
-    pub fn hedge(&self) -> Option<Duration> {
+    pub fn hedge_after(&self) -> Option<Duration> {
         self.quantile(0.95).map(|p| p.max(MIN_TIMEOUT / 10))
     }
 }
--- a/crates/decide/src/fleet/evacuation.rs
+++ b/crates/decide/src/fleet/evacuation.rs
@@ -73,14 +73,14 @@
     }
 
     /// Revision of the newest list; `None` if none is known.
-    pub fn at(&self) -> Option<u64> {
-        self.domains.at()
+    pub fn revision(&self) -> Option<u64> {
+        self.domains.revision()
     }
 
     /// The list, to be sent to another node.
     pub fn list(&self) -> Option<Evacuations> {
         let domains = self.domains.list()?.iter().cloned().collect();
-        Some(Evacuations { at: self.at()?, domains })
+        Some(Evacuations { at: self.revision()?, domains })
     }
 
     /// Whether the list belongs to the current epoch of the store.
@@ -94,7 +94,7 @@
     }
 
     /// Whether a node with the list of this revision, if any, lacks a change.
-    pub fn changed_since(&self, at: Option<u64>) -> bool {
-        self.domains.changed_since(at)
+    pub fn has_changed_since(&self, at: Option<u64>) -> bool {
+        self.domains.has_changed_since(at)
     }
 }
--- a/crates/decide/src/permit/limits.rs
+++ b/crates/decide/src/permit/limits.rs
@@ -47,7 +47,7 @@
 impl Limits {
     /// Whether no target names a limit.
     pub fn is_empty(&self) -> bool {
-        self.named().next().is_none()
+        self.limited().next().is_none()
     }
 
     /// Limit of a target, in requests per second.
@@ -56,7 +56,7 @@
     }
 
     /// Targets that name a limit, with the limit in requests per second.
-    pub fn named(&self) -> impl Iterator<Item = (&TargetId, f64)> {
+    pub fn limited(&self) -> impl Iterator<Item = (&TargetId, f64)> {
         self.entries.iter().filter_map(|(id, entry)| Some((id, entry.limit.per_s?)))
     }
 
--- a/crates/decide/src/relay/history.rs
+++ b/crates/decide/src/relay/history.rs
@@ -28,7 +28,7 @@
 
 impl<T: Clone> History<T> {
     /// Revision of the state; 0 if none was read yet.
-    pub fn at(&self) -> u64 {
+    pub fn revision(&self) -> u64 {
         self.at
     }
 
--- a/crates/decide/src/relay/latest.rs
+++ b/crates/decide/src/relay/latest.rs
@@ -50,12 +50,12 @@
     }
 
     /// Revision of the newest list; `None` if none is known.
-    pub fn at(&self) -> Option<u64> {
+    pub fn revision(&self) -> Option<u64> {
         self.known.as_ref().map(|k| k.at)
     }
 
     /// Whether a node with the list of this revision, if any, lacks a change.
-    pub fn changed_since(&self, at: Option<u64>) -> bool {
+    pub fn has_changed_since(&self, at: Option<u64>) -> bool {
         let is_newer = |k: &Known<T>| at.is_none_or(|at| at < k.since);
         self.is_current() && self.known.as_ref().is_some_and(is_newer)
     }
--- a/crates/decide/src/retry/mod.rs
+++ b/crates/decide/src/retry/mod.rs
@@ -41,7 +41,7 @@
     }
 
     /// Adds the tokens of one success.
-    pub fn success(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.refill).min(self.capacity);
     }
 
--- a/crates/decide/src/rollout/versions.rs
+++ b/crates/decide/src/rollout/versions.rs
@@ -63,7 +63,7 @@
 
     /// Revision of the newest list; `None` if no list is known.
     pub fn revision(&self) -> Option<u64> {
-        self.orders.at()
+        self.orders.revision()
     }
 
     /// The current list, to send to another node.
@@ -89,7 +89,7 @@
 
     /// Whether a node that holds the list of revision `at`, if any, lacks a change.
     pub fn has_changed_since(&self, at: Option<u64>) -> bool {
-        self.orders.changed_since(at)
+        self.orders.has_changed_since(at)
     }
 
     /// Adds a target of a version, with the revision of its entry and its start time.
--- a/crates/decide/src/route/health.rs
+++ b/crates/decide/src/route/health.rs
@@ -21,7 +21,7 @@
 
 impl Health {
     /// Records an answer; the ejection backoff resets unless the target is ejected.
-    pub fn success(&mut self, now: Time) {
+    pub fn record_success(&mut self, now: Time) {
         self.failures = 0;
         if now >= self.until {
             self.ejections = 0;
@@ -29,7 +29,7 @@
     }
 
     /// Records a failure; returns true if it ejects the target.
-    pub fn failure(&mut self, now: Time) -> bool {
+    pub fn record_failure(&mut self, now: Time) -> bool {
         self.failures += 1;
         if self.failures < EJECT_AFTER || now < self.until {
             return false;
@@ -42,7 +42,7 @@
     }
 
     /// Whether the target is ejected at `now`.
-    pub fn ejected(&self, now: Time) -> bool {
+    pub fn is_ejected(&self, now: Time) -> bool {
         now < self.until
     }
 }
--- a/crates/decide/src/route/table.rs
+++ b/crates/decide/src/route/table.rs
@@ -184,7 +184,7 @@
     pub fn record_success(&mut self, now: Time, name: &str) {
         if let Some(s) = self.slot_mut(name) {
             s.in_flight = s.in_flight.saturating_sub(1);
-            s.health.success(now);
+            s.health.record_success(now);
         }
     }
 
@@ -199,14 +199,14 @@
 
     /// Records an attempt that failed; returns true if that ejected the target.
     pub fn record_failure(&mut self, now: Time, name: &str) -> bool {
-        let ejected = self.slots.iter().filter(|s| s.health.ejected(now)).count();
+        let ejected = self.slots.iter().filter(|s| s.health.is_ejected(now)).count();
         let room = ((self.slots.len() as f64 * MAX_EJECTED_SHARE) as usize).max(1);
         let Some(s) = self.slot_mut(name) else {
             return false;
         };
         s.in_flight = s.in_flight.saturating_sub(1);
         s.limit.decrease(now);
-        (ejected < room) && s.health.failure(now)
+        (ejected < room) && s.health.record_failure(now)
     }
 
     /// Records an attempt that was cancelled through no fault of the target.
@@ -223,6 +223,6 @@
             (Some(m), Some(held)) => held.iter().any(|h| &**h == m),
             _ => true,
         };
-        s.ready && !s.draining && holds && !s.health.ejected(now)
+        s.ready && !s.draining && holds && !s.health.is_ejected(now)
     }
 }
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -95,12 +95,12 @@
 fn peer_needs_changes_after_its_revision() {
     let mut known = Evacuated::default();
     known.follow();
-    assert!(!known.changed_since(None), "no list to send yet");
+    assert!(!known.has_changed_since(None), "no list to send yet");
     known.update(list(5, &["a"]), at(0));
     known.update(list(9, &["a"]), at(1));
     let cases = [(None, true), (Some(4), true), (Some(5), false), (Some(9), false)];
     for (at, changed) in cases {
-        assert_eq!(known.changed_since(at), changed, "{at:?}");
+        assert_eq!(known.has_changed_since(at), changed, "{at:?}");
     }
     assert_eq!(known.list(), Some(list(9, &["a"])));
 }
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -143,7 +143,7 @@
     assert_eq!(retried, 10);
     assert!(f64::from(sent + retried) / f64::from(sent) <= 1.2);
     for _ in 0..50 {
-        b.success();
+        b.deposit();
     }
     assert!(b.withdraw());
 }
@@ -184,13 +184,13 @@
 #[test]
 fn timeouts_follow_the_observed_durations() {
     let mut t = StepTimes::default();
-    assert_eq!(t.hedge(), None, "no hedge without samples");
+    assert_eq!(t.hedge_after(), None, "no hedge without samples");
     for i in 0..1000 {
         t.record(Duration::from_millis(20 + i % 10));
     }
     let timeout = t.timeout().as_millis();
     assert!((80..100).contains(&timeout), "{timeout}");
-    assert!(t.hedge().is_some_and(|h| h >= Duration::from_millis(28)));
+    assert!(t.hedge_after().is_some_and(|h| h >= Duration::from_millis(28)));
 }
 
 #[test]
--- a/crates/decide/tests/relay.rs
+++ b/crates/decide/tests/relay.rs
@@ -174,7 +174,7 @@
     history.append(15, vec!["b", "c"]);
     history.append(14, vec!["late"]);
     history.append(16, Vec::new());
-    assert_eq!(history.at(), 16);
+    assert_eq!(history.revision(), 16);
     assert_eq!(history.since(9), None);
     assert_eq!(history.since(10), Some(vec!["a", "b", "c"]));
     assert_eq!(history.since(12), Some(vec!["b", "c"]));
@@ -207,7 +207,7 @@
                 }
                 None => copy = state,
             }
-            copy_at = history.at();
+            copy_at = history.revision();
             prop_assert_eq!(copy, state);
         }
     }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -225,7 +225,7 @@
         for (_, f) in self.flights.drain() {
             let mut pool = f.pool.lock();
             pool.table.record_success(now, &f.target);
-            pool.budget.success();
+            pool.budget.deposit();
         }
         self.step_begun = now;
     }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -217,7 +217,7 @@
                 repeatable: s.repeatable,
                 continuable: engine,
                 timeout: seen.map_or_else(|| StepTimes::default().timeout(), StepTimes::timeout),
-                hedge: seen.filter(|_| hedging && !engine).and_then(StepTimes::hedge),
+                hedge: seen.filter(|_| hedging && !engine).and_then(StepTimes::hedge_after),
                 cost: pool.map_or(0.0, |p| p.cost),
             }
         };
--- a/crates/forward/src/heard.rs
+++ b/crates/forward/src/heard.rs
@@ -51,12 +51,12 @@
         state
     });
     if is_limited {
-        node.metrics.sent_at_limit(&target.service);
+        node.metrics.count_sent_at_limit(&target.service);
     }
     if is_draining {
-        node.metrics.sent_against_notice(&target.service, "leaving");
+        node.metrics.count_sent_against_notice(&target.service, "leaving");
     }
     if is_backing_off {
-        node.metrics.sent_against_notice(&target.service, "retry_after");
+        node.metrics.count_sent_against_notice(&target.service, "retry_after");
     }
 }
--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -361,18 +361,18 @@
     }
 
     /// Counts a request or call to a target that has named a limit.
-    pub fn sent_at_limit(&self, service: &str) {
+    pub fn count_sent_at_limit(&self, service: &str) {
         self.sent_at_limit.get_or_create(&NameLabel { name: self.bounded_label(service) }).inc();
     }
 
     /// Counts a request or call to a target that is draining or has asked for backoff.
-    pub fn sent_against_notice(&self, service: &str, notice: &'static str) {
+    pub fn count_sent_against_notice(&self, service: &str, notice: &'static str) {
         let labels = NoticeLabels { service: self.bounded_label(service), notice };
         self.sent_against_notice.get_or_create(&labels).inc();
     }
 
     /// Counts a request that was refused because all its targets were at the limits they had named.
-    pub fn refused_at_limit(&self, route: &str) {
+    pub fn count_refused_at_limit(&self, route: &str) {
         self.refused_at_limit.get_or_create(&NameLabel { name: self.bounded_label(route) }).inc();
     }
 
@@ -384,20 +384,20 @@
     }
 
     /// Counts requests, or pieces of a call, sent to a version of a service during a rollout.
-    pub fn rollout_sent(&self, service: &Name, version: &Name, count: usize) {
+    pub fn count_rollout_sent(&self, service: &Name, version: &Name, count: usize) {
         let labels = self.version_labels(service, version);
         self.rollout_requests.get_or_create(&labels).inc_by(count as u64);
     }
 
     /// Counts failures of the version; a call with failed pieces counts as that many.
-    pub fn rollout_bad(&self, service: &Name, version: &Name, count: usize) {
+    pub fn count_rollout_bad(&self, service: &Name, version: &Name, count: usize) {
         let labels = self.version_labels(service, version);
         self.rollout_bad.get_or_create(&labels).inc_by(count as u64);
     }
 
     /// Counts an answer of the version to a request or call, also one with some failed pieces, and
     /// adds the time that it took.
-    pub fn rollout_good(&self, service: &Name, version: &Name, took: Duration) {
+    pub fn record_rollout_good(&self, service: &Name, version: &Name, took: Duration) {
         let labels = self.version_labels(service, version);
         self.rollout_answers.get_or_create(&labels).inc();
         self.rollout_seconds.get_or_create(&labels).inc_by(took.as_secs_f64());
@@ -408,7 +408,7 @@
     }
 
     /// Counts a stage order that was spilled to another region.
-    pub fn spilled(&self, from: &str, to: &str) {
+    pub fn count_spilled(&self, from: &str, to: &str) {
         let labels = RegionLabels { from: self.bounded_label(from), to: self.bounded_label(to) };
         self.spilled_orders.get_or_create(&labels).inc();
     }
--- a/crates/forward/src/rollout/sent.rs
+++ b/crates/forward/src/rollout/sent.rs
@@ -51,7 +51,7 @@
         state.zip(limit).is_some_and(|(b, limit)| f.is_cold(b, limit, now))
     });
     node.rollouts.evidence.borrow_mut().record_sent(service, route, side, pieces as u32);
-    node.metrics.rollout_sent(service, version, pieces);
+    node.metrics.count_rollout_sent(service, version, pieces);
     Some(TrackedSend(Rc::new(Inner {
         node: node.clone(),
         order,
@@ -74,7 +74,7 @@
         if !self.0.is_evidence() {
             return;
         }
-        node.metrics.rollout_good(&order.service, version, took);
+        node.metrics.record_rollout_good(&order.service, version, took);
         let mut evidence = node.rollouts.evidence.borrow_mut();
         if !evidence.record_late(&order.service, route, took, node.now()) {
             evidence.record_good(&order.service, route, *side, took);
@@ -98,9 +98,9 @@
             !is_late_again
                 && evidence.record_partial(&order.service, route, *side, failed_share, took)
         };
-        node.metrics.rollout_bad(&order.service, version, failed);
+        node.metrics.count_rollout_bad(&order.service, version, failed);
         if failed < *pieces {
-            node.metrics.rollout_good(&order.service, version, node.now().since(*started));
+            node.metrics.record_rollout_good(&order.service, version, node.now().since(*started));
         }
         if is_bad && *side == Side::Trial {
             roll_back_if_bad(node, order);
@@ -131,7 +131,7 @@
         // Counted once for all pieces of a call, as successes are. The pieces share one outcome, so
         // counting each would let a single late call roll back a good version.
         node.rollouts.evidence.borrow_mut().record_bad(&order.service, route, *side);
-        node.metrics.rollout_bad(&order.service, version, *pieces);
+        node.metrics.count_rollout_bad(&order.service, version, *pieces);
         if *side == Side::Trial {
             roll_back_if_bad(node, order);
         }
--- a/crates/forward/src/serve/choice.rs
+++ b/crates/forward/src/serve/choice.rs
@@ -284,7 +284,7 @@
     /// request.
     fn exclude_limited(&self) {
         let limited: Vec<TargetId> =
-            self.node.fleet(|f| f.limits().named().map(|(id, _)| id.clone()).collect());
+            self.node.fleet(|f| f.limits().limited().map(|(id, _)| id.clone()).collect());
         self.progress(|p| p.excluded.extend(limited));
     }
 
@@ -347,7 +347,7 @@
         let now = self.node.now();
         let mut excluded = self.progress(|p| p.excluded.clone());
         self.node.fleet(|f| {
-            let limited = f.limits().named().map(|(id, _)| id);
+            let limited = f.limits().limited().map(|(id, _)| id);
             excluded.extend(limited.filter(|id| f.limits().is_closed(id, now)).cloned());
             let unwilling = f.notices().draining().chain(f.notices().backed_off(now));
             excluded.extend(unwilling.filter(|id| f.belongs_to(id, &self.service)).cloned());
--- a/crates/forward/src/serve/exchange.rs
+++ b/crates/forward/src/serve/exchange.rs
@@ -372,7 +372,7 @@
     /// Retry delay if all targets are at their limits, which is counted and noted as the reason.
     fn refuse_at_limit(&self) -> Option<Duration> {
         let wait = self.limit_retry_after()?;
-        self.node.metrics.refused_at_limit(&self.route.name);
+        self.node.metrics.count_refused_at_limit(&self.route.name);
         self.progress(|p| p.reason = format!("{AT_LIMIT}; before: {}", p.reason));
         Some(wait)
     }
--- a/crates/forward/src/stages/spill.rs
+++ b/crates/forward/src/stages/spill.rs
@@ -32,7 +32,7 @@
             Ok(answer) => {
                 self.spill.borrow_mut().update_waits(region.clone(), answer.waits, node.now());
                 let from = self.pool.region.as_deref().unwrap_or_default();
-                node.metrics.spilled(from, &region);
+                node.metrics.count_spilled(from, &region);
                 let waits = self.waits(node, &order.queue());
                 (order, Some(BatchAnswer { waits, ..answer }))
             }
--- a/crates/forward/src/watch/feed.rs
+++ b/crates/forward/src/watch/feed.rs
@@ -65,7 +65,7 @@
 
     /// Revision of the state; `None` if none was ever read.
     pub fn revision(&self) -> Option<u64> {
-        Some(self.history.borrow().at()).filter(|at| *at > 0)
+        Some(self.history.borrow().revision()).filter(|at| *at > 0)
     }
 
     /// Epoch of the store that the state belongs to.
--- a/crates/forward/src/watch/rollouts.rs
+++ b/crates/forward/src/watch/rollouts.rs
@@ -78,7 +78,7 @@
     let ask = FollowAsk {
         at: u64::MAX,
         rules: node.table().rules.version,
-        evacuations: node.fleet(|f| f.evacuated().at()),
+        evacuations: node.fleet(|f| f.evacuated().revision()),
         rollouts: None,
         wait_ms: 0,
         patient: false,
--- a/crates/forward/src/watch/targets.rs
+++ b/crates/forward/src/watch/targets.rs
@@ -154,7 +154,8 @@
         let ask = FollowAsk {
             at: node.feed.revision().unwrap_or(0),
             rules: node.table().rules.version,
-            evacuations: node.fleet(|f| f.evacuated().at().filter(|_| f.evacuated().is_current())),
+            evacuations: node
+                .fleet(|f| f.evacuated().revision().filter(|_| f.evacuated().is_current())),
             rollouts: node.fleet(|f| f.versions().revision().filter(|_| f.versions().is_current())),
             wait_ms: wait.as_millis() as u64,
             patient,
@@ -395,7 +396,7 @@
     let key = SnapshotKey {
         epoch: node.feed.epoch(),
         rules: node.table().rules.version,
-        evacuations: node.fleet(|f| f.evacuated().at()),
+        evacuations: node.fleet(|f| f.evacuated().revision()),
         rollouts: node.fleet(|f| f.versions().revision()),
         out_of_touch: node.feed.is_out_of_touch(),
     };
@@ -446,7 +447,7 @@
     let has_changes = || node.feed.changes_since(ask.at).is_none_or(|c| !c.is_empty());
     let lacks_targets = !is_same || (known > ask.at && has_changes());
     let lacks_lists = node.fleet(|f| {
-        f.evacuated().changed_since(ask.evacuations.filter(|_| is_same))
+        f.evacuated().has_changed_since(ask.evacuations.filter(|_| is_same))
             || f.versions().has_changed_since(ask.rollouts.filter(|_| is_same))
     });
     let is_behind = lacks_targets || lacks_lists;
