--- a/crates/decide/src/config/chunks.rs
+++ b/crates/decide/src/config/chunks.rs
@@ -7,7 +7,7 @@
 use model::{Name, hash};
 
 /// Splits items into slots of a few KB and returns the chunk address of each slot and the text of
-/// each chunk. Keeps `old_count` slots unless the wanted count is above twice or below an eighth of
+/// each chunk. Keeps `old_count` slots unless the ideal count is above twice or below an eighth of
 /// it, so that a change of one item replaces one chunk.
 pub(super) fn split_chunks(
     items: &BTreeMap<Name, Item>,
--- a/crates/decide/src/fleet/load.rs
+++ b/crates/decide/src/fleet/load.rs
@@ -37,7 +37,7 @@
         self.others * self.decay(REQUESTS_DECAY, now)
     }
 
-    /// Expected duration of work as a multiple of the usual one.
+    /// Expected duration of work as a multiple of the baseline one.
     pub(super) fn slowdown(&self, now: Time) -> f64 {
         1.0 + (self.slowdown - 1.0) * self.decay(SLOWDOWN_DECAY, now)
     }
--- a/crates/decide/src/fleet/state.rs
+++ b/crates/decide/src/fleet/state.rs
@@ -118,7 +118,7 @@
         own + self.load.map_or(0.0, |report| report.others(now))
     }
 
-    /// Expected duration of work as a multiple of the usual one.
+    /// Expected duration of work as a multiple of the baseline one.
     pub fn slowdown(&self, now: Time) -> f64 {
         self.load.map_or(1.0, |report| report.slowdown(now))
     }
--- a/crates/decide/src/load/mod.rs
+++ b/crates/decide/src/load/mod.rs
@@ -14,7 +14,7 @@
 pub const POLLERS: usize = 2;
 /// Flag: the target responds.
 const READY: u8 = 1;
-/// Flag: the target is leaving.
+/// Flag: the target is draining (`leaving` in its report).
 const DRAINING: u8 = 2;
 
 /// Rank of `me` among the pollers of `target`, given the names of the domain's nodes; `None` if it
--- a/crates/decide/src/member/machine.rs
+++ b/crates/decide/src/member/machine.rs
@@ -164,7 +164,7 @@
         (nodes, applied, lowest)
     }
 
-    /// When [`Event::Tick`] is wanted next.
+    /// When [`Event::Tick`] is due next.
     pub fn next_tick(&self) -> Time {
         if self.left {
             return Time::NEVER;
--- a/crates/decide/src/member/rumors.rs
+++ b/crates/decide/src/member/rumors.rs
@@ -9,7 +9,7 @@
 const RETRANSMIT_FACTOR: u32 = 3;
 /// Transmissions of a load; few suffice, since the next change follows soon.
 const LOAD_TRANSMITS: u32 = 2;
-/// The `leaving` bit of [`LoadRumor::flags`]. Such loads are sent first.
+/// Bit of [`LoadRumor::flags`] for a draining target. Such loads are sent first.
 const DRAINING_FLAG: u8 = 2;
 
 /// Rumors and loads that are still to be sent.
@@ -57,7 +57,7 @@
         out
     }
 
-    /// Takes up to `n` loads for one packet, leaving targets first.
+    /// Takes up to `n` loads for one packet, draining targets first.
     pub fn take_loads(&mut self, n: usize, nodes: usize) -> Vec<LoadRumor> {
         let log = (usize::BITS - nodes.leading_zeros()).max(1);
         let max_sends = |l: &LoadRumor| {
--- a/crates/decide/src/place/mod.rs
+++ b/crates/decide/src/place/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! Orders are desired state: confirmed by load reports, resent until they take effect, and limited
 //! to what the weight store can serve. An old version is unloaded only once its successor serves on
-//! the required number of targets. Leaving targets are replaced first and drained afterwards.
+//! the required number of targets. Targets that are about to leave
+//! are replaced first and drained afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -47,6 +48,7 @@
         self.reports.get(target).is_some_and(|n| n.ready && n.report.models.contains(version))
     }
 
+    /// Whether a target is draining, or its host is drained or marked as leaving.
     fn is_leaving(&self, t: &model::object::Target) -> bool {
         let drained = self.set.drains.values().any(|d| d.host == t.host);
         let announced = self.reports.get(&t.name).is_some_and(|n| n.report.leaving);
--- a/crates/decide/src/request/types.rs
+++ b/crates/decide/src/request/types.rs
@@ -96,7 +96,7 @@
         attempt: Attempt,
         /// Target.
         target: Name,
-        /// Sequence number of the first chunk wanted.
+        /// Sequence number of the first chunk requested.
         from: u64,
         /// Earlier attempt at the same target whose stream is resumed.
         resume: Option<Attempt>,
--- a/crates/decide/src/rollout/plan.rs
+++ b/crates/decide/src/rollout/plan.rs
@@ -43,7 +43,7 @@
 const WRITE_RESERVE: (f64, f64) = (0.15, 1.5);
 /// Time kept for a write as part of the order's time.
 const WRITE_RESERVE_PART: f64 = 1.0 / 30.0;
-/// Minimum time wanted for a write, where the order is short and the cap allows it.
+/// Minimum time kept for a write where the order is short, if the cap allows it.
 const MIN_PREFERRED_WRITE: f64 = 0.8;
 /// Time kept between the end of the old version's requests and the write, for reports of that end;
 /// the maximum covers lost reports too.
--- a/crates/decide/src/roster/role_key.rs
+++ b/crates/decide/src/roster/role_key.rs
@@ -1,8 +1,8 @@
 //! Assignment of roles to nodes: coordinating a service, scheduling prompts, starting cold targets,
-//! keeping the total of a limit.
+//! issuing the permits of a target with a limit.
 //!
 //! Nodes are ranked by rendezvous hashing, so all nodes that agree on the membership agree on the
-//! first one without exchanging messages. A disagreement only costs batches.
+//! first one without exchanging messages. A disagreement only makes batches smaller.
 
 use std::collections::BTreeMap;
 
@@ -192,9 +192,9 @@
         !self.is_stopping && !self.up.values().any(is_before)
     }
 
-    /// The node that keeps the total of what all nodes send to a target with a limit: one of the
-    /// target's failure domain if any is up, so that both stay connected if the domain is
-    /// partitioned off. `Some(None)` is this node; `None` is returned during peer discovery. Peers
+    /// The keeper of a target with a limit, which issues its permits and so accounts for what all
+    /// nodes send to it: a node of the target's failure domain if any is up, so that both stay
+    /// connected if the domain is partitioned off. `Some(None)` is this node; `None` is returned during peer discovery. Peers
     /// whose build does not support limits are skipped.
     pub fn keeper(
         &self,
--- a/crates/decide/src/route/mod.rs
+++ b/crates/decide/src/route/mod.rs
@@ -1,7 +1,7 @@
 //! Selection of the target for a request.
 //!
 //! [`PoolTable`] is one entry node's view of one pool: reports that lag, the attempts sent since,
-//! and which targets are ejected or leaving. A [`Policy`] chooses among its candidates.
+//! and which targets are ejected or draining. A [`Policy`] chooses among its candidates.
 
 mod health;
 mod policy;
--- a/crates/decide/src/route/table.rs
+++ b/crates/decide/src/route/table.rs
@@ -41,7 +41,7 @@
     pub hash: u64,
     /// Whether the last report showed it as ready; true until one says otherwise.
     pub ready: bool,
-    /// Whether it is leaving or drained.
+    /// Whether it is draining.
     pub draining: bool,
     /// Model versions it holds, or `None` if nothing was reported.
     pub models: Option<Vec<Name>>,
@@ -148,7 +148,7 @@
         s.sent_since = 0;
     }
 
-    /// Marks a target as leaving, after its own refusal or because its host is drained.
+    /// Marks a target as draining, after its own refusal or because its host is drained.
     pub fn mark_draining(&mut self, name: &str) {
         if let Some(s) = self.slot_mut(name) {
             s.draining = true;
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -328,7 +328,7 @@
     }
     assert!(
         home_weights(&fleet, "unknown", "engine", &Allowed::ANY, at(0)).is_empty(),
-        "no producers, no weights"
+        "no workers, no weights"
     );
 }
 
--- a/crates/decide/tests/rollout_versions.rs
+++ b/crates/decide/tests/rollout_versions.rs
@@ -494,7 +494,7 @@
 }
 
 proptest! {
-    /// Usable targets are exactly those that nothing bars, whichever orders run.
+    /// Usable targets are exactly those that no check excludes, whichever orders run.
     #[test]
     fn usable_targets_are_those_without_an_exclusion(
         targets in proptest::collection::vec((0usize..4, 1u64..40, any::<bool>()), 0..12),
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -1,4 +1,4 @@
-//! Routing: homes, spills, failure domains, versions, leaving and ejection.
+//! Routing: homes, spills, failure domains, versions, draining and ejection.
 
 use std::time::Duration;
 
