--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -229,7 +229,7 @@
         for (_, f) in self.in_flight.drain() {
             let mut pool = f.pool.lock();
             pool.table.record_success(now, &f.target);
-            pool.budget.success();
+            pool.budget.deposit();
         }
         self.step_started = now;
     }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -219,7 +219,7 @@
                 continuable: engine,
                 timeout: observed
                     .map_or_else(|| StepTimes::default().timeout(), StepTimes::timeout),
-                hedge: observed.filter(|_| hedging && !engine).and_then(StepTimes::hedge),
+                hedge: observed.filter(|_| hedging && !engine).and_then(StepTimes::hedge_after),
                 cost: pool.map_or(0.0, |p| p.cost),
             }
         };
