--- a/crates/decide/src/place/mod.rs
+++ b/crates/decide/src/place/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Orders are desired state: confirmed by load reports, resent until they take effect, and limited
 //! to what the weight store can serve. An old version is unloaded only once its successor serves on
-//! the required number of targets. Targets that are about to leave
-//! are replaced first and drained afterwards.
+//! the required number of targets. Targets that are about to leave are replaced first and drained
+//! afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/decide/src/roster/role_key.rs
+++ b/crates/decide/src/roster/role_key.rs
@@ -194,8 +194,8 @@
 
     /// The keeper of a target with a limit, which issues its permits and so accounts for what all
     /// nodes send to it: a node of the target's failure domain if any is up, so that both stay
-    /// connected if the domain is partitioned off. `Some(None)` is this node; `None` is returned during peer discovery. Peers
-    /// whose build does not support limits are skipped.
+    /// connected if the domain is partitioned off. `Some(None)` is this node; `None` is returned
+    /// during peer discovery. Peers whose build does not support limits are skipped.
     pub fn keeper(
         &self,
         target: &str,
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -115,7 +115,8 @@
         seed in any::<u64>(),
     ) {
         let cold = ColdTargets { lasts_ms: 6000, per_s };
-        let limit = ColdLimit::for_service(&cold, ColdBounds { overrun, slack }).expect("cold targets are limited");
+        let limit = ColdLimit::for_service(&cold, ColdBounds { overrun, slack })
+            .expect("cold targets are limited");
         let mut rng = Rng::new(seed);
         let mut arrivals = Vec::new();
         for start in starts {
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -204,7 +204,7 @@
         self.forecast.borrow_mut().record(queue, waits, now);
     }
 
-    /// Notes that a target of a service was added or its entry changed.
+    /// Records that a target of a service was added or its entry changed.
     pub fn worker_added(&self, service: &Name) {
         self.forecast.borrow_mut().worker_added(service);
     }
@@ -359,7 +359,7 @@
         self.feed.age_of(ObjectKind::Rules, self.now()).is_none_or(|age| age.current > within)
     }
 
-    /// Notes that the list of targets has been received at least once.
+    /// Records that the list of targets has been received at least once.
     pub fn mark_targets_known(&self) {
         self.targets_known.set(true);
     }
