--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// Records that a target is leaving and announces it to the failure domain.
+/// Records that a target is draining and announces it to the failure domain.
 pub async fn announce_leaving(shared: &Shared, membership: &ActorRef<Membership>, target: &Name) {
     let rumor = {
         let mut table = shared.load_table();
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -8,7 +8,7 @@
 
 /// Media type of a request body.
 const JSON: &str = "application/json";
-/// Body of the 503 response of a target that is leaving.
+/// Body of the 503 response of a draining target.
 const LEAVING_BODY: &str = "leaving";
 
 /// What an attempt reports to its request.
@@ -16,7 +16,7 @@
 pub enum AttemptEvent {
     /// An event for the request's state machine.
     Event(Event),
-    /// The target refused because it is leaving.
+    /// The target refused because it is draining.
     TargetLeaving(Attempt),
 }
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -56,7 +56,7 @@
         format!("{}-{:08x}-{n}", self.settings.name, self.start as u32).into()
     }
 
-    /// Reports to the control node that a target refused a call because it is leaving.
+    /// Reports to the control node that a target refused a call because it is draining.
     pub fn report_refusal(&self, target: Name) {
         let Some(control) = self.settings.control.clone() else {
             return;
--- a/crates/model/src/forward/batch.rs
+++ b/crates/model/src/forward/batch.rs
@@ -44,7 +44,7 @@
     pub stage: usize,
     /// Position of the piece in its stage.
     pub piece: u32,
-    /// Time left in milliseconds, if the worker is to be told.
+    /// Time left in milliseconds, if it is passed to the worker.
     pub left_ms: Option<u64>,
     /// Input of the piece.
     pub input: StageInput,
--- a/crates/model/src/forward/target.rs
+++ b/crates/model/src/forward/target.rs
@@ -12,7 +12,7 @@
 /// so nothing known about an earlier start applies to it.
 ///
 /// Start times come from clocks that may step: they are compared for equality, and for order only
-/// if nothing else tells which of two targets is older.
+/// if nothing else shows which of two targets is older.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TargetId {
     /// Name, unique at any one time.
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -11,7 +11,7 @@
     pub holder: Name,
     /// Fencing token; increases with each change of holder.
     pub epoch: u64,
-    /// Nonce of the write; after a lost response it tells whether the write was applied.
+    /// Nonce of the write; after a lost response it shows whether the write was applied.
     pub nonce: u64,
     /// Validity in milliseconds, counted from before the write was sent.
     pub period: u64,
--- a/crates/model/src/manifest.rs
+++ b/crates/model/src/manifest.rs
@@ -17,7 +17,7 @@
     pub number: u64,
     /// Lease epoch of the node that wrote it.
     pub epoch: u64,
-    /// Nonce of the write; after a lost response it tells whether the write was applied.
+    /// Nonce of the write; after a lost response it shows whether the write was applied.
     pub nonce: u64,
     /// Content address of the chunk in each slot.
     pub slots: Vec<Name>,
--- a/crates/model/src/object/kinds.rs
+++ b/crates/model/src/object/kinds.rs
@@ -202,6 +202,6 @@
     pub spec: serde_json::Value,
     /// Author of the write, informational only.
     pub author: String,
-    /// Nonce of the write; after a lost response it tells whether the write was applied.
+    /// Nonce of the write; after a lost response it shows whether the write was applied.
     pub nonce: u64,
 }
--- a/crates/model/src/status.rs
+++ b/crates/model/src/status.rs
@@ -1,4 +1,4 @@
-//! Status objects, written by the system for operators.
+//! Status objects, written by the system for operators from what it observed.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/model/src/view.rs
+++ b/crates/model/src/view.rs
@@ -42,7 +42,7 @@
     pub changes: u64,
     /// Targets whose status changed.
     pub news: Vec<TargetStatus>,
-    /// Hosts that are being withdrawn.
+    /// Hosts that are leaving.
     pub leaving: Vec<Name>,
 }
 
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in can be told to show.
+//! Faults that a stand-in can inject.
 
 use model::attempt::{Attempt, Frame};
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
     pub stall: bool,
     /// Answers 500 without running the call.
     pub fail: bool,
-    /// Refuses calls as if the target were leaving.
+    /// Refuses calls as if the target were draining.
     pub refuse: bool,
     /// Runs the call, then drops the connection before the first frame.
     pub drop: bool,
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -112,7 +112,7 @@
         *self.faults.lock().expect("no panic while held") = faults;
     }
 
-    /// Marks the target as leaving, as its host would.
+    /// Marks the target as draining, as its host would.
     pub fn set_leaving(&self) {
         self.state.lock().expect("no panic while held").leaving = true;
     }
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -103,7 +103,7 @@
     }
 
     fn spend(&self, reason: Reason, operation: impl Fn() -> String) -> Result<(), StoreError> {
-        let mut t = self.tokens.lock().expect("the lock is not poisoned");
+        let mut t = self.tokens.lock().expect("no panic while held");
         let now = Instant::now();
         let capacity = self.rate * BURST_SECONDS;
         t.left = (t.left + now.duration_since(t.at).as_secs_f64() * self.rate).min(capacity);
--- a/crates/util/src/http/client.rs
+++ b/crates/util/src/http/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client. Its errors tell whether the call was certainly not sent, which the retry rules
+//! HTTP client. Its errors state whether the call was certainly not sent, which the retry rules
 //! depend on.
 
 use std::time::Duration;
