--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -95,26 +95,26 @@
         for s in &self.calls {
             check_outcomes(s, &mut out);
             let empty = Vec::new();
-            let own = s.request.as_ref().and_then(|id| runs.get(id)).unwrap_or(&empty);
-            self.check_runs(s, own, &mut out);
+            let own_runs = s.request.as_ref().and_then(|id| runs.get(id)).unwrap_or(&empty);
+            self.check_runs(s, own_runs, &mut out);
         }
         self.check_single_runs(&runs, &mut out);
         out
     }
 
-    fn check_runs(&self, s: &CallRecord, own: &[&StepRun], out: &mut Vec<Finding>) {
+    fn check_runs(&self, s: &CallRecord, own_runs: &[&StepRun], out: &mut Vec<Finding>) {
         let Some(request) = &s.request else {
             return;
         };
         match s.outcomes.first() {
             Some(Outcome::NotRun) => {
                 let steps =
-                    own.iter().map(|r| Finding::FalseNotRun(request.clone(), r.step.clone()));
+                    own_runs.iter().map(|r| Finding::FalseNotRun(request.clone(), r.step.clone()));
                 out.extend(steps);
             }
             Some(Outcome::Complete) => {
                 for step in &self.rules.steps {
-                    if !own.iter().any(|r| r.step == *step && r.completed) {
+                    if !own_runs.iter().any(|r| r.step == *step && r.completed) {
                         out.push(Finding::StepNotRun(request.clone(), step.clone()));
                     }
                 }
--- a/crates/audit/tests/planted.rs
+++ b/crates/audit/tests/planted.rs
@@ -92,10 +92,10 @@
             Finding::Unclaimed("r9".into(), "pay".into()),
         ),
     ];
-    for (name, inject, want) in cases {
+    for (name, inject, expected) in cases {
         let mut record = clean_record();
         inject(&mut record);
-        assert_eq!(record.audit(), vec![want], "{name}");
+        assert_eq!(record.audit(), vec![expected], "{name}");
     }
 }
 
--- a/crates/bench/src/cmd/check.rs
+++ b/crates/bench/src/cmd/check.rs
@@ -16,7 +16,8 @@
     /// Size at which the figure is measured.
     pub size: usize,
     /// Largest allowed value, inclusive.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 /// Arguments of the subcommand.
@@ -44,9 +45,9 @@
     for b in bounds {
         match figures.iter().find(|f| f.name == b.name && f.size == b.size) {
             None => violations.push(format!("{} at {}: not measured", b.name, b.size)),
-            Some(f) if f.value > b.most => {
+            Some(f) if f.value > b.max => {
                 violations
-                    .push(format!("{} at {}: {:.4}, at most {}", b.name, b.size, f.value, b.most));
+                    .push(format!("{} at {}: {:.4}, at most {}", b.name, b.size, f.value, b.max));
             }
             Some(_) => {}
         }
--- a/crates/bench/tests/bounds.rs
+++ b/crates/bench/tests/bounds.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn exceeded_and_unmeasured_bounds_are_reported() {
-    let bound = |name: &str, most: f64| Bound { name: name.into(), size: 1, most };
+    let bound = |name: &str, max: f64| Bound { name: name.into(), size: 1, max };
     let violations = find_violations(
         &[bound("store writes per claim, by claims a second", 0.5), bound("no such figure", 1.0)],
         figures(),
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -68,8 +68,9 @@
 
     /// Fields specific to the event, as `name=value`.
     pub fn details(&self) -> String {
-        let own = self.fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
-        let text = own.map(|(name, value)| match value {
+        let details =
+            self.fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
+        let text = details.map(|(name, value)| match value {
             Value::String(s) if s.is_empty() => format!("{name}=-"),
             Value::String(s) => format!("{name}={s}"),
             other => format!("{name}={other}"),
--- a/crates/control/src/publish.rs
+++ b/crates/control/src/publish.rs
@@ -60,9 +60,9 @@
     /// Runs until the process ends.
     pub async fn run(mut self, mut epoch: watch::Receiver<Option<u64>>) {
         loop {
-            let held = *epoch.borrow_and_update();
-            if held.is_some() {
-                self.publish_while_held(held, &mut epoch).await;
+            let lease_epoch = *epoch.borrow_and_update();
+            if lease_epoch.is_some() {
+                self.publish_while_held(lease_epoch, &mut epoch).await;
                 continue;
             }
             self.handle_event(PublisherEvent::Lease(None)).await;
@@ -75,7 +75,7 @@
     /// Publishes until the epoch changes.
     async fn publish_while_held(
         &mut self,
-        held: Option<u64>,
+        lease_epoch: Option<u64>,
         epoch: &mut watch::Receiver<Option<u64>>,
     ) {
         let (tx, mut rx) = mpsc::channel(16);
@@ -95,7 +95,7 @@
                     if listed >= KINDS.len() && !lease_reported {
                         lease_reported = true;
                         self.read_statuses().await;
-                        self.handle_event(PublisherEvent::Lease(held)).await;
+                        self.handle_event(PublisherEvent::Lease(lease_epoch)).await;
                     }
                 }
                 () = tokio::time::sleep(TICK_INTERVAL) =>
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -77,7 +77,7 @@
             number: self.shared.applied.load().number,
             members: members.nodes.clone(),
             changes: table.changes(),
-            news: table.since(query.changes).cloned().collect(),
+            changed_targets: table.since(query.changes).cloned().collect(),
             leaving: self.shared.leaving.load().iter().cloned().collect(),
         }
     }
--- a/crates/dev/tests/faults.rs
+++ b/crates/dev/tests/faults.rs
@@ -102,8 +102,8 @@
     let seen = send_many(&stack, minutes(8)).await;
     for s in seen {
         assert_eq!(outcome(&s), Some(Outcome::Complete), "{s:?}");
-        let marks: Vec<&str> = s.text.split('~').skip(1).map(|w| &w[..5]).collect();
-        let mut runs = marks.clone();
+        let tags: Vec<&str> = s.text.split('~').skip(1).map(|w| &w[..5]).collect();
+        let mut runs = tags.clone();
         runs.dedup();
         assert!(runs.len() <= 2, "spliced from more than two runs: {}", s.text);
         let plain: String = s.text.replace("~eng-1", "").replace("~eng-2", "");
@@ -220,7 +220,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn leaving_host_stops_receiving_work_for_good() {
+async fn leaving_host_permanently_stops_receiving_work() {
     // The tests of the state machines prove the bound in steps; this one only checks that new work
     // stops eventually and stays stopped.
     const QUIET: usize = 3;
--- a/crates/dev/tests/processes.rs
+++ b/crates/dev/tests/processes.rs
@@ -304,8 +304,8 @@
     }
 }
 
-fn outcomes(seen: &[CallRecord], want: Outcome) -> usize {
-    seen.iter().filter(|s| s.outcomes.first() == Some(&want)).count()
+fn outcomes(seen: &[CallRecord], expected: Outcome) -> usize {
+    seen.iter().filter(|s| s.outcomes.first() == Some(&expected)).count()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -88,9 +88,9 @@
 impl RetryPolicy for RetryBudgets<'_> {
     fn allow_retry(&mut self, step: usize) -> bool {
         let stage = &self.pipeline.stages[step];
-        let taken = self.core.fleet.pool(&stage.pool).is_some_and(|p| p.lock().budget.withdraw());
-        self.core.metrics.record_retry(&stage.name, taken);
-        taken
+        let granted = self.core.fleet.pool(&stage.pool).is_some_and(|p| p.lock().budget.withdraw());
+        self.core.metrics.record_retry(&stage.name, granted);
+        granted
     }
 }
 
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -164,15 +164,15 @@
     }
 
     /// Updates a target's state from a report; reports of unknown targets are ignored.
-    pub fn update_target(&self, now: Time, news: &TargetStatus) {
+    pub fn update_target(&self, now: Time, status: &TargetStatus) {
         let pool_name = self
             .target_pools
             .read()
             .expect("no panic while held")
-            .get(&news.report.target)
+            .get(&status.report.target)
             .cloned();
         if let Some(pool) = pool_name.and_then(|o| self.pool(&o)) {
-            pool.lock().table.update(now, news);
+            pool.lock().table.update(now, status);
         }
     }
 
--- a/crates/entry/src/front/ask.rs
+++ b/crates/entry/src/front/ask.rs
@@ -25,7 +25,7 @@
 /// Header with the idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
 /// Maximum length of a session name, bytes.
-const MAX_SESSION_LEN: usize = 256;
+const MAX_SESSION_BYTES: usize = 256;
 
 /// A request rejected during parsing, before it had any effect.
 #[derive(Debug)]
@@ -124,7 +124,7 @@
 }
 
 fn priority(headers: &HeaderMap, default: Priority) -> Result<Priority, InvalidRequest> {
-    let asked = match header(headers, PRIORITY_HEADER)? {
+    let requested = match header(headers, PRIORITY_HEADER)? {
         None => return Ok(default),
         Some("urgent") => Priority::Urgent,
         Some("normal") => Priority::Normal,
@@ -136,13 +136,13 @@
         }
     };
     // A caller may lower its priority, but not raise it above that of its workspace.
-    Ok(asked.max(default))
+    Ok(requested.max(default))
 }
 
 fn session(headers: &HeaderMap) -> Result<Option<String>, InvalidRequest> {
     match header(headers, SESSION_HEADER)? {
-        Some(s) if s.is_empty() || s.len() > MAX_SESSION_LEN => Err(bad_request(format!(
-            "{SESSION_HEADER}: must have 1 to {MAX_SESSION_LEN} characters"
+        Some(s) if s.is_empty() || s.len() > MAX_SESSION_BYTES => Err(bad_request(format!(
+            "{SESSION_HEADER}: must have 1 to {MAX_SESSION_BYTES} characters"
         ))),
         found => Ok(found.map(String::from)),
     }
@@ -164,8 +164,8 @@
     let max = core.settings.body_max;
     let time = Duration::from_millis(core.settings.body_time);
     let collect = Limited::new(request.into_body(), max).collect();
-    let whole = match tokio::time::timeout(time, collect).await {
-        Ok(Ok(whole)) => whole.to_bytes(),
+    let collected = match tokio::time::timeout(time, collect).await {
+        Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             return Err(InvalidRequest {
@@ -180,7 +180,7 @@
             return Err(InvalidRequest { status, message });
         }
     };
-    let value: Value = serde_json::from_slice(&whole)
+    let value: Value = serde_json::from_slice(&collected)
         .map_err(|e| bad_request(format!("the body is not JSON: {e}")))?;
     if !value.is_object() {
         return Err(bad_request("the body must be a JSON object, such as {\"text\": \"…\"}"));
--- a/crates/entry/src/front/mod.rs
+++ b/crates/entry/src/front/mod.rs
@@ -106,8 +106,8 @@
     let limits = config.set.workspaces.get(&job.workspace).map(|w| &w.limits);
     if let Some(l) = limits.and_then(|l| l.iter().find(|l| l.pipeline == job.pipeline)) {
         let nodes = core.members.load().len();
-        let taken = core.rates.take(now, &job.workspace, &job.pipeline, l.rate, nodes);
-        taken.map_err(|wait| rejection(Reason::Limit, Some(wait.as_millis() as u64 + 1)))?;
+        let token = core.rates.take(now, &job.workspace, &job.pipeline, l.rate, nodes);
+        token.map_err(|wait| rejection(Reason::Limit, Some(wait.as_millis() as u64 + 1)))?;
     }
     let verdict = core.admission.admit(core, job).await;
     verdict.map_err(|r| rejection(r.reason, Some(r.retry_after.as_millis() as u64 + 1)))
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -53,7 +53,7 @@
 
 fn apply_view(core: &Core, view: View) {
     let now = core.clock.now();
-    for report in &view.news {
+    for report in &view.changed_targets {
         core.fleet.update_target(now, report);
     }
     core.fleet.set_leaving(view.leaving.into_iter().collect());
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -53,8 +53,8 @@
     }
 
     async fn fetch_delta(&self, peer: Name, have: u64) -> Vec<FollowerEvent> {
-        let ask = DeltaRequest { have };
-        let result = self.client.rmp::<_, Delta>(&peer, path::DELTA, &ask, PEER_TIMEOUT).await;
+        let request = DeltaRequest { have };
+        let result = self.client.rmp::<_, Delta>(&peer, path::DELTA, &request, PEER_TIMEOUT).await;
         let from = Source::Peer(peer);
         match result {
             Ok(delta) => vec![FollowerEvent::Delta { delta, from }],
@@ -71,8 +71,9 @@
             let texts = match &from {
                 Source::Store => self.read_store_chunks(part).await,
                 Source::Peer(peer) => {
-                    let ask = ChunksRequest { hashes: part.to_vec() };
-                    let call = self.client.rmp::<_, Chunks>(peer, path::CHUNKS, &ask, PEER_TIMEOUT);
+                    let request = ChunksRequest { hashes: part.to_vec() };
+                    let call =
+                        self.client.rmp::<_, Chunks>(peer, path::CHUNKS, &request, PEER_TIMEOUT);
                     call.await.ok().map(|c| c.texts)
                 }
             };
--- a/crates/model/src/view.rs
+++ b/crates/model/src/view.rs
@@ -41,7 +41,8 @@
     /// Change number that the view is up to date with.
     pub changes: u64,
     /// Targets whose status changed.
-    pub news: Vec<TargetStatus>,
+    #[serde(rename = "news")]
+    pub changed_targets: Vec<TargetStatus>,
     /// Hosts that are leaving.
     pub leaving: Vec<Name>,
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -160,9 +160,9 @@
         let hit = self.cache.lookup_and_insert(&prompt);
         self.prompt_tokens += prompt.len() as u64;
         self.cached_tokens += hit as u64;
-        let mark = s.tag.map(|t| format!("~{t}")).unwrap_or_default();
+        let suffix = s.tag.map(|t| format!("~{t}")).unwrap_or_default();
         let all = text::generate(&s.call.input);
-        let words = all.into_iter().skip(s.call.from as usize).map(|w| w + &mark).collect();
+        let words = all.into_iter().skip(s.call.from as usize).map(|w| w + &suffix).collect();
         self.submitted += 1;
         let queue_key = (s.call.priority, s.call.budget, self.submitted);
         let seq = Sequence {
@@ -198,11 +198,11 @@
             }
             return true;
         }
-        let Some(kept) = self.finished.get(&old).filter(|k| at >= k.first_seq) else {
+        let Some(stream) = self.finished.get(&old).filter(|k| at >= k.first_seq) else {
             return false;
         };
         let words: VecDeque<_> =
-            kept.generated.iter().skip((at - kept.first_seq) as usize).cloned().collect();
+            stream.generated.iter().skip((at - stream.first_seq) as usize).cloned().collect();
         let mut seq = Sequence {
             attempt: s.call.attempt,
             words: VecDeque::new(),
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -186,9 +186,9 @@
             return Some("leaving");
         }
         let version = call.version.as_ref()?;
-        let wanted = format!("{}@{version}", call.model.as_deref().unwrap_or_default());
-        let holds = state.models.iter().any(|m| **m == *wanted);
-        (!holds).then_some("model version not held")
+        let required = format!("{}@{version}", call.model.as_deref().unwrap_or_default());
+        let is_loaded = state.models.iter().any(|m| **m == *required);
+        (!is_loaded).then_some("model version not held")
     }
 
     async fn run(self: Arc<Self>, call: Call) -> Response<Body> {
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -77,10 +77,10 @@
 
 /// Ranks passages by the number of words shared with the instruction, then by length.
 pub fn rerank(input: &Value) -> String {
-    let wanted: BTreeSet<_> = words(instruction(input)).collect();
+    let query_words: BTreeSet<_> = words(instruction(input)).collect();
     let mut scored: Vec<_> = list(input, "passages")
         .into_iter()
-        .map(|p| (words(&p).filter(|w| wanted.contains(w)).count(), p.chars().count(), p))
+        .map(|p| (words(&p).filter(|w| query_words.contains(w)).count(), p.chars().count(), p))
         .collect();
     scored.sort_by(|a, b| b.cmp(a));
     let ranked: Vec<_> = scored.into_iter().map(|(_, _, p)| p).collect();
@@ -93,9 +93,9 @@
     if chosen.is_empty() {
         chosen = sentences(request_text(input)).into_iter().map(String::from).collect();
     }
-    let whole = request_text(input);
+    let full_text = request_text(input);
     chosen.truncate(MAX_SENTENCES);
-    chosen.sort_by_key(|s| whole.find(s.as_str()).unwrap_or(usize::MAX));
+    chosen.sort_by_key(|s| full_text.find(s.as_str()).unwrap_or(usize::MAX));
     let length = input["request"]["tokens"].as_u64().map_or(usize::MAX, |n| n as usize);
     let mut text: Vec<String> = Vec::new();
     for s in chosen {
@@ -121,6 +121,6 @@
 
 /// Prompt whose prefix engines cache: the request's `prompt`, else its instruction and text.
 pub fn prompt(input: &Value) -> String {
-    let own = input["request"]["prompt"].as_str();
-    own.map_or_else(|| format!("{}\n{}", instruction(input), request_text(input)), String::from)
+    let prompt = input["request"]["prompt"].as_str();
+    prompt.map_or_else(|| format!("{}\n{}", instruction(input), request_text(input)), String::from)
 }
--- a/crates/util/src/http/client.rs
+++ b/crates/util/src/http/client.rs
@@ -206,8 +206,8 @@
         let call = async {
             let head = async { require_success(peer, self.send(peer, request).await?).await };
             let (head, body) = with_timeout(peer, timeouts.head, head).await?.into_parts();
-            let whole = collect_streamed(peer, body, timeouts.idle).await?;
-            Ok(Response::from_parts(head, whole))
+            let collected = collect_streamed(peer, body, timeouts.idle).await?;
+            Ok(Response::from_parts(head, collected))
         };
         with_timeout(peer, timeouts.total, call).await
     }
@@ -377,23 +377,23 @@
 
 async fn collect_body(peer: &str, body: Incoming) -> Result<Bytes, CallError> {
     let body = Limited::new(body, MAX_BODY_BYTES);
-    let whole =
+    let collected =
         body.collect().await.map_err(|e| call_error(peer, CallKind::Lost(e.to_string())))?;
-    Ok(whole.to_bytes())
+    Ok(collected.to_bytes())
 }
 
 /// Reads a complete body whose parts arrive at most `idle` apart.
 async fn collect_streamed(peer: &str, body: Incoming, idle: Duration) -> Result<Bytes, CallError> {
     let mut body = Limited::new(body, MAX_BODY_BYTES);
-    let mut whole = BytesMut::new();
+    let mut collected = BytesMut::new();
     loop {
         let next = async { Ok(body.frame().await) };
         let Some(frame) = with_timeout(peer, idle, next).await? else {
-            return Ok(whole.freeze());
+            return Ok(collected.freeze());
         };
         let frame = frame.map_err(|e| call_error(peer, CallKind::Lost(e.to_string())))?;
         if let Ok(data) = frame.into_data() {
-            whole.extend_from_slice(&data);
+            collected.extend_from_slice(&data);
         }
     }
 }
--- a/crates/util/src/http/server.rs
+++ b/crates/util/src/http/server.rs
@@ -124,8 +124,8 @@
 
 /// Reads a complete body of at most `max_bytes` bytes.
 async fn read(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, String> {
-    let whole = Limited::new(request.into_body(), max_bytes).collect().await;
-    Ok(whole.map_err(|e| e.to_string())?.to_bytes())
+    let collected = Limited::new(request.into_body(), max_bytes).collect().await;
+    Ok(collected.map_err(|e| e.to_string())?.to_bytes())
 }
 
 /// Parses a JSON body; the error is the parser's or the reader's message.
--- a/crates/util/src/settings.rs
+++ b/crates/util/src/settings.rs
@@ -82,8 +82,8 @@
 /// Converts an error of the parser, adding `skipped` to its line number.
 pub fn syntax_error(path: &Path, skipped: u64, e: &serde_saphyr::Error) -> SettingsError {
     let at = e.location();
-    let whole = e.to_string();
-    let error = whole.lines().next().unwrap_or_default();
+    let full_message = e.to_string();
+    let error = full_message.lines().next().unwrap_or_default();
     SettingsError::Syntax {
         path: path.into(),
         line: at.map_or(0, |l| l.line()) + skipped,
