--- a/crates/dev/src/ask.rs
+++ b/crates/dev/src/ask.rs
@@ -57,8 +57,8 @@
             continue;
         };
         if event == "chunk" {
-            let piece: ChunkEvent = serde_json::from_str(data)?;
-            print!("{}", piece.text);
+            let chunk: ChunkEvent = serde_json::from_str(data)?;
+            print!("{}", chunk.text);
             std::io::stdout().flush()?;
         } else {
             return report(serde_json::from_str(data)?);
@@ -67,22 +67,22 @@
     anyhow::bail!("the answer ended without its final event")
 }
 
-fn report(end: RequestReport) -> anyhow::Result<()> {
+fn report(report: RequestReport) -> anyhow::Result<()> {
     println!("\n\n{:<10} {:<14} {:>9} {:>9} {:>12}", "step", "target", "attempts", "ms", "cost");
-    for s in &end.steps {
+    for s in &report.steps {
         println!(
             "{:<10} {:<14} {:>9} {:>9.1} {:>12.7}",
             s.step, s.target, s.attempts, s.millis, s.cost
         );
     }
-    let millis: f64 = end.steps.iter().map(|s| s.millis).sum();
-    let cost: f64 = end.steps.iter().map(|s| s.cost).sum();
+    let millis: f64 = report.steps.iter().map(|s| s.millis).sum();
+    let cost: f64 = report.steps.iter().map(|s| s.cost).sum();
     println!("{:<10} {:<14} {:>9} {millis:>9.1} {cost:>12.7}", "all", "", "");
-    println!("deadline {DEADLINE_MS} ms: {}", if end.timely { "met" } else { "missed" });
+    println!("deadline {DEADLINE_MS} ms: {}", if report.timely { "met" } else { "missed" });
     anyhow::ensure!(
-        end.outcome == Outcome::Complete,
+        report.outcome == Outcome::Complete,
         "the request ended as {}",
-        end.outcome.as_str()
+        report.outcome.as_str()
     );
     Ok(())
 }
--- a/crates/dev/tests/common/mod.rs
+++ b/crates/dev/tests/common/mod.rs
@@ -242,10 +242,10 @@
             continue;
         };
         if event == "chunk" {
-            let piece: ChunkEvent = serde_json::from_str(data).expect("a chunk");
-            assert_eq!(piece.seq, next, "chunks have no gaps");
+            let chunk: ChunkEvent = serde_json::from_str(data).expect("a chunk");
+            assert_eq!(chunk.seq, next, "chunks have no gaps");
             next += 1;
-            seen.text.push_str(&piece.text);
+            seen.text.push_str(&chunk.text);
         } else {
             record_report(seen, serde_json::from_str(data).expect("a final report"));
         }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -246,9 +246,9 @@
                 self.cancel(attempt, &target);
                 None
             }
-            Action::Emit(piece) => {
+            Action::Emit(chunk) => {
                 // A slow caller delays only its own request.
-                let _ = self.out.send(ResponseEvent::Chunk(piece)).await;
+                let _ = self.out.send(ResponseEvent::Chunk(chunk)).await;
                 None
             }
             Action::WakeAt(at) => {
--- a/crates/standin/src/journal.rs
+++ b/crates/standin/src/journal.rs
@@ -40,7 +40,7 @@
     }
 
     /// Records the completion of the run at `index`.
-    pub fn end(&mut self, index: usize) {
+    pub fn complete(&mut self, index: usize) {
         if let Some(r) = self.runs.get_mut(index) {
             r.done = true;
         }
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -254,9 +254,9 @@
         let mut digest = Digest::default();
         digest.push(&answer);
         let mut count = 0;
-        for piece in split_answer(&answer) {
+        for part in split_answer(&answer) {
             let frame =
-                Frame::Chunk { attempt: call.attempt.clone(), seq: count, text: piece.into() };
+                Frame::Chunk { attempt: call.attempt.clone(), seq: count, text: part.into() };
             count += 1;
             let _ = tx.send(frame).await;
         }
@@ -279,7 +279,7 @@
         while let Some(frame) = rx.recv().await {
             let end = matches!(frame, Frame::End { .. });
             if end {
-                self.journal.lock().expect("no panic while held").end(index);
+                self.journal.lock().expect("no panic while held").complete(index);
             }
             if faults.drop {
                 return;
@@ -301,7 +301,7 @@
                     // The reader disconnected; the work continues, so that a resume can fetch it.
                     while let Some(f) = rx.recv().await {
                         if matches!(f, Frame::End { .. }) {
-                            self.journal.lock().expect("no panic while held").end(index);
+                            self.journal.lock().expect("no panic while held").complete(index);
                         }
                     }
                     return;
