--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -112,7 +112,7 @@
         *self.faults.lock().expect("no panic while held") = faults;
     }
 
-    /// Marks the target as leaving, as its host would.
+    /// Marks the target as draining, as its host would.
     pub fn set_leaving(&self) {
         self.state.lock().expect("no panic while held").leaving = true;
     }
@@ -186,9 +186,9 @@
             return Some("leaving");
         }
         let version = call.version.as_ref()?;
-        let wanted = format!("{}@{version}", call.model.as_deref().unwrap_or_default());
-        let holds = state.models.iter().any(|m| **m == *wanted);
-        (!holds).then_some("model version not held")
+        let required = format!("{}@{version}", call.model.as_deref().unwrap_or_default());
+        let is_loaded = state.models.iter().any(|m| **m == *required);
+        (!is_loaded).then_some("model version not held")
     }
 
     async fn run(self: Arc<Self>, call: Call) -> Response<Body> {
@@ -254,9 +254,9 @@
         let mut digest = Digest::default();
         digest.push(&answer);
         let mut count = 0;
-        for piece in split_answer(&answer) {
+        for part in split_answer(&answer) {
             let frame =
-                Frame::Chunk { attempt: call.attempt.clone(), seq: count, text: piece.into() };
+                Frame::Chunk { attempt: call.attempt.clone(), seq: count, text: part.into() };
             count += 1;
             let _ = tx.send(frame).await;
         }
@@ -279,7 +279,7 @@
         while let Some(frame) = rx.recv().await {
             let end = matches!(frame, Frame::End { .. });
             if end {
-                self.journal.lock().expect("no panic while held").end(index);
+                self.journal.lock().expect("no panic while held").complete(index);
             }
             if faults.drop {
                 return;
@@ -301,7 +301,7 @@
                     // The reader disconnected; the work continues, so that a resume can fetch it.
                     while let Some(f) = rx.recv().await {
                         if matches!(f, Frame::End { .. }) {
-                            self.journal.lock().expect("no panic while held").end(index);
+                            self.journal.lock().expect("no panic while held").complete(index);
                         }
                     }
                     return;
