--- a/crates/decide/src/rollout/evidence.rs
+++ b/crates/decide/src/rollout/evidence.rs
@@ -125,9 +125,9 @@
         self.route(service, route).side(side).sent += count;
     }
 
-    /// Records the time of a successful answer that came late. Returns whether another one, of either
-    /// version, came late shortly before: both were then delayed by one cause, which must not count
-    /// twice.
+    /// Records the time of a successful answer that came late. Returns whether another one, of
+    /// either version, came late shortly before: both were then delayed by one cause, which must
+    /// not count twice.
     pub fn record_late(&mut self, service: &Name, route: &Name, took: Duration, now: Time) -> bool {
         let tests = self.route(service, route);
         let from = tests.baseline.slow_bucket();
--- a/crates/decide/src/roster/role_key.rs
+++ b/crates/decide/src/roster/role_key.rs
@@ -156,11 +156,12 @@
 
     /// Nodes by rank for a role, first the one that holds it; `None` is this node.
     ///
-    /// Nodes of the role's region rank first: they are close to its workers, and both stay connected
-    /// if the region is partitioned off. Hosts of higher capacity rank first, since a coordinator's
-    /// network link and CPU carry the work of all nodes. Recently started nodes rank below settled
-    /// ones, so that a restart moves the work once instead of twice. A stopping node ranks last.
-    /// Silent nodes, and those of a failure domain that appears partitioned off, are left out.
+    /// Nodes of the role's region rank first: they are close to its workers, and both stay
+    /// connected if the region is partitioned off. Hosts of higher capacity rank first, since a
+    /// coordinator's network link and CPU carry the work of all nodes. Recently started nodes rank
+    /// below settled ones, so that a restart moves the work once instead of twice. A stopping node
+    /// ranks last. Silent nodes, and those of a failure domain that appears partitioned off, are
+    /// left out.
     pub fn coordinators<'s, 'a>(
         &'s self,
         key: impl Into<RoleKey<'a>>,
--- a/crates/decide/tests/doubt.rs
+++ b/crates/decide/tests/doubt.rs
@@ -26,9 +26,9 @@
 }
 
 /// Guards against sending requests to targets that are known to have been removed. After a power
-/// loss of all nodes the store rejects some of them. If one of these gets the state from a peer that
-/// has read it, and forwards it with a grace period of its own, a third node keeps such targets for
-/// two more seconds.
+/// loss of all nodes the store rejects some of them. If one of these gets the state from a peer
+/// that has read it, and forwards it with a grace period of its own, a third node keeps such
+/// targets for two more seconds.
 #[test]
 fn rejected_node_adopts_the_grace_period_of_its_peer() {
     let mut reader = OutageGrace::default();
