--- a/crates/decide/src/rollout/judge.rs
+++ b/crates/decide/src/rollout/judge.rs
@@ -27,9 +27,10 @@
 /// Operator's limits on the harm done by a bad version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Share of all requests to the service, from the order to its deadline, that it may get …
+    /// Share of all requests to the service, from the order to its deadline, that a bad version may
+    /// get in addition to `slack`.
     pub share: f64,
-    /// … plus this number of requests.
+    /// Number of requests that a bad version may get in addition to `share`.
     pub slack: u32,
     /// Time after its detection as bad within which it must stop getting requests.
     pub rollback_within: Duration,
--- a/crates/decide/src/route/policy.rs
+++ b/crates/decide/src/route/policy.rs
@@ -143,13 +143,14 @@
 /// Tuning of [`Home`].
 #[derive(Debug, Clone, Copy)]
 pub struct HomeTuning {
-    /// The home is skipped only if its expected wait takes more than this share of the step's
-    /// budget; below that, a spill gains nothing …
+    /// A home below its limit is skipped only if its expected wait exceeds this share of the step's
+    /// budget; with a shorter wait, a spill gains nothing.
     pub max_wait_share: f64,
-    /// … and only for a target whose expected wait is shorter by this factor …
+    /// A spill target's expected wait must be shorter than the home's by more than this factor,
+    /// unless the home is at its limit and the spill target is not.
     pub min_gain: f64,
-    /// … and is itself at most this share of the budget: where all targets are loaded, a spill only
-    /// adds cold starts.
+    /// A spill target's expected wait may be at most this share of the step's budget: where all
+    /// targets are loaded, a spill only adds cold starts. The exception of `min_gain` applies.
     pub max_spill_share: f64,
     /// Number of homes of a prefix, relative to the number of targets that its share of the traffic
     /// would fill; 0 keeps one home.
